--- a/umberward/protocol/wire.py
+++ b/umberward/protocol/wire.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
-from typing import Annotated, Any
+from collections.abc import Callable, Iterable
+from typing import Annotated, Any, TypeVar
 
 import msgspec
 
@@ -272,11 +272,16 @@
     """A body that is not what the protocol says."""
 
 
-def decoder(kind: Any) -> Any:
+T = TypeVar("T")
+
+
+def decoder(kind: type[T]) -> Callable[[bytes], T]:
+    """A function that decodes a MessagePack body into `kind`."""
     return msgspec.msgpack.Decoder(kind).decode
 
 
-def converted(data: Any, kind: Any) -> Any:
+def converted(data: object, kind: type[T]) -> T:
+    """Decoded data as `kind`. Raises Malformed."""
     try:
         return msgspec.convert(data, kind)
     except msgspec.ValidationError as error:
