--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,6 +10,10 @@
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
+    parser.addoption(
+        "--write-golden", action="store_true",
+        help="Write the digests of now (tests/test_golden_traffic.py) in place of the stored ones.",
+    )  # fmt: skip
     parser.addoption(
         "--long-troubles", type=int, default=0, metavar="DAYS",
         help="Draw so many days of troubles (tests/test_troubles.py), each time others.",
--- a/tests/graph_world.py
+++ b/tests/graph_world.py
@@ -8,6 +8,7 @@
 
 import curio
 import msgspec
+from traffic_recorder import note
 from world import SKUS, Worker, World
 
 from umberward.clients import state
@@ -51,6 +52,8 @@
         data = body if isinstance(body, bytes) else wire.encode(body)
         path, _, query = path.partition("?")
         made: Response = curio.run(self.users_side().serve, method, path, query, data)
+        asked = (method, path, query, data)
+        note("user of graphs", *asked, made.status, made.body, made.retry_after, self.now)
         return made
 
     def know(self, id: str, tasks: list[Task], runs: float = 3.0) -> None:
--- a/tests/network.py
+++ b/tests/network.py
@@ -17,6 +17,7 @@
 from unittest import mock
 
 import curio
+from traffic_recorder import note
 
 from umberward.core.types import Address
 from umberward.local.links import Links
@@ -125,6 +126,7 @@
         if self.ended or still is not None and not still():
             raise NotSent(f"{method} {address}: no longer ours to say")
         sent = network.clock()
+        note(self.owner, there, method, target, body, sent)
         answered = curio.Event()
         answers: list[Response] = []
 
@@ -136,6 +138,8 @@
                 network.sent[there] = sent
                 response = await server.handler(Request(method, path, query, body))
                 network.sent.pop(there, None)
+                answer = (response.status, response.body, response.retry_after)
+                note(there, self.owner, target, *answer, network.clock())
                 # A process that has ended since says nothing.
                 if network.serving.get(address) is server and await network.links.passes(
                     there, self.owner, target
--- a/tests/world.py
+++ b/tests/world.py
@@ -13,6 +13,7 @@
 
 import curio
 from rules import Rules
+from traffic_recorder import note
 
 from umberward.clients import state
 from umberward.control import hints, holder
@@ -110,12 +111,14 @@
     async def get(self, key: Key, *_: Any, **__: Any) -> Got | None:
         self.requests += 1
         await curio.sleep(0)  # others run meanwhile
+        note("read", key, self.mode)
         if self.mode == "down":
             raise state.Unavailable("down")
         return self.keys.get(key)
 
     async def entries(self, prefix: str) -> tuple[list[wire.Entry], Revision]:
         self.requests += 1
+        note("list", prefix, self.mode)
         if self.mode == "down":
             raise state.Unavailable("down")
         found: list[wire.Entry] = []
@@ -129,6 +132,7 @@
         self, prefix: str, after: Revision, *_: Any
     ) -> tuple[list[wire.Change], Revision]:
         self.requests += 1
+        note("watch", prefix, after, self.mode)
         if self.mode == "down":
             raise state.Unavailable("down")
         try:
@@ -144,6 +148,7 @@
     async def commit(self, conditions: Any, writes: Any, **_: Any) -> Revision:
         self.requests += 1
         conditions = list(conditions)
+        note("commit", conditions, writes, self.mode)
         if self.mode == "down":
             raise state.Unavailable("down")
         if self.mode == "late":
@@ -158,10 +163,13 @@
         try:
             self.core.commit(conditions, writes)
         except statecore.Failed as error:
+            note("applied", conditions, writes, "conflict", error.keys)
             raise state.Conflict(str(error)) from None
         except statecore.Refused as error:
+            note("applied", conditions, writes, "refused")
             self.refused.append(str(error))
             raise state.TooLarge("400") from None
+        note("applied", conditions, writes, self.revision)
         self.applied()
 
     def keep(self, path: str, data: Any) -> None:
@@ -276,6 +284,7 @@
         """Another controller takes over, and has heard what the last leader had learnt."""
         assert self.scheduler is not None and self.provisioner is not None
         told = hints.dumps(hints.gather(self.scheduler, self.provisioner, Instant(self.now)))
+        note("hints", told)
         self.take_blocks()
         found = hints.loads(told)
         assert found is not None
@@ -456,7 +465,10 @@
             await running.cancel()
             return response
 
+        note("user asks", argument, self.now)
         made: Response = curio.run(serve)
+        for answer in made if isinstance(made, list) else [made]:
+            note("user is answered", answer.status, answer.body, answer.retry_after)
         return made
 
     # ---- time --------------------------------------------------------------------------
@@ -498,6 +510,7 @@
                     machine.returning = True
                 gone = [id for id in self.provisioner.deletions(now) if id in self.workers]
                 for id in gone:
+                    note("machine deleted", id, self.now)
                     self.delete(id)
         self._check()
 
@@ -506,6 +519,7 @@
             if zone not in self.apart and now - borrower.asked >= 1.0:
                 loan = scheduler.lend(NodeName(name), borrower.serial, borrower.idle, now)
                 if loan is not None:
+                    note("loan", name, loan)
                     borrower.keep(loan, now, now)
 
     def _sweep(self, scheduler: Scheduler, now: Instant) -> None:
@@ -549,6 +563,7 @@
                 silent = worker is None or worker.dead or worker.cut or worker.oneway
                 if isinstance(item, Probe):
                     self.probes += 1
+                    note("probe", item.machine, silent, self.now)
                     scheduler.probed(item, None if silent else worker.report(), now)
                     continue
                 self._send(scheduler, self.commands.submit(item), now)
@@ -556,6 +571,9 @@
     def _send(self, scheduler: Scheduler, command: Command | None, now: Instant) -> None:
         """One command at a time is under way to each machine, as with the daemon."""
         while command is not None:
+            note(
+                "command", command.machine, command.epoch, command.tenure, command.orders, self.now
+            )
             worker = self.workers.get(command.machine)
             gives_up_at = now + holder.DO_TIMEOUT_S
             if worker is not None and worker.holding:
@@ -640,6 +658,7 @@
             holder = self.former[-1]  # it answers still, as it knows of no other
         assert holder is not None
         orders = holder.hello(wire.decode_head(body), body, Instant(self.now))
+        note("report", body, holder.epoch, orders, self.now)
         if orders is None and holder is not self.scheduler:
             worker.astray = False  # sent away, it looks for another controller
         if orders is None or worker.deaf or worker.oneway or self.now - sent > 4.0:
@@ -654,12 +673,15 @@
         body = next((body for sent, body in reversed(said) if self.now - sent >= age), None)
         if body is not None:
             # Nobody waits for an answer to it.
-            self.scheduler.hello(wire.decode_head(body), body, Instant(self.now))
+            orders = self.scheduler.hello(wire.decode_head(body), body, Instant(self.now))
+            note("copied report", body, orders, self.now)
             self._flush(self.scheduler)
 
     def _do(self, worker: Worker, command: Command) -> Report:
         worker.direct(command.epoch, command.tenure, command.orders)
-        return worker.report()
+        report = worker.report()
+        note("command done", command.epoch, command.tenure, command.orders, report, self.now)
+        return report
 
     def _check_ready(self) -> None:
         """What was kept of the machines from pass to pass is what a look at all of them finds."""
