--- a/tests/test_golden_traffic.py
+++ b/tests/test_golden_traffic.py
@@ -54,6 +54,8 @@
     )  # fmt: skip
     assert result.returncode == 0, result.stderr[-3000:]
     digests = {name: Digest(*found) for name, found in json.loads(result.stdout).items()}
+    # pytest shows it beside the runs that differ: why one of them failed, if it did.
+    print(result.stderr[-3000:])
     if request.config.getoption("--write-golden"):
         _write_golden(digests)
     return digests
--- a/tests/traffic_runs.py
+++ b/tests/traffic_runs.py
@@ -12,6 +12,7 @@
 import json
 import random
 import time
+import traceback
 from collections.abc import Callable, Iterator, MutableSet
 from pathlib import Path
 from typing import Any
@@ -209,7 +210,12 @@
     for name, run in all_runs().items():
         began = time.perf_counter()
         with recording() as recorder, repeatable():
-            run()
+            try:
+                run()
+            except Exception:
+                # The other runs are played all the same, and the test names this one.
+                traceback.print_exc()
+                recorder.add(b"the run failed")
         digests[name] = recorder.digest()
         if timed:
             print(f"{time.perf_counter() - began:6.2f} s {name} {digests[name].messages}")
