--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,14 +9,18 @@
 import time
 from pathlib import Path
 
+import curio
 import msgspec
 import pytest
 from click.testing import CliRunner
 
 from umberward.cli import main as cli
+from umberward.core import loop
 from umberward.core.settings import Team
+from umberward.local.links import HELD, LinkFault
 from umberward.soak import plan
 from umberward.soak.checker import LEFT_WAITING_S, UNTOLD_S, Checker
+from umberward.soak.cluster import SoakCluster
 from umberward.soak.history import (
     Answered,
     CancelAsked,
@@ -30,6 +34,7 @@
     TaskEnded,
     TaskStarted,
 )
+from umberward.soak.runner import Run
 
 CANCEL_S = 11.0
 JOB, TASK = "req-000001", "req-000001/0"
@@ -222,6 +227,32 @@
     raise AssertionError("processes of the soak go on")
 
 
+def test_no_message_of_a_worker_outlives_the_run(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A worker's first report is due while the kernel shuts down, and its link holds messages."""
+
+    async def without_controllers(cluster: SoakCluster) -> None:
+        pass
+
+    async def slow_to_end() -> None:
+        try:
+            await curio.sleep(60.0)
+        finally:
+            await curio.sleep(2.0 * plan.TIMES.report_s)
+
+    async def until_a_worker_runs(run: Run, cluster: SoakCluster) -> None:
+        cluster.links.faults["all"] = LinkFault("*", "*", HELD)
+        await cluster.add_machines(1)
+        await curio.sleep(0.05)
+        # The newest task is the first that the kernel cancels, and it waits for its end.
+        await curio.spawn(slow_to_end, daemon=True)
+        await curio.sleep(0.01)
+
+    monkeypatch.setattr(SoakCluster, "_start", without_controllers)
+    monkeypatch.setattr(Run, "_play", until_a_worker_runs)
+    result = loop.run(Run(plan.draw(1, plan.size("short"), [])).play)
+    assert not result.broken
+
+
 def test_a_short_soak_keeps_the_rules(tmp_path: Path) -> None:
     report = tmp_path / "soak.json"
     result = CliRunner().invoke(
--- /dev/null
+++ b/tests/test_tasks.py
@@ -0,0 +1,94 @@
+"""A task scope ends its tasks, whatever they do meanwhile."""
+
+from __future__ import annotations
+
+import curio
+import pytest
+
+from umberward.core.tasks import TaskScope
+
+LONG_S = 60.0
+
+
+async def sleep_long(ended: list[str], name: str) -> None:
+    try:
+        await curio.sleep(LONG_S)
+    finally:
+        ended.append(name)
+
+
+def test_all_tasks_have_ended_when_the_block_is_left() -> None:
+    ended: list[str] = []
+
+    async def main() -> None:
+        async with TaskScope() as scope:
+            for name in "ab":
+                await scope.spawn(sleep_long, ended, name)
+            await curio.sleep(0)
+        assert sorted(ended) == ["a", "b"]
+
+    curio.run(main)
+
+
+def test_what_a_task_spawns_while_it_is_cancelled_ends_too() -> None:
+    ended: list[str] = []
+
+    async def main() -> None:
+        scope = TaskScope()
+
+        async def spawn_at_the_end() -> None:
+            try:
+                await curio.sleep(LONG_S)
+            finally:
+                await scope.spawn(sleep_long, ended, "late")
+
+        await scope.spawn(spawn_at_the_end)
+        await curio.sleep(0)
+        await scope.close()
+        assert ended == ["late"]
+        with pytest.raises(RuntimeError):
+            await scope.spawn(sleep_long, ended, "after")
+
+    curio.run(main)
+
+
+def test_a_failure_and_a_finish_leave_the_others_running() -> None:
+    ended: list[str] = []
+
+    async def fail() -> None:
+        raise ValueError("of the test")
+
+    async def main() -> None:
+        async with TaskScope() as scope:
+            failing = await scope.spawn(fail)
+            finishing = await scope.spawn(curio.sleep, 0)
+            await scope.spawn(sleep_long, ended, "other")
+            await curio.sleep(0.05)
+            assert isinstance(failing.exception, ValueError) and finishing.terminated
+            assert not ended
+        assert ended == ["other"]
+
+    curio.run(main)
+
+
+def test_a_cancelled_close_still_ends_all() -> None:
+    ended: list[str] = []
+
+    async def slow_to_end(name: str) -> None:
+        try:
+            await curio.sleep(LONG_S)
+        finally:
+            await curio.sleep(0.05)
+            ended.append(name)
+
+    async def main() -> None:
+        scope = TaskScope()
+        for name in "abc":
+            await scope.spawn(slow_to_end, name)
+        await curio.sleep(0)
+        closing = await curio.spawn(scope.close)
+        await curio.sleep(0.01)
+        await closing.cancel()
+        assert sorted(ended) == ["a", "b", "c"]
+
+    curio.run(main)
--- a/umberward/local/cluster.py
+++ b/umberward/local/cluster.py
@@ -23,6 +23,7 @@
 from umberward.client.store import CALL, Store
 from umberward.core.log import logger
 from umberward.core.settings import StateLimits, Team, Workers
+from umberward.core.tasks import TaskScope
 from umberward.core.types import Address
 from umberward.graphs import model, records
 from umberward.graphs.model import Shape
@@ -130,7 +131,7 @@
         self.started_at: dict[str, float] = {}  # task -> when it first ran
         self.done_at: dict[str, float] = {}
         self.ends: dict[str, list[str]] = {}  # task -> how its attempts ended
-        self.group: Any = None
+        self.group = TaskScope()  # owns the tasks of the stand-ins
 
     def _addresses(self, count: int) -> list[Address]:
         """Addresses on which nobody listens."""
@@ -144,13 +145,13 @@
         """A cluster that is ready; all its processes and files are gone afterwards."""
         folder = Path(tempfile.mkdtemp(prefix="umberward-local-"))
         cluster = cls(plan, folder)
-        async with curio.TaskGroup(wait=None) as cluster.group:
-            try:
+        try:
+            async with cluster.group:
                 await cluster._start()
                 yield cluster
-            finally:
-                cluster._end()
-                shutil.rmtree(folder, ignore_errors=True)
+        finally:
+            cluster._end()
+            shutil.rmtree(folder, ignore_errors=True)
 
     async def _start(self) -> None:
         for number in range(self.plan.controllers):
@@ -289,7 +290,7 @@
     async def _up(self, machine: Machine, now: float) -> None:
         machine.address = str(self._addresses(1)[0])
         worker = self._worker(machine, now)
-        self.workers[machine.id] = (worker, await curio.spawn(worker.run, daemon=True))
+        self.workers[machine.id] = (worker, await self.group.spawn(worker.run))
 
     def _gone(self, machines: list[Machine]) -> None:
         for machine in machines:
--- a/umberward/soak/cluster.py
+++ b/umberward/soak/cluster.py
@@ -13,6 +13,7 @@
 import curio
 
 from umberward.core.settings import Team
+from umberward.core.tasks import TaskScope
 from umberward.core.types import Address
 from umberward.local.cloudcore import Capacity, Machine
 from umberward.local.cluster import LocalCluster
@@ -94,13 +95,16 @@
     """A worker's client: each of its links may fail."""
 
     def __init__(
-        self, client: Client, links: Links, core: SoakWorker, names: dict[Address, str]
-    ) -> None:
+        self, client: Client, links: Links, core: SoakWorker, names: dict[Address, str],
+        messages: TaskScope,
+    ) -> None:  # fmt: skip
+        """`messages` owns what is under way: it may arrive long after the request was given up."""
         self.client = client
         self.links = links
         self.core = core
         self.host = core.host
         self.names = names
+        self.messages = messages
 
     async def request(
         self, address: Address, method: str, target: str, body: bytes, timeout: float
@@ -134,10 +138,10 @@
             with contextlib.suppress(NotSent, NoAnswer):
                 await self.client.request(address, method, target, body, timeout)
 
-        await curio.spawn(carry, daemon=True)
+        await self.messages.spawn(carry)
         again = self.links.copied_after(self.host, self.names[address], target)
         if again is not None:
-            await curio.spawn(copy, again, daemon=True)
+            await self.messages.spawn(copy, again)
         await curio.ignore_after(timeout, answered.wait)
         if answers:
             self.core.sent_at = answered_at[0]  # the worker takes it up at once
@@ -253,7 +257,7 @@
             self.now(), machine.id, machine.sku.sku, machine.zone, machine.spot, machine.sku.cores
         ))  # fmt: skip
         names = {address: name for name, address in self.nodes.items()}
-        client: Any = LinkedClient(self.client, self.links, core, names)
+        client: Any = LinkedClient(self.client, self.links, core, names, self.group)
         worker = WorkerServer(core, self.nodes, self.workers_said.report_s, client, self.rng)
         worker.server.sockets.limit = worker.server.sockets.most_of_client = SOCKETS
         worker.server.handler = self._commanded(core, worker.server.handler)
--- a/umberward/soak/faults.py
+++ b/umberward/soak/faults.py
@@ -31,7 +31,7 @@
         """Begin each at its second; returns when the last one has begun."""
         for fault in faults:
             await curio.sleep(max(0.0, fault.at_s - self.cluster.now()))
-            self.causing.append(await curio.spawn(self._cause, fault, daemon=True))
+            self.causing.append(await self.cluster.group.spawn(self._cause, fault))
 
     async def end_all(self) -> None:
         """Every link is whole again, every machine and controller goes on, nothing more begins."""
--- a/umberward/soak/runner.py
+++ b/umberward/soak/runner.py
@@ -64,12 +64,12 @@
         cluster = SoakCluster(SoakCluster.local_plan(self.of), folder)
         cluster.record = self._record
         try:
-            async with curio.TaskGroup(wait=None) as cluster.group:
-                try:
+            try:
+                async with cluster.group:
                     await cluster._start()
                     await self._play(cluster)
-                finally:
-                    cluster._end()
+            finally:
+                cluster._end()
             return self._result(cluster, time.monotonic() - began, folder)
         finally:
             shutil.rmtree(folder, ignore_errors=True)
@@ -94,7 +94,7 @@
             raise group.exception
 
     async def _story(self, cluster: SoakCluster, users: Users, faults: Faults) -> None:
-        submitting = await curio.spawn(users.run, self.of.size.seconds, daemon=True)
+        submitting = await cluster.group.spawn(users.run, self.of.size.seconds)
         await faults.run(self.of.faults)
         await submitting.join()
         await faults.end_all()
--- a/umberward/soak/users.py
+++ b/umberward/soak/users.py
@@ -40,22 +40,22 @@
             await curio.sleep(self.rng.expovariate(self.jobs_per_s))
             most = MOST_LIVE * max(1, len(self.cluster.workers) // 10)
             if len(self.live) < most:
-                await curio.spawn(self._one_job, daemon=True)
+                await self.cluster.group.spawn(self._one_job)
             for _ in range(POLLS):
                 if self.live:
                     job = self.rng.choice(list(self.live))
-                    await curio.spawn(self.ask, "poll", job, daemon=True)
+                    await self.cluster.group.spawn(self.ask, "poll", job)
 
     async def cancel_many(self, count: int) -> None:
         """So many of the jobs that are under way, all at once."""
         for job in self.rng.sample(list(self.live), min(count, len(self.live))):
-            await curio.spawn(self.cancel, job, daemon=True)
+            await self.cluster.group.spawn(self.cancel, job)
 
     async def cancel_endless(self) -> None:
         """What would never end by itself."""
         for job, spec in list(self.live.items()):
             if spec["shape"] == wire.SERVICE:
-                await curio.spawn(self.cancel, job, daemon=True)
+                await self.cluster.group.spawn(self.cancel, job)
 
     # ---- one job ---------------------------------------------------------------------------
 
@@ -76,7 +76,7 @@
         if self.rng.random() < LOOKED_AT:
             await self._look_closely(job, spec)
         if self.rng.random() < REPEATED:
-            await curio.spawn(self._again, job, spec, daemon=True)
+            await self.cluster.group.spawn(self._again, job, spec)
         if spec["shape"] == wire.SERVICE or self.rng.random() < CANCELLED:
             await curio.sleep(self.rng.choice((0.0, 0.1, 1.0, 2.1, 6.0)))
             await self.cancel(job)
@@ -90,8 +90,8 @@
     async def _look_closely(self, job: str, spec: dict[str, Any]) -> None:
         gap_s = self.rng.choice(CLOSE_S)
         for name in self.cluster.names:
-            await curio.spawn(self.ask, "poll", job, name, daemon=True)
-            await curio.spawn(self.ask, "submit", job, name, wire.encode(spec), daemon=True)
+            await self.cluster.group.spawn(self.ask, "poll", job, name)
+            await self.cluster.group.spawn(self.ask, "submit", job, name, wire.encode(spec))
             await curio.sleep(gap_s)
 
     async def cancel(self, job: str) -> None:
