--- a/umberward/load/generator.py
+++ b/umberward/load/generator.py
@@ -16,6 +16,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
+from umberward.core.tasks import TaskScope
 from umberward.core.types import Address
 from umberward.graphs import files
 from umberward.graphs.model import File, GraphId, Options, Task
@@ -94,15 +95,16 @@
 
     async def run(self, seconds: float) -> Result:
         began = time.monotonic()
-        for at, kind in self.arrivals(seconds):
-            await curio.sleep(max(0.0, began + at - time.monotonic()))
-            if self.under_way >= MOST_AT_ONCE:
-                self.statuses[kind]["not sent"] += 1
-                continue
-            self.under_way += 1
-            await curio.spawn(self._one, kind, began + at, daemon=True)
-        while self.under_way:
-            await curio.sleep(0.05)  # each is over within its time
+        async with TaskScope() as requests:
+            for at, kind in self.arrivals(seconds):
+                await curio.sleep(max(0.0, began + at - time.monotonic()))
+                if self.under_way >= MOST_AT_ONCE:
+                    self.statuses[kind]["not sent"] += 1
+                    continue
+                self.under_way += 1
+                await requests.spawn(self._one, kind, began + at)
+            while self.under_way:
+                await curio.sleep(0.05)  # each is over within its time
         return self.result(time.monotonic() - began)
 
     async def _one(self, kind: str, due: float) -> None:
