--- a/tests/controllers.py
+++ b/tests/controllers.py
@@ -22,6 +22,7 @@
 from umberward.control import node as node_module
 from umberward.control.node import Node
 from umberward.core.settings import Operator, check
+from umberward.core.tasks import TaskScope
 from umberward.core.types import Key, TypeName
 from umberward.local import servers
 from umberward.local.cloudcore import Capacity, CloudCore, Machine
@@ -92,6 +93,7 @@
         self.peers = {n: self.network.address(n, 200 + i) for i, n in enumerate(self.names)}
         self.states = [self.network.address("state", 300 + i) for i in range(size)]
         self.cloud_at = self.network.address("cloud", 400)
+        self.scope = TaskScope()  # owns the tasks of the stand-ins and of the nodes
         self.nodes: dict[str, Node] = {}
         self.tasks: dict[str, Any] = {}
         self.running_workers: dict[str, Any] = {}
@@ -134,11 +136,14 @@
             yield self
 
     def _shut_down(self) -> None:
-        while True:
-            # What is cancelled may begin something else before it ends.
-            with contextlib.suppress(AssertionError):
-                self.kernel.run(shutdown=True)
-                return
+        self.kernel.run(self._end)
+        self.kernel.run(shutdown=True)
+
+    async def _end(self) -> None:
+        for name in list(self.nodes):
+            await self._crash(name)
+        await self.scope.close()
+        await self.network.messages.close()
 
     async def _start(self) -> None:
         limits = self.cluster.state
@@ -153,8 +158,8 @@
         self.network.building = "user"
         self.user = self.network.client()
         for server in [*self.state.servers, self.cloud.server]:
-            await curio.spawn(server.run, daemon=True)
-        await curio.spawn(self._clockwork, daemon=True)
+            await self.scope.spawn(server.run)
+        await self.scope.spawn(self._clockwork)
 
     async def _clockwork(self) -> None:
         led = None
@@ -215,7 +220,7 @@
 
         node.membership.elected = note
         self.nodes[name] = node
-        self.tasks[name] = await curio.spawn(node.run, daemon=True)
+        self.tasks[name] = await self.scope.spawn(node.run)
 
     def crash(self, name: str) -> None:
         """The process ends; what it has sent is under way."""
@@ -227,9 +232,10 @@
             return
         for client in (node.client, node.upstream):
             client.ended = True  # type: ignore[attr-defined]
+        # The node first: while it runs, it may be elected and start a holder anew.
+        await self.tasks.pop(name).cancel()
         if node.holder_task is not None:
             await node.holder_task.cancel()
-        await self.tasks.pop(name).cancel()
 
     def leader(self) -> str | None:
         """Who leads by the state service."""
@@ -262,7 +268,7 @@
         worker = WorkerServer(
             core, self.listen, self.cluster.workers.report_s, self.network.client(), self.rng
         )
-        self.running_workers[name] = await curio.spawn(worker.run, daemon=True)
+        self.running_workers[name] = await self.scope.spawn(worker.run)
 
     def hang(self, name: str) -> None:
         """Nothing is done there and nothing passes, either way, until it goes on."""
--- a/tests/network.py
+++ b/tests/network.py
@@ -18,6 +18,7 @@
 
 import curio
 
+from umberward.core.tasks import TaskScope
 from umberward.core.types import Address
 from umberward.local.links import Links
 from umberward.protocol.http import Handler, NoAnswer, NotSent, Request, Response
@@ -67,6 +68,7 @@
         self.sent: dict[str, float] = {}  # to whom a message is handed now -> when it was sent
         self.kept_share = 0.0  # of the reports a copy is kept for the next leader
         self.kept: deque[Request] = deque(maxlen=MOST_KEPT)
+        self.messages = TaskScope()  # owns what is under way
 
     def client(self, _: Any = None) -> Client:
         return Client(self, self.building)
@@ -85,7 +87,7 @@
         for request in kept:
             for address in addresses:
                 if address in self.serving:
-                    await curio.spawn(self.serving[address].handler, request, daemon=True)
+                    await self.messages.spawn(self.serving[address].handler, request)
 
 
 class Server:
@@ -143,11 +145,11 @@
                     answers.append(response)
                     await answered.set()
 
-        await curio.spawn(carry, daemon=True)
+        await network.messages.spawn(carry)
         if path == "/hello" and network.rng.random() < network.kept_share:
             network.kept.append(Request(method, path, query, body))
         if path == "/hello" and self.owner in network.copied:
-            await curio.spawn(self._copy, address, Request(method, path, query, body), daemon=True)
+            await network.messages.spawn(self._copy, address, Request(method, path, query, body))
         await curio.ignore_after(timeout, answered.wait)
         if not answers:
             raise NoAnswer(f"{method} {address}: no answer")
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,11 +1,13 @@
-"""A task scope ends its tasks, whatever they do meanwhile."""
+"""A task scope ends its tasks, whatever they do meanwhile; so do the tests' controllers."""
 
 from __future__ import annotations
 
 import curio
 import pytest
+from controllers import Controllers
 
 from umberward.core.tasks import TaskScope
+from umberward.local.links import HELD, LinkFault
 
 LONG_S = 60.0
 
@@ -92,3 +94,27 @@
         assert sorted(ended) == ["a", "b", "c"]
 
     curio.run(main)
+
+
+def test_no_message_outlives_the_controllers() -> None:
+    """A worker's report is due while the kernel shuts down, and its link holds messages."""
+    world = Controllers(size=1)
+
+    async def slow_to_end() -> None:
+        try:
+            await curio.sleep(LONG_S)
+        finally:
+            await curio.sleep(2.0 * world.cluster.workers.report_s)
+
+    async def spawn_slow_to_end() -> None:
+        # The newest task is the first that the kernel cancels, and it waits for its end.
+        await curio.spawn(slow_to_end, daemon=True)
+        await curio.sleep(0)
+
+    with world.playing():
+        world.start("k0")
+        world.run(1.0)
+        world.network.links.faults["all"] = LinkFault("*", "*", HELD)
+        world.machine("m1", "small", "a")
+        world.run(0.01)
+        world.kernel.run(spawn_slow_to_end)
