--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+import contextlib
 import os
 import signal
+import socket
 import subprocess
 import sys
 import time
@@ -227,8 +229,11 @@
     raise AssertionError("processes of the soak go on")
 
 
-def test_no_message_of_a_worker_outlives_the_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A worker's first report is due while the kernel shuts down, and its link holds messages."""
+@pytest.mark.parametrize("held", [True, False], ids=["held by its link", "never answered"])
+def test_no_message_of_a_worker_outlives_the_run(
+    held: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A worker's first report is due while the kernel shuts down, and stays under way."""
 
     async def without_controllers(cluster: SoakCluster) -> None:
         pass
@@ -240,7 +245,11 @@
             await curio.sleep(2.0 * plan.TIMES.report_s)
 
     async def until_a_worker_runs(run: Run, cluster: SoakCluster) -> None:
-        cluster.links.faults["all"] = LinkFault("*", "*", HELD)
+        if held:
+            cluster.links.faults["all"] = LinkFault("*", "*", HELD)
+        else:
+            for address in cluster.listen:
+                silent.enter_context(socket.create_server(address))
         await cluster.add_machines(1)
         await curio.sleep(0.05)
         # The newest task is the first that the kernel cancels, and it waits for its end.
@@ -249,7 +258,8 @@
 
     monkeypatch.setattr(SoakCluster, "_start", without_controllers)
     monkeypatch.setattr(Run, "_play", until_a_worker_runs)
-    result = loop.run(Run(plan.draw(1, plan.size("short"), [])).play)
+    with contextlib.ExitStack() as silent:
+        result = loop.run(Run(plan.draw(1, plan.size("short"), [])).play)
     assert not result.broken
 
 
