--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from umberward.decisions.invariants import Invariants
+from umberward.scheduling.invariants import Invariants
 
 Invariants.raises = True  # in tests a violation is a failure, and nothing is refused silently
 
@@ -11,10 +11,14 @@
 
 def pytest_addoption(parser: pytest.Parser) -> None:
     parser.addoption(
-        "--write-golden", action="store_true",
+        "--write-golden",
+        action="store_true",
         help="Write the digests of now (tests/test_golden_traffic.py) in place of the stored ones.",
-    )  # fmt: skip
+    )
     parser.addoption(
-        "--long-troubles", type=int, default=0, metavar="DAYS",
+        "--long-troubles",
+        type=int,
+        default=0,
+        metavar="DAYS",
         help="Draw so many days of troubles (tests/test_troubles.py), each time others.",
-    )  # fmt: skip
+    )
--- a/tests/controllers.py
+++ b/tests/controllers.py
@@ -19,11 +19,11 @@
 from rules import Rules, Told
 from world import SKUS, raw_settings
 
-from umberward.control import node as node_module
-from umberward.control.node import Node
-from umberward.core.settings import Operator, check
+from umberward.control import controller as node_module
+from umberward.control.controller import Controller
+from umberward.core.settings import OperatorSettings, validate
 from umberward.core.tasks import TaskScope
-from umberward.core.types import Key, TypeName
+from umberward.core.types import Key, MachineTypeName
 from umberward.local import servers
 from umberward.local.cloudcore import Capacity, CloudCore, Machine
 from umberward.local.links import LinkFault
@@ -31,9 +31,9 @@
 from umberward.local.statecore import StateCore
 from umberward.local.workercore import Fate, WorkerCore
 from umberward.protocol import wire
-from umberward.protocol.changes import Got
-from umberward.protocol.http import NoAnswer, NotSent, Response
-from umberward.protocol.wire import PAST, Spec
+from umberward.protocol.http import NoResponseError, RequestNotSentError, Response
+from umberward.protocol.transactions import VersionedValue
+from umberward.protocol.wire import FINAL_JOBS_PREFIX, JobSpec
 
 Question = tuple[str, Any, str]  # submit, poll or cancel; a description or an id; at which node
 
@@ -69,10 +69,14 @@
     done_stays = False
 
     def __init__(
-        self, size: int = 3, seed: int = 1, rent: int = 0,
-        limits: dict[str, float] | None = None, operator: dict[str, Any] | None = None,
+        self,
+        size: int = 3,
+        seed: int = 1,
+        rent: int = 0,
+        limits: dict[str, float] | None = None,
+        operator: dict[str, Any] | None = None,
         **workers: float,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`rent`: how many small machines the cloud has in each zone, beside those that are named;
         `limits`: `cpus_max` or `gpus_max` of the team red; `operator`: settings of its own;
         `workers`: fields of the settings' `cluster.workers` that differ."""
@@ -83,8 +87,8 @@
         raw["cluster"]["teams"][0].update(limits or {})
         raw["cluster"]["machine_limits"]["sockets"] = 400
         self.raw = raw
-        self.operator = Operator(**{"idle_seconds": 86400.0, **(operator or {})})
-        super().__init__(check(raw, Operator()).platform.cluster, SKUS.values())
+        self.operator = OperatorSettings(**{"idle_seconds": 86400.0, **(operator or {})})
+        super().__init__(validate(raw, OperatorSettings()).platform.cluster, SKUS.values())
         self.clock = Clock()
         self.rng = random.Random(seed)
         self.network = Network(self.clock, self.rng)
@@ -94,7 +98,7 @@
         self.states = [self.network.address("state", 300 + i) for i in range(size)]
         self.cloud_at = self.network.address("cloud", 400)
         self.scope = TaskScope()  # owns the tasks of the stand-ins and of the nodes
-        self.nodes: dict[str, Node] = {}
+        self.nodes: dict[str, Controller] = {}
         self.tasks: dict[str, Any] = {}
         self.running_workers: dict[str, Any] = {}
         self.terms: list[tuple[str, int]] = []  # who won, with which token
@@ -106,7 +110,7 @@
     def now(self) -> float:  # type: ignore[override]
         return self.clock.now
 
-    def kept(self) -> Mapping[Key, Got]:
+    def kept(self) -> Mapping[Key, VersionedValue]:
         return self.state.core.keys  # type: ignore[return-value]
 
     def gone(self, worker: WorkerCore) -> bool:
@@ -151,9 +155,11 @@
         self.state = StateServer(core, limits, self.states)
         self.cloud_core = CloudCore(list(SKUS.values()), 5.0, self.rng, 1.0)
         self.cloud_core.capacity = {
-            Capacity(sku.sku, zone, spot): self.rent if sku.sku == "small" and not spot else 0
-            for sku in SKUS.values() for zone in sku.yards for spot in (True, False)
-        }  # fmt: skip
+            Capacity(sku.name, zone, spot): self.rent if sku.name == "small" and not spot else 0
+            for sku in SKUS.values()
+            for zone in sku.zones
+            for spot in (True, False)
+        }
         self.cloud = CloudServer(self.cloud_core, 20.0, self.cloud_at, self._deleted)
         self.network.building = "user"
         self.user = self.network.client()
@@ -165,8 +171,8 @@
         led = None
         while True:
             leads = self.state.core.keys.get("leader")
-            if leads is not None and leads.stamp != led:
-                led = leads.stamp
+            if leads is not None and leads.version != led:
+                led = leads.version
                 await self.network.bring_kept(self.listen.values())
             revision = self.state.core.revision
             if not self.state.down:
@@ -185,8 +191,8 @@
     def _check_invariants(self) -> None:
         """A violation ends the handling of a message, and the controller goes on."""
         for name, node in self.nodes.items():
-            if node.holder is not None and node.holder.scheduler.invariants.violations:
-                found = node.holder.scheduler.invariants.violations
+            if node.leader_loop is not None and node.leader_loop.scheduler.invariants.violations:
+                found = node.leader_loop.scheduler.invariants.violations
                 self.broken.append(f"invariants of {name}: {', '.join(found)}")
 
     def run(self, seconds: float) -> None:
@@ -201,24 +207,28 @@
         number = self.names.index(name)
         zones = self.raw["cluster"]["zones"]
         raw = {
-            **self.raw, "label": name, "site": zones[number % len(zones)],
-            "listen": str(self.listen[name]), "peer_bind": str(self.peers[name]),
+            **self.raw,
+            "label": name,
+            "site": zones[number % len(zones)],
+            "listen": str(self.listen[name]),
+            "peer_bind": str(self.peers[name]),
             "endpoints": {"cloud": str(self.cloud_at), "state": str(self.states[number])},
             "peers": [
                 {"label": n, "site": zones[i % len(zones)], "addr": str(self.peers[n])}
-                for i, n in enumerate(self.names) if n != name
+                for i, n in enumerate(self.names)
+                if n != name
             ],
-        }  # fmt: skip
+        }
         self.network.building = name
-        node = Node(check(raw, self.operator), self.clock)
+        node = Controller(validate(raw, self.operator), self.clock)
         node.rng.seed(self.rng.getrandbits(32))
-        elected = node.membership.elected
+        elected = node.election.on_elected
 
         async def note(epoch: Any) -> None:
             self.terms.append((name, epoch))
             await elected(epoch)
 
-        node.membership.elected = note
+        node.election.on_elected = note
         self.nodes[name] = node
         self.tasks[name] = await self.scope.spawn(node.run)
 
@@ -234,8 +244,8 @@
             client.ended = True  # type: ignore[attr-defined]
         # The node first: while it runs, it may be elected and start a holder anew.
         await self.tasks.pop(name).cancel()
-        if node.holder_task is not None:
-            await node.holder_task.cancel()
+        if node.leader_task is not None:
+            await node.leader_task.cancel()
 
     def leader(self) -> str | None:
         """Who leads by the state service."""
@@ -248,7 +258,7 @@
         self.kernel.run(self._machine, name, flavor, zone)
 
     async def _machine(self, name: str, flavor: str, zone: str) -> None:
-        sku = SKUS[TypeName(flavor)]
+        sku = SKUS[MachineTypeName(flavor)]
         machine = Machine(name, sku, zone, False, self.now, self.now)
         self.cloud_core.machines[name] = machine
         machine.up = True
@@ -259,9 +269,17 @@
         address = self.network.address(name, 1000 + len(self.running_workers))
         machine.address = str(address)
         core = Worker(
-            name, str(address), machine.sku, machine.zone, False, self.cluster.workers, self.mates,
-            self.describe, self.fate, self.now,
-        )  # fmt: skip
+            name,
+            str(address),
+            machine.sku,
+            machine.zone,
+            False,
+            self.cluster.workers,
+            self.mates,
+            self.describe,
+            self.fate,
+            self.now,
+        )
         core.rules = self
         self.workers[name] = core
         self.network.building = name
@@ -295,7 +313,7 @@
                 worker.end_session()
                 self.network.links.faults[f"gone {machine.id}"] = LinkFault(machine.id, "*", "lost")
 
-    def fate(self, name: str, _: Spec) -> Fate:
+    def fate(self, name: str, _: JobSpec) -> Fate:
         return Fate(self.specs[name.split("/")[0]]["_runs"])
 
     # ---- users -------------------------------------------------------------------------
@@ -351,7 +369,7 @@
         self.requested.add(id)
         response = await self._users(name, "POST", f"/v1/jobs/{id}/cancel", b"", USERS_WAIT_S)
         if self._heard(id, response, told) == wire.CANCELLED:
-            past = self.kept().get(Key(PAST + id))
+            past = self.kept().get(Key(FINAL_JOBS_PREFIX + id))
             if past is None or past.data["phase"] != wire.CANCELLED:
                 self.broken.append(f"{id} is called cancelled and was not committed")
             self.cancelled.setdefault(id, self.now)
@@ -371,7 +389,7 @@
         try:
             found: Response = await self.user.request(self.listen[name], method, target, body, wait)
             return found
-        except (NotSent, NoAnswer):
+        except (RequestNotSentError, NoResponseError):
             return None
 
     def known_by_all(self, seconds: float = KNOWN_S) -> None:
--- a/tests/graph_world.py
+++ b/tests/graph_world.py
@@ -11,11 +11,11 @@
 from traffic_recorder import note
 from world import SKUS, Worker, World
 
-from umberward.clients import state
-from umberward.core.types import Key, Stamp, WallTime
+from umberward.clients import state_client
+from umberward.core.types import Key, Version, WallTime
 from umberward.graphs import records, store
-from umberward.graphs.board import Board
-from umberward.graphs.gateway import Graphs
+from umberward.graphs.graph_api import GraphApi
+from umberward.graphs.graph_state import GraphState
 from umberward.graphs.model import GraphId, Options, Part, Shape, Task, job_id
 from umberward.graphs.records import GraphRecord
 from umberward.graphs.store import read_progress, read_tasks
@@ -29,8 +29,8 @@
 class GraphWorld(World):
     def __init__(self, raw: dict[str, Any] | None = None) -> None:
         super().__init__(raw)
-        self.store.lower = self.settings.platform.cluster.state.least()  # type: ignore[attr-defined]
-        self.board: Board | None = None
+        self.store.strictest_limits = self.settings.platform.cluster.state.strictest()  # type: ignore[attr-defined]
+        self.board: GraphState | None = None
         self.seen_graphs = 0
         self.shapes: dict[str, Shape] = {}
         self.arrays: dict[str, tuple[str, int]] = {}  # array -> graph, kind
@@ -43,10 +43,10 @@
 
     # ---- users -------------------------------------------------------------------------
 
-    def users_side(self) -> Graphs:
+    def users_side(self) -> GraphApi:
         """Any controller's: one that has kept nothing."""
         wall = lambda: WallTime(self.now)  # noqa: E731
-        return Graphs(self.settings, self.store, SKUS, wall, random.Random(3))  # type: ignore[arg-type]
+        return GraphApi(self.settings, self.store, SKUS, wall, random.Random(3))  # type: ignore[arg-type]
 
     def ask(self, method: str, path: str, body: Any = b"") -> Response:
         data = body if isinstance(body, bytes) else wire.encode(body)
@@ -70,8 +70,13 @@
         for kind in range(len(shape.kinds)):
             name = job_id(GraphId(id), kind)
             spec = shape.spec(GraphId(id), Options(team="red"), kind)
-            self.specs[name] = {**wire.builtins(spec), "same_place": False, "apart": False,
-                                "reclaimable": False, "_runs": runs}  # fmt: skip
+            self.specs[name] = {
+                **wire.to_builtins(spec),
+                "same_place": False,
+                "apart": False,
+                "reclaimable": False,
+                "_runs": runs,
+            }
             self.arrays[name] = (id, kind)
 
     def send(self, id: str, options: Options, tasks: list[Task], parts: int = 1) -> Response:
@@ -129,21 +134,21 @@
 
     def take_jobs(self) -> None:
         assert self.scheduler is not None
-        self.board = Board(self.scheduler)
+        self.board = GraphState(self.scheduler)
         for key, got in list(self.store.keys.items()):
             if key.startswith(records.LIVE):
-                self._put(key, got.data, got.stamp)
+                self._put(key, got.data, got.version)
         self.seen_graphs = self.store.revision
         super().take_jobs()
 
     def _put(self, key: str, data: Any, stamp: int) -> None:
         async def read() -> None:
             id = GraphId(key[len(records.LIVE) :])
-            record = wire.converted(data, GraphRecord)
+            record = wire.convert(data, GraphRecord)
             tasks = await read_tasks(self.store, id, record)  # type: ignore[arg-type]
             progress = await read_progress(self.store, id)  # type: ignore[arg-type]
             assert self.board is not None
-            self.board.put(id, record, Stamp(stamp), tasks, progress)
+            self.board.add(id, record, Version(stamp), tasks, progress)
 
         curio.run(read)
 
@@ -157,18 +162,22 @@
             news = self.store.core.news(records.LIVE, self.seen_graphs)
             self.seen_graphs = self.store.revision
             for change in news:
-                if change.delete is not None and change.delete.startswith(records.LIVE):
-                    self.board.gone(GraphId(change.delete[len(records.LIVE) :]))
-                elif change.write in self.store.keys and change.write.startswith(records.LIVE):
-                    self._put(change.write, change.data, change.stamp)
+                if change.deleted_key is not None and change.deleted_key.startswith(records.LIVE):
+                    self.board.remove(GraphId(change.deleted_key[len(records.LIVE) :]))
+                elif change.put_key in self.store.keys and change.put_key.startswith(records.LIVE):
+                    self._put(change.put_key, change.data, change.version)
         super()._step()
         if working and self.board is not None:
-            for end in self.board.ends():
+            for end in self.board.finished():
                 try:
                     curio.run(self.store.commit, end.conditions, end.writes)
-                except (state.Conflict, state.Unknown, state.Unavailable):
+                except (
+                    state_client.CompareAndSwapError,
+                    state_client.UnknownOutcomeError,
+                    state_client.StateUnavailableError,
+                ):
                     continue
-                self.board.gone(end.id)
+                self.board.remove(end.id)
 
     def clean(self, after_s: float) -> None:
         """The leader's cleaning, so much later."""
@@ -209,7 +218,7 @@
                     self.broken.append(f"{task} started after its graph's end")
         super().started(worker, name, attempt)
 
-    def fate(self, name: str, spec: wire.Spec) -> Fate:
+    def fate(self, name: str, spec: wire.JobSpec) -> Fate:
         found = self._task(name)
         if found is not None and (found[0], found[1]) in self.failing:
             return Fate(0.0, "error")
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -8,113 +8,114 @@
 
 import pytest
 
-from umberward.control import hints, holder, mirror, users
-from umberward.control.membership import Membership
-from umberward.control.mirror import Mirror
-from umberward.control.peers import Peers
-from umberward.control.users import Users
+from umberward.control import job_api, job_state_cache
+from umberward.control.job_api import JobApi
+from umberward.control.job_state_cache import JobStateCache
+from umberward.control.peer_link import PeerLink
 from umberward.core.types import JobId
-from umberward.decisions import (
-    blame,
-    choice,
-    hearing,
-    pipelines,
-    placement,
-    provision,
-    scheduler,
-    tending,
-    watch,
-)
-from umberward.decisions.blame import Blame
-from umberward.decisions.direct_starts import DirectStarts
-from umberward.decisions.fleet import Machine
-from umberward.decisions.gathering import Gathering
-from umberward.decisions.hearing import Hearing
-from umberward.decisions.jobs import Job
-from umberward.decisions.pipelines import NO_CLAIM, Graph, Pipelines
-from umberward.decisions.provision import Provisioner
-from umberward.decisions.quota import Quota
-from umberward.decisions.reports import Reports
-from umberward.decisions.scheduler import Scheduler
-from umberward.decisions.tending import Borrower, Bounds, Lender
-from umberward.decisions.thrift import Thrift
-from umberward.decisions.token_raises import TokenRaises
-from umberward.decisions.watch import Watch
-from umberward.decisions.writer import Writer
 from umberward.graphs import live
 from umberward.graphs.live import DagJob, LiveGraph
+from umberward.leader import failover_snapshot, leader_loop
+from umberward.leader.leader_election import LeaderElection
 from umberward.protocol.http import Client
-from umberward.protocol.wire import DONE, FinalRecord, JobRecord
+from umberward.protocol.wire import DONE, FinalJobRecord, JobRecord
+from umberward.scheduling import (
+    autoscaler,
+    best_fit,
+    dependencies,
+    failure_attribution,
+    failure_detector,
+    lease_delegation,
+    machine_selection,
+    reachability,
+    scheduler,
+)
+from umberward.scheduling.autoscaler import Autoscaler
+from umberward.scheduling.consolidation import Consolidation
+from umberward.scheduling.dependencies import NO_DEMAND, DependencyGraph, WaitingJobs
+from umberward.scheduling.failure_attribution import FailureAttribution
+from umberward.scheduling.failure_detector import FailureDetector
+from umberward.scheduling.gang_reservation import GangReservations
+from umberward.scheduling.heartbeats import HeartbeatHandler
+from umberward.scheduling.inflight_commands import InflightStarts
+from umberward.scheduling.jobs import Job
+from umberward.scheduling.lease_delegation import Delegate, Delegator, LeaseBounds
+from umberward.scheduling.machines import Machine
+from umberward.scheduling.quota import Quota
+from umberward.scheduling.reachability import Reachability
+from umberward.scheduling.scheduler import Scheduler
+from umberward.scheduling.state_writer import StateWriter
+from umberward.scheduling.token_rotation import TokenRotation
 
 Patch = Callable[[pytest.MonkeyPatch], None]
 
 
 def lease_wait(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(tending, "MARGIN_S", -8.0)
+    patch.setattr(lease_delegation, "LEASE_MARGIN_S", -8.0)
 
 
 def loan_bound(patch: pytest.MonkeyPatch) -> None:
-    def session_over(self: Lender, zone: Any, answered: Any, lent: Any, now: Any) -> bool:
+    def session_over(self: Delegator, zone: Any, answered: Any, lent: Any, now: Any) -> bool:
         return bool(now - answered > self.bounds.lease_s)
 
-    patch.setattr(Lender, "session_over", session_over)
+    patch.setattr(Delegator, "lease_expired", session_over)
 
 
 def loan_ends(patch: pytest.MonkeyPatch) -> None:
-    whole = Borrower.__init__
+    whole = Delegate.__init__
 
-    def init(self: Borrower, *args: Any) -> None:
+    def init(self: Delegate, *args: Any) -> None:
         whole(self, *args)
-        self.bounds.tend_s = 40.0
+        self.bounds.keepalive_s = 40.0
 
-    patch.setattr(Borrower, "__init__", init)
+    patch.setattr(Delegate, "__init__", init)
 
 
 def loan_age(patch: pytest.MonkeyPatch) -> None:
-    whole = Scheduler.lend
+    whole = Scheduler.delegate
 
     def lend(self: Scheduler, *args: Any) -> Any:
         loan = whole(self, *args)
-        loan.age = 0.0
+        loan.jobs_read_age_s = 0.0
         return loan
 
-    patch.setattr(Scheduler, "lend", lend)
+    patch.setattr(Scheduler, "delegate", lend)
 
 
 def loan_unused(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Borrower, "idle", False)
+    patch.setattr(Delegate, "unused", False)
 
 
 def loan_without_stops(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Machine, "stopping", False)
+    patch.setattr(Machine, "has_stopping_tasks", False)
 
 
 def zones_apart(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Watch, "_zones_apart", lambda *_: set())
+    patch.setattr(FailureDetector, "_find_cut_off_zones", lambda *_: set())
 
 
 def settle_first(patch: pytest.MonkeyPatch) -> None:
-    whole = Scheduler.load_done
+    whole = Scheduler.finish_loading
 
     def load_done(self: Scheduler) -> None:
         whole(self)
         self.all_settled = True
         for job in self.jobs.values():
-            job.settle()
+            job.requeue_unlocated()
 
-    patch.setattr(Scheduler, "load_done", load_done)
+    patch.setattr(Scheduler, "finish_loading", load_done)
 
 
 def settle_again(patch: pytest.MonkeyPatch) -> None:
-    whole = Scheduler.load_done
+    whole = Scheduler.finish_loading
 
     def load_done(self: Scheduler) -> None:
-        settled = [machine for machine in self.machines.values() if machine.settled]
+        settled = [machine for machine in self.machines.values() if machine.reconciled]
         whole(self)
         for machine in settled:
-            machine.settled = True
+            machine.reconciled = True
 
-    patch.setattr(Scheduler, "load_done", load_done)
+    patch.setattr(Scheduler, "finish_loading", load_done)
 
 
 def token_first(patch: pytest.MonkeyPatch) -> None:
@@ -122,30 +123,30 @@
 
     def init(self: Scheduler, *args: Any) -> None:
         whole(self, *args)
-        self.term = 0  # type: ignore[assignment]
+        self.term_token = 0  # type: ignore[assignment]
 
     patch.setattr(Scheduler, "__init__", init)
 
 
 def forget_after_commit(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Job, "is_saved", lambda self, index: True)
+    patch.setattr(Job, "is_completion_stored", lambda self, index: True)
 
 
 def unanswered_start(patch: pytest.MonkeyPatch) -> None:
-    whole = Scheduler.commanded
+    whole = Scheduler.command_completed
 
     def commanded(self: Scheduler, command: Any, report: Any, unknown: bool, now: Any) -> None:
         whole(self, command, report, False, now)
 
-    patch.setattr(Scheduler, "commanded", commanded)
+    patch.setattr(Scheduler, "command_completed", commanded)
 
 
 def quota_room(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Quota, "room", lambda *_: 1000)
+    patch.setattr(Quota, "tasks_within_limit", lambda *_: 1000)
 
 
 def quota_unsure(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Scheduler, "_unsure_usage", lambda _: {})
+    patch.setattr(Scheduler, "_unlocated_usage", lambda _: {})
 
 
 def allowed(patch: pytest.MonkeyPatch) -> None:
@@ -154,9 +155,9 @@
 
 def apart(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        choice,
+        machine_selection,
         "best_fit",
-        lambda need, count, rooms, distinct, left=None: placement.best_fit(
+        lambda need, count, rooms, distinct, left=None: best_fit.best_fit(
             need, count, rooms, distinct
         ),
     )
@@ -164,18 +165,18 @@
 
 def same_place(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        choice,
+        machine_selection,
         "_choose_zone",
-        lambda job, count, rooms, taken: placement.best_fit(job.need, count, rooms, 1),
+        lambda job, count, rooms, taken: best_fit.best_fit(job.need, count, rooms, 1),
     )
 
 
 def kill_cancelled(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Scheduler, "job_gone", lambda *_: None)
+    patch.setattr(Scheduler, "remove_job", lambda *_: None)
 
 
 def complete_first(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Job, "complete", property(lambda self: self.done >= self.size - 1))
+    patch.setattr(Job, "complete", property(lambda self: self.done_count >= self.size - 1))
 
 
 def standing(patch: pytest.MonkeyPatch) -> None:
@@ -183,34 +184,34 @@
 
 
 def past_lookup(patch: pytest.MonkeyPatch) -> None:
-    async def state(self: Mirror, id: Any, urgent: bool = False) -> Any:
+    async def state(self: JobStateCache, id: Any, urgent: bool = False) -> Any:
         await self._refresh()
         return self.live.get(id)
 
-    patch.setattr(Mirror, "state", state)
-    patch.setattr(Mirror, "keep", lambda self, id, final: None)
+    patch.setattr(JobStateCache, "state", state)
+    patch.setattr(JobStateCache, "keep_final", lambda self, id, final: None)
 
 
 def known_first(patch: pytest.MonkeyPatch) -> None:
     """Every job is taken for one that was submitted."""
 
-    async def known(self: Users, id: Any, urgent: bool = True) -> Any:
-        return users._state(id or JobId("req-0"), "pending", 0)
+    async def known(self: JobApi, id: Any, urgent: bool = True) -> Any:
+        return job_api._state_response(id or JobId("req-0"), "pending", 0)
 
-    patch.setattr(Users, "_known", known)
+    patch.setattr(JobApi, "_known_response", known)
 
 
 def mark_first(patch: pytest.MonkeyPatch) -> None:
-    def job_marked(self: Writer, batch: Any, *_: Any) -> list[Any]:
+    def job_marked(self: StateWriter, batch: Any, *_: Any) -> list[Any]:
         # The start goes out, but its mark never reaches the state service.
-        for job, record in batch.jobs:
-            job.marked = record.marked
-            self.marked(job)
+        for job, record in batch.job_records:
+            job.placed_below = record.placed_below
+            self.send_stored_starts(job)
         for number, hosts in batch.blocks:
-            self.block_stored(number, set(hosts))  # type: ignore[arg-type]
+            self.block_written(number, set(hosts))  # type: ignore[arg-type]
         return []
 
-    patch.setattr(Writer, "committed", job_marked)
+    patch.setattr(StateWriter, "transaction_committed", job_marked)
 
     from world import FakeState
 
@@ -229,26 +230,26 @@
 
 
 def fresh_answers(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(mirror, "STALE_S", 1e9)
+    patch.setattr(job_state_cache, "MAX_STALENESS_S", 1e9)
 
 
 def absent_known(patch: pytest.MonkeyPatch) -> None:
-    async def state(self: Mirror, id: Any, urgent: bool = False) -> Any:
+    async def state(self: JobStateCache, id: Any, urgent: bool = False) -> Any:
         self.absent.clear()
         return await whole(self, id)
 
-    whole = Mirror.state
-    patch.setattr(Mirror, "state", state)
+    whole = JobStateCache.state
+    patch.setattr(JobStateCache, "state", state)
 
 
 def look_up_first(patch: pytest.MonkeyPatch) -> None:
     """As it was: the mark of a look-up under way is taken for its outcome."""
 
-    async def found(self: Mirror, id: Any) -> Any:
+    async def found(self: JobStateCache, id: Any) -> Any:
         known = self.finals.get(id) or self.live.get(id)
-        return await self._past(id) if known is None and id not in self.absent else known
+        return await self._lookup_stored(id) if known is None and id not in self.absent else known
 
-    patch.setattr(Mirror, "_found", found)
+    patch.setattr(JobStateCache, "_lookup", found)
 
 
 def ask_again(patch: pytest.MonkeyPatch) -> None:
@@ -261,46 +262,48 @@
 
 
 def blame_jobs(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(blame, "MISTAKEN_AFTER", 1 << 30)
+    patch.setattr(failure_attribution, "FAULTY_JOB_AFTER_MACHINES", 1 << 30)
 
 
 def blame_undone(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Blame, "_clear", lambda *_: None)
+    patch.setattr(FailureAttribution, "_exonerate", lambda *_: None)
 
 
 def ever_rarer(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Blame, "_hold", lambda *_: None)
+    patch.setattr(FailureAttribution, "_delay_retry", lambda *_: None)
 
 
 def hints_kept(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(hints, "recall", lambda *_: None)
+    patch.setattr(failover_snapshot, "restore_snapshot", lambda *_: None)
 
 
 def deaf(patch: pytest.MonkeyPatch) -> None:
     # As it was: any machine that is heard speaks for our own ears.
-    patch.setattr(Watch, "deaf", lambda *_: False)
-    patch.setattr(watch, "DEAF_MARGIN_S", 4.0)
+    patch.setattr(FailureDetector, "hears_nothing", lambda *_: False)
+    patch.setattr(failure_detector, "HEARTBEAT_MARGIN_S", 4.0)
 
 
 def few_at_once(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(watch, "FEW_PART", 1.0)
+    patch.setattr(failure_detector, "INDEPENDENT_FAILURE_SHARE", 1.0)
 
 
 def graph_needs(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(LiveGraph, "is_ready", lambda *_: True)
-    patch.setattr(DagJob, "settle", lambda self: self.again.extend(range(self.size)))
+    patch.setattr(
+        DagJob, "requeue_unlocated", lambda self: self.requeued_tasks.extend(range(self.size))
+    )
 
 
 def graph_machines_cleared(patch: pytest.MonkeyPatch) -> None:
     """Failures of a task that fails everywhere count against machines."""
-    patch.setattr(DagJob, "excused", lambda *_: False)
-    patch.setattr(blame, "SICK_AFTER", 1)
+    patch.setattr(DagJob, "failure_excused", lambda *_: False)
+    patch.setattr(failure_attribution, "QUARANTINE_AFTER_FAILURES", 1)
 
 
 def graph_excused(patch: pytest.MonkeyPatch) -> None:
     """Failures count against their task, whatever is known of their machines."""
-    patch.setattr(DagJob, "_used", lambda self, index: len(self.tries[index]))
-    patch.setattr(live, "GRANTS", 0)
+    patch.setattr(DagJob, "_used", lambda self, index: len(self.failed_attempts[index]))
+    patch.setattr(live, "EXTRA_ATTEMPTS", 0)
 
 
 def graph_inferred(patch: pytest.MonkeyPatch) -> None:
@@ -308,124 +311,126 @@
 
 
 def needs_first(patch: pytest.MonkeyPatch) -> None:
-    def add(self: Pipelines, job: Job, needs: Any) -> None:
-        self.cluster.admit(job)
+    def add(self: WaitingJobs, job: Job, needs: Any) -> None:
+        self.cluster.admit_job(job)
 
-    patch.setattr(Pipelines, "add", add)
+    patch.setattr(WaitingJobs, "add", add)
 
 
 def commit_first(patch: pytest.MonkeyPatch) -> None:
     """A report that a job is done is enough for those after it."""
-    whole = Writer.completions
+    whole = StateWriter.note_completions
 
-    def completions(self: Writer, job: Job) -> None:
+    def completions(self: StateWriter, job: Job) -> None:
         whole(self, job)
         if job.complete:
-            self.cluster.job_ended(job.id, FinalRecord(DONE), self.cluster.wall())
+            self.cluster.apply_job_end(job.id, FinalJobRecord(DONE), self.cluster.wall())
 
-    patch.setattr(Writer, "completions", completions)
+    patch.setattr(StateWriter, "note_completions", completions)
 
 
 def derived(patch: pytest.MonkeyPatch) -> None:
     """A job is called cancelled only when its own record says so."""
-    patch.setattr(Graph, "hazy", lambda *_: set())
-    whole = Mirror._found
+    patch.setattr(DependencyGraph, "unresolved", lambda *_: set())
+    whole = JobStateCache._lookup
 
-    async def found(self: Mirror, id: Any) -> Any:
+    async def found(self: JobStateCache, id: Any) -> Any:
         return self.finals.get(id) or self.live.get(id) or await whole(self, id)
 
-    patch.setattr(Mirror, "_found", found)
+    patch.setattr(JobStateCache, "_lookup", found)
 
 
 def claims(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Pipelines, "claim", lambda *_: NO_CLAIM)
-    patch.setattr(pipelines, "HABIT_SHARE", 2.0)
+    patch.setattr(WaitingJobs, "demand_on", lambda *_: NO_DEMAND)
+    patch.setattr(dependencies, "EXPECTED_DEMAND_SHARE", 2.0)
 
 
 def part_in_order(patch: pytest.MonkeyPatch) -> None:
     """A block that machines leave is written like any other."""
-    whole = Writer._part
+    whole = StateWriter._split_block
 
-    def part(self: Writer, number: int) -> None:
+    def part(self: StateWriter, number: int) -> None:
         whole(self, number)
-        self.leaving.clear()
+        self.machines_moving_out.clear()
 
-    patch.setattr(Writer, "_part", part)
+    patch.setattr(StateWriter, "_split_block", part)
 
 
 def rarer_passes(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(holder, "SLOW_PART", 0.0)
+    patch.setattr(leader_loop, "SLOW_PASS_PAUSE_RATIO", 0.0)
 
 
 def habits(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(pipelines, "HABIT_SHARE", 2.0)
+    patch.setattr(dependencies, "EXPECTED_DEMAND_SHARE", 2.0)
 
 
 def fits(patch: pytest.MonkeyPatch) -> None:
     def record(self: Job, marked: int) -> JobRecord:
-        return JobRecord(self.spec, self.at, marked, self.base, f"{self.bits:x}")
+        return JobRecord(
+            self.spec, self.submitted_at, marked, self.done_below, f"{self.done_bitmap:x}"
+        )
 
-    patch.setattr(Job, "record", record)
+    patch.setattr(Job, "build_record", record)
 
 
 def thrift(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Thrift, "move", lambda *_: None)
+    patch.setattr(Consolidation, "consolidate", lambda *_: None)
 
 
 def _answered_stays(patch: pytest.MonkeyPatch, when: Callable[..., bool]) -> None:
     """When the report of a worker whose lease is known is taken in, and `when` says so of the
     machine before and after, the moment from which its lease is counted stays as it was."""
-    whole = Reports.report
+    whole = HeartbeatHandler.apply
 
-    def report(self: Reports, report: Any, now: Any, hello: bool) -> Any:
-        machine = self.cluster.machines.get(report.host)
+    def report(self: HeartbeatHandler, report: Any, now: Any, hello: bool) -> Any:
+        machine = self.cluster.machines.get(report.machine_id)
         before = None if machine is None else copy.copy(machine)
         orders = whole(self, report, now, hello)
-        if machine and before and before.answered is not None and when(before, machine, report):
-            machine.answered = before.answered
+        if machine and before and before.answered_at is not None and when(before, machine, report):
+            machine.answered_at = before.answered_at
         return orders
 
-    patch.setattr(Reports, "report", report)
+    patch.setattr(HeartbeatHandler, "apply", report)
 
 
 def session_anew(patch: pytest.MonkeyPatch) -> None:
-    _answered_stays(patch, lambda before, after, _: before.tenure < after.tenure)
+    _answered_stays(patch, lambda before, after, _: before.incarnation < after.incarnation)
 
 
 def settled_answered(patch: pytest.MonkeyPatch) -> None:
-    _answered_stays(patch, lambda before, after, _: after.settled and not before.settled)
+    _answered_stays(patch, lambda before, after, _: after.reconciled and not before.reconciled)
 
 
 def overtaken_answered(patch: pytest.MonkeyPatch) -> None:
-    _answered_stays(patch, lambda before, _, report: report.serial <= before.serial)
+    _answered_stays(patch, lambda before, _, report: report.sequence <= before.sequence)
 
 
 def asked_first(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(watch, "ASKED_S", -1.0)
+    patch.setattr(failure_detector, "PROBE_WAIT_S", -1.0)
 
 
 def readable_or_known(patch: pytest.MonkeyPatch) -> None:
-    whole = Mirror._live
+    whole = JobStateCache._apply_live
 
-    def _live(self: Mirror, path: str, data: Any) -> None:
+    def _live(self: JobStateCache, path: str, data: Any) -> None:
         if isinstance(data.get("spec"), dict):
             whole(self, path, data)
         else:
             self.live.pop(JobId(path.rpartition("/")[2]), None)
 
-    patch.setattr(Mirror, "_live", _live)
+    patch.setattr(JobStateCache, "_apply_live", _live)
 
 
 def read_of_its_own(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(mirror, "LISTED_S", 1e9)
+    patch.setattr(job_state_cache, "RECENT_LISTING_S", 1e9)
 
 
 def swept(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Scheduler, "swept", lambda *_: [])
+    patch.setattr(Scheduler, "find_unknown_jobs", lambda *_: [])
 
 
 def mended(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Job, "lost_tasks", lambda _: 0)
+    patch.setattr(Job, "count_lost_tasks", lambda _: 0)
 
 
 def pass_alone(patch: pytest.MonkeyPatch) -> None:
@@ -444,63 +449,63 @@
 
 
 def no_gathering(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Gathering, "look", lambda *_: None)
+    patch.setattr(GangReservations, "update", lambda *_: None)
 
 
 def gathers_what_fits(patch: pytest.MonkeyPatch) -> None:
     """Whatever could be of use is held back, for a gang that needs more than there is."""
-    whole = Gathering.denied
+    whole = GangReservations.denied_machines
 
-    def denied(self: Gathering, job: Job) -> set[Any]:
+    def denied(self: GangReservations, job: Job) -> set[Any]:
         first = next(iter(self.cluster.jobs.values()))
         long = [j for j in self.cluster.jobs.values() if j.gang and j.size > 1]
         if long and job is not long[0] and self.cluster.wall() - long[0].ready_at > 48.0:
             return set(self.cluster.machines)
         return whole(self, job) if first else set()
 
-    patch.setattr(Gathering, "denied", denied)
+    patch.setattr(GangReservations, "denied_machines", denied)
 
 
 def gathered_room_is_used(patch: pytest.MonkeyPatch) -> None:
-    def denied(self: Gathering, job: Job) -> set[Any]:
-        return {id for id, (owner, _) in self.held.items() if owner is not job}
+    def denied(self: GangReservations, job: Job) -> set[Any]:
+        return {id for id, (owner, _) in self.reserved.items() if owner is not job}
 
-    patch.setattr(Gathering, "denied", denied)
+    patch.setattr(GangReservations, "denied_machines", denied)
 
 
 def hearing_off(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Machine, "deaf", False)
+    patch.setattr(Machine, "unreachable", False)
 
 
 def given_up(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Hearing, "given_up", lambda *_: [])
+    patch.setattr(Reachability, "machines_to_return", lambda *_: [])
 
 
 def returned_anew(patch: pytest.MonkeyPatch) -> None:
-    def returned(self: Hearing, machine: Machine, now: Any) -> None:
-        self.doubt(machine, now, sure=True)
+    def returned(self: Reachability, machine: Machine, now: Any) -> None:
+        self.suspect(machine, now, sure=True)
 
-    patch.setattr(Hearing, "returned", returned)
-    patch.setattr(hearing, "AT_ONCE_S", 1e9)
+    patch.setattr(Reachability, "heard_after_silence", returned)
+    patch.setattr(reachability, "PROMPT_PROBE_S", 1e9)
 
 
 def many_unheard(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Hearing, "many", lambda _: False)
+    patch.setattr(Reachability, "many_unreachable", lambda _: False)
 
 
 def half_gangs(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Hearing, "_free_gangs", lambda *_: None)
+    patch.setattr(Reachability, "_stop_waiting_gangs", lambda *_: None)
 
 
 def copies_known(patch: pytest.MonkeyPatch) -> None:
     """A report that was answered before renews the lease as the first did."""
-    whole = Reports._copy
+    whole = HeartbeatHandler._count_duplicate
 
-    def _copy(self: Reports, machine: Machine, report: Any, now: Any) -> None:
-        machine.answered = now
+    def _copy(self: HeartbeatHandler, machine: Machine, report: Any, now: Any) -> None:
+        machine.answered_at = now
         whole(self, machine, report, now)
 
-    patch.setattr(Reports, "_copy", _copy)
+    patch.setattr(HeartbeatHandler, "_count_duplicate", _copy)
 
 
 def confirmed(patch: pytest.MonkeyPatch) -> None:
@@ -508,138 +513,138 @@
 
 
 def cheap_only(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(scheduler, "patient", lambda *_: {})
-    patch.setattr(provision, "patient", lambda *_: {})
+    patch.setattr(scheduler, "jobs_limited_to_affordable", lambda *_: {})
+    patch.setattr(autoscaler, "jobs_limited_to_affordable", lambda *_: {})
 
 
 def one_zone(patch: pytest.MonkeyPatch) -> None:
-    def anywhere(self: Provisioner, job: Job, count: int, virtual: Any, *_: Any) -> None:
+    def anywhere(self: Autoscaler, job: Job, count: int, virtual: Any, *_: Any) -> None:
         """As if room in any zone were room for it."""
 
-    patch.setattr(Provisioner, "_for_gang", anywhere)
+    patch.setattr(Autoscaler, "_scale_out_for_gang", anywhere)
 
 
 def knows_cancellations(patch: pytest.MonkeyPatch) -> None:
     """As if a granted renewal proved that nothing unknown was cancelled."""
 
-    def may_answer(self: Bounds, known: Any, held: Any, now: Any) -> bool:
-        return known is not None and now < held + self.tend_s
+    def may_answer(self: LeaseBounds, known: Any, held: Any, now: Any) -> bool:
+        return known is not None and now < held + self.keepalive_s
 
-    patch.setattr(Bounds, "may_answer", may_answer)
+    patch.setattr(LeaseBounds, "may_answer", may_answer)
 
 
 def fresh_knows_nothing(patch: pytest.MonkeyPatch) -> None:
-    whole = Membership.may_answer
+    whole = LeaderElection.may_answer
 
-    def may_answer(self: Membership, known: Any) -> bool:
-        return whole(self, self.good if known is None else known)
+    def may_answer(self: LeaderElection, known: Any) -> bool:
+        return whole(self, self.renewed_at if known is None else known)
 
-    patch.setattr(Membership, "may_answer", may_answer)
+    patch.setattr(LeaderElection, "may_answer", may_answer)
 
 
 def tending_ends(patch: pytest.MonkeyPatch) -> None:
-    whole = Bounds.__init__
+    whole = LeaseBounds.__init__
 
-    def init(self: Bounds, workers: Any) -> None:
+    def init(self: LeaseBounds, workers: Any) -> None:
         whole(self, workers)
-        self.tend_s = 60.0
+        self.keepalive_s = 60.0
 
-    patch.setattr(Bounds, "__init__", init)
+    patch.setattr(LeaseBounds, "__init__", init)
 
 
 def lease_let_go(patch: pytest.MonkeyPatch) -> None:
     """Whoever gives up its term goes on renewing the lease that carries its key."""
 
-    def _let_go(self: Membership) -> None:
+    def _let_go(self: LeaderElection) -> None:
         self.nonce = ""
 
-    patch.setattr(Membership, "_let_go", _let_go)
+    patch.setattr(LeaderElection, "_abandon_lease", _let_go)
 
 
 def longest_bound(patch: pytest.MonkeyPatch) -> None:
     """A new leader waits as long as a session lasts that its former holder does not tend."""
-    whole = Bounds.__init__
+    whole = LeaseBounds.__init__
 
-    def init(self: Bounds, workers: Any) -> None:
+    def init(self: LeaseBounds, workers: Any) -> None:
         whole(self, workers)
         self.takeover_s = self.lease_s
 
-    patch.setattr(Bounds, "__init__", init)
+    patch.setattr(LeaseBounds, "__init__", init)
 
 
 def gang_done_together(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Job, "done_with", lambda self, index: (index,))
+    patch.setattr(Job, "completed_with", lambda self, index: (index,))
 
 
 def late_start(patch: pytest.MonkeyPatch) -> None:
     """A start counts as over until its answer is given up."""
 
-    def may_arrive(self: DirectStarts, task: Any, attempt: Any) -> bool:
+    def may_arrive(self: InflightStarts, task: Any, attempt: Any) -> bool:
         starts = self._starts.get((task, attempt))
-        return starts is not None and starts.given_up_under is not None
+        return starts is not None and starts.timed_out_token is not None
 
-    patch.setattr(DirectStarts, "may_arrive", may_arrive)
+    patch.setattr(InflightStarts, "may_arrive", may_arrive)
 
 
 def exited_raise(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(TokenRaises, "exited_unforgotten", lambda *_: None)
+    patch.setattr(TokenRotation, "unforgotten_exit", lambda *_: None)
 
 
 def unwanted_start(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Scheduler, "unwanted_start", lambda *_: False)
+    patch.setattr(Scheduler, "has_unwanted_start", lambda *_: False)
 
 
 def cancelled_use(patch: pytest.MonkeyPatch) -> None:
     """As it was: what is not live uses nothing, unless this leader has placed it."""
-    patch.setattr(Scheduler, "remain", lambda *_: None)
-    whole = Scheduler.job_gone
+    patch.setattr(Scheduler, "count_remaining", lambda *_: None)
+    whole = Scheduler.remove_job
 
     def job_gone(self: Scheduler, id: Any) -> None:
         whole(self, id)
-        self.cancelled.clear()
+        self.cancelled_jobs.clear()
 
-    patch.setattr(Scheduler, "job_gone", job_gone)
+    patch.setattr(Scheduler, "remove_job", job_gone)
 
 
 def asked_anew(patch: pytest.MonkeyPatch) -> None:
     """Who asks shortly after somebody else gets what was read for that one."""
-    whole = Mirror.state
+    whole = JobStateCache.state
 
-    async def state(self: Mirror, id: Any, urgent: bool = False) -> Any:
+    async def state(self: JobStateCache, id: Any, urgent: bool = False) -> Any:
         known = self.finals.get(id) or self.live.get(id)
-        if known is not None and self.clock() - self.read_at <= mirror.STALE_S:
+        if known is not None and self.clock() - self.read_at <= job_state_cache.MAX_STALENESS_S:
             return known
         return await whole(self, id, urgent)
 
-    patch.setattr(Mirror, "state", state)
+    patch.setattr(JobStateCache, "state", state)
 
 
 def block_first(patch: pytest.MonkeyPatch) -> None:
     """A machine is given work before its name stands in a block."""
-    whole = Reports.report
+    whole = HeartbeatHandler.apply
 
-    def report(self: Reports, report: Any, now: Any, hello: bool) -> Any:
+    def report(self: HeartbeatHandler, report: Any, now: Any, hello: bool) -> Any:
         orders = whole(self, report, now, hello)
-        machine = self.cluster.machines.get(report.host)
-        if machine is not None and machine.settled and machine.block is None:
+        machine = self.cluster.machines.get(report.machine_id)
+        if machine is not None and machine.reconciled and machine.block is None:
             machine.block = -1
-            machine.touched()
+            machine.availability_changed()
         return orders
 
-    patch.setattr(Reports, "report", report)
+    patch.setattr(HeartbeatHandler, "apply", report)
 
 
 def mute_unnoticed(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Hearing, "reports_not", lambda *_: None)
+    patch.setattr(Reachability, "heartbeats_missing", lambda *_: None)
 
 
 def starts_known(patch: pytest.MonkeyPatch) -> None:
     """As if the lease alone were enough to start something."""
-    patch.setattr(Bounds, "may_start", lambda *_: True)
+    patch.setattr(LeaseBounds, "may_start", lambda *_: True)
 
 
 def tells_others(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Peers, "announce", lambda *_: None)
+    patch.setattr(PeerLink, "announce", lambda *_: None)
 
 
 GUARDS: dict[str, Patch] = {
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -39,8 +39,9 @@
     known = read(config.rootpath / FILE)
     by_name = {item.nodeid: item for item in items}
     whole = not (config.option.keyword or config.option.markexpr) and config.args_source.name in (
-        "TESTPATHS", "INVOCATION_DIR",
-    )  # fmt: skip
+        "TESTPATHS",
+        "INVOCATION_DIR",
+    )
     for one in known:
         item = by_name.get(one.test)
         if item is not None:
--- a/tests/network.py
+++ b/tests/network.py
@@ -22,7 +22,7 @@
 from umberward.core.tasks import TaskScope
 from umberward.core.types import Address
 from umberward.local.links import Links
-from umberward.protocol.http import Handler, NoAnswer, NotSent, Request, Response
+from umberward.protocol.http import Handler, NoResponseError, Request, RequestNotSentError, Response
 
 TRIP_S = 0.001
 MOST_KEPT = 60
@@ -116,17 +116,23 @@
         self.ended = False  # its process is
 
     async def request(
-        self, address: Address, method: str, target: str, body: bytes = b"", timeout: float = 2.0,
-        fresh: bool = False, still: Callable[[], bool] | None = None,
-    ) -> Response:  # fmt: skip
+        self,
+        address: Address,
+        method: str,
+        target: str,
+        body: bytes = b"",
+        timeout: float = 2.0,
+        fresh: bool = False,
+        still: Callable[[], bool] | None = None,
+    ) -> Response:
         network = self.network
         there = network.owners.get(address, "nobody")
         path, _, query = target.partition("?")
         if address not in network.serving or network.links.refuses(self.owner, there, target):
             await curio.sleep(TRIP_S)
-            raise NotSent(f"{address}: refused")
+            raise RequestNotSentError(f"{address}: refused")
         if self.ended or still is not None and not still():
-            raise NotSent(f"{method} {address}: no longer ours to say")
+            raise RequestNotSentError(f"{method} {address}: no longer ours to say")
         sent = network.clock()
         note(self.owner, there, method, target, body, sent)
         answered = curio.Event()
@@ -156,7 +162,7 @@
             await network.messages.spawn(self._copy, address, Request(method, path, query, body))
         await curio.ignore_after(timeout, answered.wait)
         if not answers:
-            raise NoAnswer(f"{method} {address}: no answer")
+            raise NoResponseError(f"{method} {address}: no answer")
         return answers[0]
 
     async def _copy(self, address: Address, request: Request) -> None:
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from umberward.core.settings import Cluster
-from umberward.core.types import NOTHING, Amount, Key
+from umberward.core.settings import ClusterSettings
+from umberward.core.types import NO_RESOURCES, Key, Resources
 from umberward.local.workercore import Fate, Mates, WorkerCore
 from umberward.protocol import wire
-from umberward.protocol.changes import Got
 from umberward.protocol.http import Response
-from umberward.protocol.wire import LIVE, PAST, Sku, Spec
+from umberward.protocol.transactions import VersionedValue
+from umberward.protocol.wire import FINAL_JOBS_PREFIX, LIVE_JOBS_PREFIX, JobSpec, MachineType
 
 LEFT_WAITING_S = 90.0  # troubles over, nobody waits so long beside a machine with room
 UNTOLD_S = 3.5  # a leader that can't be told of a cancellation starts nothing for longer than this
@@ -35,13 +35,13 @@
     # Whether no completion gets lost before it is stored; else its task may run once more.
     done_stays = True
 
-    def __init__(self, cluster: Cluster, skus: Iterable[Sku] = ()) -> None:
+    def __init__(self, cluster: ClusterSettings, skus: Iterable[MachineType] = ()) -> None:
         self.cluster = cluster
         self.skus = list(skus)
         self.workers: dict[str, WorkerCore] = {}
         self.specs: dict[str, dict[str, Any]] = {}
         self.mates = Mates()
-        self.described: dict[str, Spec] = {}
+        self.described: dict[str, JobSpec] = {}
         self.cancelled: dict[str, float] = {}
         self.ended: dict[str, str] = {}
         self.broken: list[str] = []
@@ -57,7 +57,7 @@
         self.calm_since: float | None = None  # since when there is no trouble any more
         self.waits_since: dict[str, float] = {}  # jobs that wait beside a machine with room
 
-    def kept(self) -> Mapping[Key, Got]:
+    def kept(self) -> Mapping[Key, VersionedValue]:
         """What stands in the state service."""
         raise NotImplementedError
 
@@ -107,7 +107,7 @@
 
     def unfit(self, spec: dict[str, Any]) -> str:
         """Why the job can't run; empty: it can."""
-        for field in Spec.__struct_fields__:
+        for field in JobSpec.__struct_encode_fields__:
             if field not in ("flavors", "yard", "due_s", "waits_on") and field not in spec:
                 return f"it lacks {field}"
         for field in ("shards", "cores", "accelerators", "mem_gb", "pull_gb", "expect_s"):
@@ -125,8 +125,8 @@
             if spec["cores"] <= sku.cores
             and spec["accelerators"] <= sku.accelerators
             and spec["mem_gb"] <= sku.mem_gb
-            and (spec.get("flavors") is None or sku.sku in spec["flavors"])
-            and (spec.get("yard") is None or spec["yard"] in sku.yards)
+            and (spec.get("flavors") is None or sku.name in spec["flavors"])
+            and (spec.get("yard") is None or spec["yard"] in sku.zones)
         ]
         if not fits:
             return "it fits no machine"
@@ -138,17 +138,17 @@
 
     # ---- what workers do ---------------------------------------------------------------
 
-    def describe(self, job: str) -> Spec | None:
+    def describe(self, job: str) -> JobSpec | None:
         """A job's description, as its user has uploaded it."""
         if job not in self.described and job in self.specs:
-            known = Spec.__struct_fields__
+            known = JobSpec.__struct_encode_fields__
             plain = {name: value for name, value in self.specs[job].items() if name in known}
             # Here images are at hand, and what is saved is another matter.
             plain["pull_gb"] = 0.0
-            self.described[job] = wire.converted(plain, Spec)
+            self.described[job] = wire.convert(plain, JobSpec)
         return self.described.get(job)
 
-    def fate(self, name: str, _: Spec) -> Fate:
+    def fate(self, name: str, _: JobSpec) -> Fate:
         spec = self.specs[name.split("/")[0]]
         if spec.get("_mistaken"):
             return Fate(0.0, "error")
@@ -171,7 +171,7 @@
         self.attempts.add(started)
         self.began.setdefault(id, self.now - self.submitted.get(id, self.now))
         for need in spec.get("waits_on") or ():
-            past = self.kept().get(Key(PAST + need))
+            past = self.kept().get(Key(FINAL_JOBS_PREFIX + need))
             if past is None or past.data["phase"] != wire.DONE:
                 self.broken.append(f"too_early: {name} started before {need} was done")
         for other in self.workers.values():
@@ -195,8 +195,8 @@
             for t in w.alive.values()
             if t.name.split("/")[0] == id and not self.gone(w)
         ]
-        if spec.get("flavors") and worker.sku.sku not in spec["flavors"]:
-            self.broken.append(f"wrong_place: {name} on a {worker.sku.sku}")
+        if spec.get("flavors") and worker.sku.name not in spec["flavors"]:
+            self.broken.append(f"wrong_place: {name} on a {worker.sku.name}")
         if spec.get("yard") and worker.zone != spec["yard"]:
             self.broken.append(f"wrong_place: {name} in {worker.zone}")
         if worker.spot and not spec["reclaimable"]:
@@ -219,15 +219,15 @@
         """Whether its machine hangs."""
         return False
 
-    def used(self) -> dict[str, Amount]:
+    def used(self) -> dict[str, Resources]:
         """By teams: what is on machines."""
-        found: dict[str, Amount] = {}
+        found: dict[str, Resources] = {}
         for worker in self.workers.values():
             if not self.gone(worker):
                 for name in worker.alive:
                     spec = self.specs[name.split("/")[0]]
-                    need = Amount(spec["cores"], spec["accelerators"], spec["mem_gb"])
-                    found[spec["owner"]] = found.get(spec["owner"], NOTHING).plus(need)
+                    need = Resources(spec["cores"], spec["accelerators"], spec["mem_gb"])
+                    found[spec["owner"]] = found.get(spec["owner"], NO_RESOURCES).plus(need)
         return found
 
     def check_now(self) -> None:
@@ -239,28 +239,28 @@
                         self.broken.append(f"ran_cancelled: {name}")
         used = self.used()
         for team in self.cluster.teams:
-            cores, accelerators, _ = used.get(team.name, NOTHING)
+            cores, accelerators, _ = used.get(team.name, NO_RESOURCES)
             if 0 < team.cpus_max < cores - 1e-6:
                 self.broken.append(f"quota: {team.name} uses {cores} cores")
             if 0 < team.gpus_max < accelerators - 1e-6:
                 self.broken.append(f"quota: {team.name} uses {accelerators} accelerators")
         self._check_waiting(used)
         for key in self.kept():
-            if key.startswith(PAST) and self.kept()[key].data["phase"] == wire.DONE:
-                spec = self.specs.get(key[len(PAST) :])
+            if key.startswith(FINAL_JOBS_PREFIX) and self.kept()[key].data["phase"] == wire.DONE:
+                spec = self.specs.get(key[len(FINAL_JOBS_PREFIX) :])
                 if spec is None:
                     continue  # a record that the scenario wrote itself
                 if len(spec.get("_done", ())) < spec["shards"] and spec["shape"] != wire.GANG:
                     self.broken.append(f"not_done: {spec['uid']}")
 
-    def _check_waiting(self, used: dict[str, Amount]) -> None:
+    def _check_waiting(self, used: dict[str, Resources]) -> None:
         """Troubles over, no array or service waits long beside a machine that could take it."""
         if self.calm_since is None:
             self.waits_since.clear()
             return
         for key in self.kept():
-            id = key[len(LIVE) :]
-            if not key.startswith(LIVE) or id not in self.specs:
+            id = key[len(LIVE_JOBS_PREFIX) :]
+            if not key.startswith(LIVE_JOBS_PREFIX) or id not in self.specs:
                 continue
             spec = self.specs[id]
             left = spec["shards"] - len(spec.get("_done", ())) - len(self.running(id))
@@ -272,16 +272,16 @@
             else:
                 self.waits_since.pop(id, None)
 
-    def _has_room(self, spec: dict[str, Any], used: dict[str, Amount]) -> bool:
-        need = Amount(spec["cores"], spec["accelerators"], spec["mem_gb"])
+    def _has_room(self, spec: dict[str, Any], used: dict[str, Resources]) -> bool:
+        need = Resources(spec["cores"], spec["accelerators"], spec["mem_gb"])
         team = next(team for team in self.cluster.teams if team.name == spec["owner"])
-        then = used.get(team.name, NOTHING).plus(need)
+        then = used.get(team.name, NO_RESOURCES).plus(need)
         if 0 < team.cpus_max < then.cores or 0 < team.gpus_max < then.accelerators:
             return False
         return any(
-            need.fits(worker.sku.whole.minus(worker.booked))
+            need.fits(worker.sku.capacity.minus(worker.booked))
             and not self.gone(worker)
-            and (spec.get("flavors") is None or worker.sku.sku in spec["flavors"])
+            and (spec.get("flavors") is None or worker.sku.name in spec["flavors"])
             and spec.get("yard") in (None, worker.zone)
             and (spec["reclaimable"] or not worker.spot)
             for worker in self.workers.values()
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -11,7 +11,7 @@
 from umberward import client
 from umberward.client.store import PIECE_BYTES, Store
 from umberward.core.types import Address
-from umberward.local.cluster import LocalCluster, Plan
+from umberward.local.cluster import ClusterPlan, LocalCluster
 from umberward.protocol import wire
 from umberward.protocol.http import Request
 
@@ -56,7 +56,7 @@
 
 
 async def in_a_cluster() -> dict[str, Any]:
-    async with LocalCluster.running(Plan(controllers=2, speed=4.0)) as cluster:
+    async with LocalCluster.running(ClusterPlan(controllers=2, speed=4.0)) as cluster:
         servers = [str(address) for address in cluster.listen]
         made: dict[str, Any] = await curio.run_in_thread(
             user, servers, str(cluster.store.server.address)
--- a/tests/test_golden_traffic.py
+++ b/tests/test_golden_traffic.py
@@ -46,12 +46,16 @@
     """The digests of all runs by the code of now."""
     paths = [str(TESTS.parent), *filter(None, [os.environ.get("PYTHONPATH")])]
     environment = {
-        **os.environ, "PYTHONHASHSEED": "0", "PYTHONPATH": os.pathsep.join(paths),
-    }  # fmt: skip
+        **os.environ,
+        "PYTHONHASHSEED": "0",
+        "PYTHONPATH": os.pathsep.join(paths),
+    }
     result = subprocess.run(
         [sys.executable, str(TESTS / "traffic_runs.py")],
-        env=environment, capture_output=True, text=True,
-    )  # fmt: skip
+        env=environment,
+        capture_output=True,
+        text=True,
+    )
     assert result.returncode == 0, result.stderr[-3000:]
     digests = {name: Digest(*found) for name, found in json.loads(result.stdout).items()}
     # pytest shows it beside the runs that differ: why one of them failed, if it did.
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -23,7 +23,7 @@
 
 from umberward.cli import main as cli
 from umberward.graphs import files, records
-from umberward.graphs.keeper import GraphPut, Keeper
+from umberward.graphs.graph_controller import GraphController, GraphPut
 from umberward.graphs.model import GraphId, Options, Task
 from umberward.protocol import wire
 
@@ -105,11 +105,13 @@
     def do_post(self, path: str, *words: str) -> None:
         part = {"uid": "graph-9", "options": {"team": "red"}, "tasks": [{"name": "a"}]}
         body: Any = {
-            "not-msgpack": b"\xc1", "a-list": [1], "nothing": {},
+            "not-msgpack": b"\xc1",
+            "a-list": [1],
+            "nothing": {},
             "million-parts": {**part, "parts": 10**6},
             "70-KiB": {**part, "tasks": [{"name": "a", "needs": ["x" * 100] * 1001}]},
             "slashes": {**part, "uid": "graph-1/2"},
-        }[words[0]]  # fmt: skip
+        }[words[0]]
         self.last = self.world.ask("POST", "" if path == "/" else path, body)
 
     def do_get(self, path: str) -> None:
@@ -205,7 +207,7 @@
             await world.users_side().cancel(GraphId("graph-2"))
 
     async def read() -> None:
-        keeper = Keeper(world.store, world.board, tell, lambda: None, lambda: True)  # type: ignore
+        keeper = GraphController(world.store, world.board, tell, lambda: None, lambda: True)  # type: ignore
         await keeper.load()
         await keeper.follow()
         # Something was missed: what is not there any more is told as gone, once.
@@ -215,8 +217,11 @@
 
     curio.run(read)
     assert told == [
-        "GraphPut graph-1", "GraphPut graph-2", "GraphGone graph-2", "GraphGone graph-1"
-    ]  # fmt: skip
+        "GraphPut graph-1",
+        "GraphPut graph-2",
+        "GraphGone graph-2",
+        "GraphGone graph-1",
+    ]
 
 
 class Unwalked(list[int]):
@@ -237,12 +242,12 @@
     assert game.world.board is not None
     (graph,) = game.world.board.graphs.values()
     (job,) = graph.jobs
-    job.again = Unwalked(job.again)
+    job.requeued_tasks = Unwalked(job.requeued_tasks)
     job.mark_done(0)
-    assert job.startable() == 900
+    assert job.startable_count() == 900
     job.put_back(5)
     job.mark_done(7)
-    assert job.startable() == 899
+    assert job.startable_count() == 899
 
 
 # ---- files -------------------------------------------------------------------------------
@@ -317,8 +322,18 @@
 # ---- exactly one final answer --------------------------------------------------------------
 
 MOVES = (
-    "run", "crash", "lost", "late", "outage", "kill", "drain", "sick", "again", "takeover", "poll",
-)  # fmt: skip
+    "run",
+    "crash",
+    "lost",
+    "late",
+    "outage",
+    "kill",
+    "drain",
+    "sick",
+    "again",
+    "takeover",
+    "poll",
+)
 
 
 @strategies.composite
@@ -334,15 +349,18 @@
                 [f"t{need}" for need in sorted(needs)],
                 num_cpus=draw(strategies.sampled_from([1.0, 2.0])),
                 max_retries=draw(strategies.integers(0, 2)),
-            )  # fmt: skip
+            )
         )
     return made
 
 
 @hypothesis.settings(
-    max_examples=40, deadline=None, derandomize=True, database=None,
+    max_examples=40,
+    deadline=None,
+    derandomize=True,
+    database=None,
     suppress_health_check=list(hypothesis.HealthCheck),
-)  # fmt: skip
+)
 @hypothesis.given(
     tasks=graphs(),
     bad=strategies.sets(strategies.integers(0, 13), max_size=2),
@@ -354,14 +372,26 @@
     parts=strategies.integers(1, 3),
 )
 @hypothesis.example(  # a new leader found a task running before the end of what it builds on
-    tasks=[*(Task(f"t{n}") for n in range(10)), Task("a", num_cpus=2.0),
-           Task("b", ["a"], num_cpus=2.0, max_retries=1), Task("c", ["t0"], num_cpus=2.0)],
-    bad=set(), on_failure="go_on", moves=[("run", 2)], cancel_at=None, parts=1,
-)  # fmt: skip
+    tasks=[
+        *(Task(f"t{n}") for n in range(10)),
+        Task("a", num_cpus=2.0),
+        Task("b", ["a"], num_cpus=2.0, max_retries=1),
+        Task("c", ["t0"], num_cpus=2.0),
+    ],
+    bad=set(),
+    on_failure="go_on",
+    moves=[("run", 2)],
+    cancel_at=None,
+    parts=1,
+)
 def test_each_task_has_one_final_answer(
-    tasks: list[Task], bad: set[int], on_failure: Any, moves: list[tuple[str, int]],
-    cancel_at: int | None, parts: int,
-) -> None:  # fmt: skip
+    tasks: list[Task],
+    bad: set[int],
+    on_failure: Any,
+    moves: list[tuple[str, int]],
+    cancel_at: int | None,
+    parts: int,
+) -> None:
     """Whatever happens to controllers, machines, messages and the state service meanwhile."""
     game = GraphPlay()
     world = game.world
@@ -402,9 +432,14 @@
 
 
 def _move(
-    world: GraphWorld, game: GraphPlay, move: str, which: int, options: Options,
-    tasks: list[Task], parts: int,
-) -> None:  # fmt: skip
+    world: GraphWorld,
+    game: GraphPlay,
+    move: str,
+    which: int,
+    options: Options,
+    tasks: list[Task],
+    parts: int,
+) -> None:
     names = sorted(world.workers)
     worker = world.workers[names[which % len(names)]]
     if move == "run":
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -9,11 +9,11 @@
 from test_scenarios import FILES, Failed, Play, play
 
 from umberward.core.types import Attempt, Instant, JobId, MachineId, TaskId
-from umberward.decisions import invariants
-from umberward.decisions.invariants import Invariant, Invariants, Violation
-from umberward.decisions.jobs import Job, Placement
-from umberward.decisions.reports import Reports
-from umberward.decisions.scheduler import Scheduler
+from umberward.scheduling import invariants
+from umberward.scheduling.heartbeats import HeartbeatHandler
+from umberward.scheduling.invariants import Invariant, Invariants, InvariantViolationError
+from umberward.scheduling.jobs import Job, Placement
+from umberward.scheduling.scheduler import Scheduler
 
 JOB = JobId("req-000001")
 TASK = TaskId(JOB, 0)
@@ -33,7 +33,7 @@
         assert self.game.world.scheduler is not None
         self.scheduler: Scheduler = self.game.world.scheduler
         self.job: Job = self.scheduler.jobs[JOB]
-        self.placement = self.job.placed[0]
+        self.placement = self.job.placements[0]
         self.other = next(
             m for m in self.scheduler.machines.values() if m.id != self.placement.machine
         )
@@ -49,23 +49,23 @@
 
 
 def _start_beside_a_placement(scene: Scene) -> None:
-    scene.scheduler.hold(scene.other, scene.job, scene.second())
-    scene.scheduler.send(scene.placement)
+    scene.scheduler.add_placement(scene.other, scene.job, scene.second())
+    scene.scheduler.send_start(scene.placement)
 
 
 def _start_beside_a_stray(scene: Scene) -> None:
-    scene.scheduler.add_stray(scene.other, TASK)
-    scene.scheduler.send(scene.placement)
+    scene.scheduler.add_unplaced_task(scene.other, TASK)
+    scene.scheduler.send_start(scene.placement)
 
 
 def _start_of_the_ended(scene: Scene) -> None:
     scene.job.ended = True
-    scene.scheduler.send(scene.placement)
+    scene.scheduler.send_start(scene.placement)
 
 
 def _forget_while_a_start_may_arrive(scene: Scene) -> None:
     machine = scene.scheduler.machines[scene.placement.machine]
-    machine.direct_starts.handed(TASK, scene.placement.attempt)
+    machine.inflight_starts.sent(TASK, scene.placement.attempt)
     assert not scene.scheduler.invariants.may_forget(machine, TASK, scene.placement.attempt)
 
 
@@ -81,7 +81,7 @@
 @pytest.mark.parametrize("what", BROKEN)
 def test_in_tests_a_violation_raises(what: str) -> None:
     breaks, invariant = BROKEN[what]
-    with pytest.raises(Violation, match=invariant.value):
+    with pytest.raises(InvariantViolationError, match=invariant.value):
         breaks(Scene())
 
 
@@ -96,14 +96,14 @@
     assert scene.scheduler.invariants.violations == {invariant: 1}
     assert [fields["invariant"] for fields in said] == [invariant.value]
     assert said[0]["task"] == TASK and "machine" in said[0]
-    sent = [order for item in scene.scheduler.out for order in getattr(item, "orders", ())]
+    sent = [order for item in scene.scheduler.outbox for order in getattr(item, "orders", ())]
     assert all(order.verb != "start" for order in sent)
 
 
 def test_a_forget_that_was_decided_wrongly_does_not_leave(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Reports, "_may_forget", lambda *_: True)
+    monkeypatch.setattr(HeartbeatHandler, "_may_forget", lambda *_: True)
     path = next(path for path in FILES if path.stem == "forget_not_while_start_unanswered")
-    with pytest.raises(Violation, match=Invariant.FORGOTTEN_FOR_GOOD.value):
+    with pytest.raises(InvariantViolationError, match=Invariant.FORGOTTEN_FOR_GOOD.value):
         play(path)
 
 
@@ -120,8 +120,8 @@
 
 def test_a_stray_is_no_more_when_its_machine_is_gone() -> None:
     scene = Scene()
-    scene.scheduler.add_stray(scene.other, TASK)
-    scene.scheduler.add_stray(scene.other, TASK)
-    assert scene.scheduler.strays == {TASK: 1}
-    scene.scheduler.removed([MachineId(scene.other.id)], Instant(scene.game.world.now))
-    assert not scene.scheduler.strays
+    scene.scheduler.add_unplaced_task(scene.other, TASK)
+    scene.scheduler.add_unplaced_task(scene.other, TASK)
+    assert scene.scheduler.unplaced_tasks == {TASK: 1}
+    scene.scheduler.remove_machines([MachineId(scene.other.id)], Instant(scene.game.world.now))
+    assert not scene.scheduler.unplaced_tasks
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -23,7 +23,7 @@
         ("test_it.py::test_red\n", 4, "not TEST"),
         (RED * 4, 4, "4 lines"),
     ],
-)  # fmt: skip
+)
 def test_what_is_listed_alone_may_fail(
     pytester: pytest.Pytester, listed: str, ends: int, said: str
 ) -> None:
--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -10,10 +10,10 @@
 import msgspec
 import pytest
 
-from umberward.core.settings import Team
+from umberward.core.settings import TeamQuota
 from umberward.graphs.model import File, Options, Task
 from umberward.local import example
-from umberward.local.cluster import LocalCluster, Plan, Trouble
+from umberward.local.cluster import ClusterPlan, Fault, LocalCluster
 
 FINAL = ("done", "failed", "not_run", "cancelled")
 MAXIMUM = 12.0
@@ -30,7 +30,7 @@
 
 
 async def through_troubles() -> None:
-    plan = Plan(teams=[Team("red", cpus_max=MAXIMUM), Team("blue")], speed=4.0)
+    plan = ClusterPlan(teams=[TeamQuota("red", cpus_max=MAXIMUM), TeamQuota("blue")], speed=4.0)
     async with LocalCluster.running(plan) as cluster:
         file = fifty()
         assert (await example.send_graph(cluster, "graph-7", file)).status == 201
@@ -46,10 +46,10 @@
                     heard[task["name"]].add(task["phase"])
             if state["done"] >= 5 and not drained:
                 drained = True
-                await cluster.cause(Trouble(0.0, "drain", 2.0, zone="a"))
+                await cluster.cause(Fault(0.0, "drain", 2.0, zone="a"))
             if state["done"] >= 20 and killed and not late:
                 late = True
-                await cluster.group.spawn(cluster.cause, Trouble(0.0, "late", 1.5))
+                await cluster.group.spawn(cluster.cause, Fault(0.0, "late", 1.5))
             if state["done"] >= 10 and not killed:
                 killed = True
                 cluster.crash(cluster.leader)
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -9,7 +9,7 @@
 import pytest
 
 from umberward.core import log
-from umberward.core.bounded_log import BoundedLog
+from umberward.core.rate_limited_log import RateLimitedLog
 from umberward.core.types import JobId, TaskId
 
 
@@ -33,8 +33,11 @@
     logging.getLogger("curio.kernel").debug("not said")
     (line,) = capsys.readouterr().err.splitlines()
     assert msgspec.json.decode(line) == {
-        "level": "warning", "logger": "curio.kernel", "event": "said_by_library", "text": "took 3 s"
-    }  # fmt: skip
+        "level": "warning",
+        "logger": "curio.kernel",
+        "event": "said_by_library",
+        "text": "took 3 s",
+    }
 
 
 def test_one_object_a_line(capsys: pytest.CaptureFixture[str]) -> None:
@@ -49,8 +52,12 @@
     found = msgspec.json.decode(line)
     assert "ValueError: two" in found.pop("exception")
     assert found == {
-        "level": "error", "logger": "umberward.x", "event": "failed", "task": "req-1/2", "tries": 3
-    }  # fmt: skip
+        "level": "error",
+        "logger": "umberward.x",
+        "event": "failed",
+        "task": "req-1/2",
+        "tries": 3,
+    }
 
 
 def test_repeated_events_are_counted_and_not_written() -> None:
@@ -61,16 +68,19 @@
         def info(self, event: str, **fields: Any) -> None:
             said.append({"event": event, **fields})
 
-    bounded = BoundedLog(Log(), 2, lambda: now)
+    bounded = RateLimitedLog(Log(), 2, lambda: now)
     for number in range(5):
         bounded.info("given_up", number=number)
     bounded.info("other")
     assert said == [
-        {"event": "given_up", "number": 0}, {"event": "given_up", "number": 1}, {"event": "other"},
-    ]  # fmt: skip
+        {"event": "given_up", "number": 0},
+        {"event": "given_up", "number": 1},
+        {"event": "other"},
+    ]
     now += 1.0
     bounded.info("given_up", number=5)
     bounded.info("given_up", number=6)
     assert said[3:] == [
-        {"event": "given_up", "number": 5, "left_out": 3}, {"event": "given_up", "number": 6},
-    ]  # fmt: skip
+        {"event": "given_up", "number": 5, "left_out": 3},
+        {"event": "given_up", "number": 6},
+    ]
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -7,7 +7,7 @@
 import curio
 
 from umberward.core.actor import Actor
-from umberward.core.loop import SparingSelector
+from umberward.core.event_loop import BatchingSelector
 
 
 class Echo(Actor):
@@ -16,7 +16,7 @@
 
 
 def test_messages_cost_no_system_call_each() -> None:
-    selector = SparingSelector()
+    selector = BatchingSelector()
 
     async def main() -> None:
         echo = Echo()
@@ -80,4 +80,4 @@
         await spinning.cancel()
         return found
 
-    assert curio.run(main, selector=SparingSelector()) == b"heard"
+    assert curio.run(main, selector=BatchingSelector()) == b"heard"
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -14,11 +14,11 @@
 from controllers import USERS_PATIENCE_S, Controllers
 from test_scenarios import Play, _pairs, fails_unguarded, guarded, play
 
-from umberward.control import users
+from umberward.control import job_api
 from umberward.core.types import Key
 from umberward.local.links import LinkFault
-from umberward.protocol import changes
-from umberward.protocol.wire import LIVE, PAST
+from umberward.protocol import transactions
+from umberward.protocol.wire import FINAL_JOBS_PREFIX, LIVE_JOBS_PREFIX
 
 FILES = sorted((Path(__file__).parent / "scenarios/meetings").glob("*.txt"))
 
@@ -206,7 +206,7 @@
         return next((n for n, known in self.called.items() if known == leader), str(leader))
 
     def see_live(self) -> int:
-        return sum(key.startswith(LIVE) for key in self.world.kept())
+        return sum(key.startswith(LIVE_JOBS_PREFIX) for key in self.world.kept())
 
     def see_answered(self, status: str) -> int:
         """How many of the questions put together were answered so."""
@@ -235,7 +235,7 @@
 def test_a_cancellation_that_was_only_read_is_logged(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its transaction got no answer and was carried out."""
     said: list[str] = []
-    monkeypatch.setattr(users.log, "info", lambda event, **_: said.append(event))
+    monkeypatch.setattr(job_api.log, "info", lambda event, **_: said.append(event))
     game = Play()
     game.do_submit("req-000001")
     game.do_state("lost")
@@ -249,7 +249,9 @@
     game.do_machine("m1", "small", "a")
     spec = game._spec("req-000001", ("shards=3", "shape=ensemble"))
     known = {name: value for name, value in spec.items() if not name.startswith("_")}
-    game.world.store.keep(f"{LIVE}req-000001", {"spec": known, "at": 90.0, "marked": 3, "base": 1})
+    game.world.store.keep(
+        f"{LIVE_JOBS_PREFIX}req-000001", {"spec": known, "at": 90.0, "marked": 3, "base": 1}
+    )
     game.world.specs["req-000001"] = spec
     game.do_lead()
     game.do_run("3")
@@ -264,11 +266,13 @@
     remains = {"owner": "red", "cores": 1.0, "mem_gb": 1.0, "marked": 4}
     for number, more in enumerate(({"done": "zz"}, {"cores": "many"}, {"marked": None}, {})):
         record = {"phase": "cancelled", "remains": {**remains, **more}}
-        game.world.store.apply([], [changes.put(Key(f"{PAST}req-{number:06}"), record)])
+        game.world.store.apply(
+            [], [transactions.put(Key(f"{FINAL_JOBS_PREFIX}req-{number:06}"), record)]
+        )
     game.do_machine("m1", "small", "a")
     game.do_lead()
     assert game.world.scheduler is not None
-    assert list(game.world.scheduler.cancelled) == ["req-000003"]
+    assert list(game.world.scheduler.cancelled_jobs) == ["req-000003"]
     game.do_submit("req-000009", "shards=4", "cores=1")
     game.do_run("3")
     assert game.see_running("req-000009") == 4
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,10 +8,10 @@
 import curio
 from world import raw_settings
 
-from umberward.clients import state
-from umberward.control.membership import Membership
-from umberward.core.settings import Operator, check
-from umberward.core.types import Epoch, Instant, LeaseId, Revision
+from umberward.clients import state_client
+from umberward.core.settings import OperatorSettings, validate
+from umberward.core.types import FencingToken, Instant, LeaseId, Revision
+from umberward.leader.leader_election import LeaderElection
 
 
 class Slow:
@@ -21,7 +21,7 @@
         self.asked: list[tuple[str, curio.Event]] = []
         self.says: dict[str, Any] = {}
 
-    def share(self, leading: bool) -> None:
+    def set_role(self, leading: bool) -> None:
         pass
 
     async def _answer(self, what: str) -> Any:
@@ -33,10 +33,10 @@
             raise found
         return found
 
-    async def grant(self, ttl_s: float) -> Any:
+    async def grant_lease(self, ttl_s: float) -> Any:
         return await self._answer("grant")
 
-    async def extend(self, lease: LeaseId, timeout: float) -> Any:
+    async def renew_lease(self, lease: LeaseId, timeout: float) -> Any:
         return await self._answer("extend")
 
     async def commit(self, *_: Any, **__: Any) -> Any:
@@ -54,14 +54,14 @@
 class Game:
     def __init__(self) -> None:
         self.now = 100.0
-        self.won: list[Epoch] = []
+        self.won: list[FencingToken] = []
         self.store = Slow()
-        settings = check(raw_settings(), Operator())
-        self.made = Membership(
+        settings = validate(raw_settings(), OperatorSettings())
+        self.made = LeaderElection(
             settings, self.store, random.Random(1), self._elected, self._lost, lambda: self.now
         )  # type: ignore[arg-type]
 
-    async def _elected(self, epoch: Epoch) -> None:
+    async def _elected(self, epoch: FencingToken) -> None:
         self.won.append(epoch)
 
     async def _lost(self) -> None:
@@ -89,11 +89,11 @@
 def test_the_end_of_a_lease_of_before_ends_nothing() -> None:
     async def play() -> None:
         game = Game()
-        game.made.lease, game.made.good = LeaseId(3), Instant(99.0)
+        game.made.lease, game.made.renewed_at = LeaseId(3), Instant(99.0)
         await game.begin(game.made._renew)
-        game.made._let_go()
-        game.made.lease, game.made.nonce, game.made.good = LeaseId(4), "later", Instant(100.0)
-        await game.store.say(0, state.NoLease())
+        game.made._abandon_lease()
+        game.made.lease, game.made.nonce, game.made.renewed_at = LeaseId(4), "later", Instant(100.0)
+        await game.store.say(0, state_client.LeaseExpiredError())
         assert (game.made.lease, game.made.nonce) == (4, "later")
 
     curio.run(play)
@@ -102,12 +102,12 @@
 def test_no_term_begins_on_a_lease_that_was_let_go() -> None:
     async def play() -> None:
         game = Game()
-        game.made.lease, game.made.good = LeaseId(3), Instant(game.now)
+        game.made.lease, game.made.renewed_at = LeaseId(3), Instant(game.now)
         await game.begin(game.made._campaign)
-        game.made._let_go()
+        game.made._abandon_lease()
         game.made.lease = LeaseId(4)
         await game.store.say(0, Revision(12))
-        assert not game.won and not game.made.leading()
+        assert not game.won and not game.made.is_leader()
 
     curio.run(play)
 
@@ -115,9 +115,11 @@
 def test_a_setting_that_leaves_no_time_keeps_workers_only_while_we_lead() -> None:
     raw = raw_settings()
     raw["cluster"]["workers"]["cancel_s"] = raw["cluster"]["workers"]["lease_s"] + 0.2
-    made = Membership(check(raw, Operator()), None, random.Random(1), None, None, lambda: 100.0)  # type: ignore[arg-type]
-    made.epoch, made.lease, made.good = Epoch(5), LeaseId(1), Instant(99.0)
-    assert made.bounds.tend_s == 0.0
-    assert made.leading() and made.may_answer(Instant(99.0)) and not made.may_answer(None)
-    made.good = Instant(96.0)
-    assert not made.leading() and not made.may_answer(Instant(99.9))
+    made = LeaderElection(
+        validate(raw, OperatorSettings()), None, random.Random(1), None, None, lambda: 100.0
+    )  # type: ignore[arg-type]
+    made.fencing_token, made.lease, made.renewed_at = FencingToken(5), LeaseId(1), Instant(99.0)
+    assert made.bounds.keepalive_s == 0.0
+    assert made.is_leader() and made.may_answer(Instant(99.0)) and not made.may_answer(None)
+    made.renewed_at = Instant(96.0)
+    assert not made.is_leader() and not made.may_answer(Instant(99.9))
--- a/tests/test_odd_requests.py
+++ b/tests/test_odd_requests.py
@@ -11,19 +11,28 @@
 
 from umberward.protocol import wire
 from umberward.protocol.http import Response
-from umberward.protocol.wire import Spec
+from umberward.protocol.wire import JobSpec
 
 ID = "req-000001"
 MAY_LACK = ("flavors", "yard", "due_s", "waits_on")
-NEEDED = [name for name in Spec.__struct_fields__ if name not in MAY_LACK]
-NUMBERS = ("cores", "accelerators", "mem_gb", "pull_gb", "expect_s", "snapshot_every_s",
-           "snapshot_cost_s", "due_s")  # fmt: skip
+NEEDED = [name for name in JobSpec.__struct_encode_fields__ if name not in MAY_LACK]
+NUMBERS = (
+    "cores",
+    "accelerators",
+    "mem_gb",
+    "pull_gb",
+    "expect_s",
+    "snapshot_every_s",
+    "snapshot_cost_s",
+    "due_s",
+)
 WRONG: dict[str, Any] = {
     **dict.fromkeys(NUMBERS, "four"),
     **dict.fromkeys(("uid", "jobclass", "owner", "shape", "rank", "bundle", "yard"), 7),
     **dict.fromkeys(("same_place", "apart", "reclaimable"), 1),
-    "shards": 1.5, "flavors": "small",
-}  # fmt: skip
+    "shards": 1.5,
+    "flavors": "small",
+}
 
 
 def _game(**limits: float) -> Play:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -12,16 +12,16 @@
 import pytest
 from world import FakeState, raw_settings
 
-from umberward.control import peers as peers_module
-from umberward.control.membership import Membership
-from umberward.control.node import Node
-from umberward.control.peers import Peers
-from umberward.core.settings import Operator, check
-from umberward.core.types import Address, Epoch, Instant, MachineId, NodeName, Stamp
-from umberward.decisions import relays as relays_module
-from umberward.decisions.relays import Relays
+from umberward.control import peer_link as peers_module
+from umberward.control.controller import Controller
+from umberward.control.peer_link import PeerLink
+from umberward.core.settings import OperatorSettings, validate
+from umberward.core.types import Address, ControllerName, FencingToken, Instant, MachineId, Version
+from umberward.leader.leader_election import LeaderElection
 from umberward.protocol import wire
-from umberward.protocol.http import NotSent, Request, Response, Server
+from umberward.protocol.http import Request, RequestNotSentError, Response, Server
+from umberward.scheduling import heartbeat_forwarding as relays_module
+from umberward.scheduling.heartbeat_forwarding import HeartbeatForwarding
 
 
 class Others:
@@ -32,7 +32,7 @@
 
     async def request(self, address: Address, *_: Any) -> Response:
         if address.port not in self.told:
-            raise NotSent("refused")
+            raise RequestNotSentError("refused")
         return Response(200, cbor2.dumps(self.told[address.port]))
 
 
@@ -40,15 +40,15 @@
     return None
 
 
-def _peers(told: dict[int, Any]) -> Peers:
+def _peers(told: dict[int, Any]) -> PeerLink:
     raw = raw_settings()
     raw["peers"] = [
         {"label": f"k{port}", "site": "a", "addr": f"127.0.0.1:{port}"} for port in (11, 12, 13)
     ]
-    settings = check(raw, Operator())
+    settings = validate(raw, OperatorSettings())
     rng = random.Random(1)
-    membership = Membership(settings, None, rng, _nothing, _nothing)  # type: ignore[arg-type]
-    return Peers(
+    membership = LeaderElection(settings, None, rng, _nothing, _nothing)  # type: ignore[arg-type]
+    return PeerLink(
         settings,
         membership,
         Others(told),
@@ -61,7 +61,7 @@
 
 
 def _hear(told: dict[int, Any]) -> bool:
-    return curio.run(_peers(told).others_hear)  # type: ignore[no-any-return]
+    return curio.run(_peers(told).peers_receive_heartbeats)  # type: ignore[no-any-return]
 
 
 HEARS = {"contact_age": 0.4, "heard_age": 0.3, "leader": None}
@@ -90,29 +90,32 @@
     [
         # Who has the state service is believed, whoever we took for the leader.
         ({12: {"contact_age": 0.2, "leader": "k12"}}, 50, "k12"),
-        ({11: {"contact_age": 30.0, "leader": "k11"}, 12: {"contact_age": 0.2, "leader": "k13"}},
-         50, "k13"),
+        (
+            {11: {"contact_age": 30.0, "leader": "k11"}, 12: {"contact_age": 0.2, "leader": "k13"}},
+            50,
+            "k13",
+        ),
         # Nobody has it: the leader of before is named only to a worker that knows no later one.
         ({}, 7, "k11"),
         ({}, 50, None),
         ({11: {"contact_age": 30.0, "leader": "k11"}}, 50, None),
     ],
-)  # fmt: skip
+)
 def test_whom_a_controller_names_that_lacks_the_state_service(
     told: dict[int, Any], seen: int, found: str | None
 ) -> None:
     peers = _peers(told)
-    peers.membership.leader = NodeName("k11")
-    peers.membership.leader_stamp = Stamp(7)
+    peers.membership.leader = ControllerName("k11")
+    peers.membership.leader_version = Version(7)
 
     async def ask() -> None:
-        await peers._ask_contact()
+        await peers._refresh_contacts()
 
     curio.run(ask)
-    assert peers.steward(seen) == found
+    assert peers.leader_for(seen) == found
     # With the state service at hand, what we read there counts, also after a raised token.
-    peers.membership.good = Instant(time.monotonic())
-    assert peers.steward(50) == "k11"
+    peers.membership.renewed_at = Instant(time.monotonic())
+    assert peers.leader_for(50) == "k11"
 
 
 def test_a_leader_gives_up_when_a_worker_has_seen_a_higher_token() -> None:
@@ -121,19 +124,19 @@
     async def note() -> None:
         lost.append(1)
 
-    settings = check(raw_settings(), Operator())
+    settings = validate(raw_settings(), OperatorSettings())
     store = FakeState()
-    store.share = lambda leading: None  # type: ignore[attr-defined]
-    made = Membership(settings, store, random.Random(1), _nothing, note)  # type: ignore[arg-type]
-    made.epoch = Epoch(20)
+    store.set_role = lambda leading: None  # type: ignore[attr-defined]
+    made = LeaderElection(settings, store, random.Random(1), _nothing, note)  # type: ignore[arg-type]
+    made.fencing_token = FencingToken(20)
 
     async def play() -> None:
-        await made.deposed(Epoch(20))
-        assert not lost and made.epoch == 20
-        await made.deposed(Epoch(21))
+        await made.superseded_by(FencingToken(20))
+        assert not lost and made.fencing_token == 20
+        await made.superseded_by(FencingToken(21))
 
     curio.run(play)
-    assert lost and made.epoch is None and not made.tending()
+    assert lost and made.fencing_token is None and not made.may_keep_alive()
 
 
 @pytest.mark.parametrize(
@@ -158,7 +161,7 @@
     async def cancelled(ids: Any) -> None:
         heard.extend(ids)
 
-    peers.cancelled = cancelled
+    peers.on_cancelled = cancelled
 
     async def play(sent: bytes) -> int:
         return (await peers.serve(Request("POST", "/peer/cancelled", "", sent))).status
@@ -170,14 +173,14 @@
 
 
 HOST = MachineId("i-000007")
-K1, K2 = NodeName("k1"), NodeName("k2")
+K1, K2 = ControllerName("k1"), ControllerName("k2")
 
 
 def test_whose_reports_are_carried() -> None:
-    relays = Relays()
+    relays = HeartbeatForwarding()
 
-    def at(second: float, leader: NodeName = K1) -> bool:
-        return relays.carries(HOST, leader, Instant(second))
+    def at(second: float, leader: ControllerName = K1) -> bool:
+        return relays.should_forward(HOST, leader, Instant(second))
 
     assert not at(0.0)  # sent to the leader
     assert at(5.2) and at(7.7) and at(34.0)  # it was not answered there
@@ -186,12 +189,12 @@
     assert not at(60.0)  # another trouble than the one before
     assert at(65.0)
     assert not at(67.0, K2)  # another leads
-    relays.carries(HOST, K2, Instant(72.0))
-    relays.failed(HOST, K2, Instant(73.5))
+    relays.should_forward(HOST, K2, Instant(72.0))
+    relays.forward_failed(HOST, K2, Instant(73.5))
     assert not at(74.0, K2)
     for number in range(5000):
-        relays.carries(MachineId(f"i-{number}"), K1, Instant(0.0))
-    assert len(relays.sent) == relays_module.MOST
+        relays.should_forward(MachineId(f"i-{number}"), K1, Instant(0.0))
+    assert len(relays.redirected) == relays_module.MAX_REMEMBERED_WORKERS
 
 
 def test_a_report_is_carried_to_a_leader_that_its_worker_cannot_reach() -> None:
@@ -199,16 +202,27 @@
     what the leader says; if the leader is out of our reach as well, it is sent there as before."""
     raw = raw_settings()
     raw["peers"] = [{"label": "k1", "site": "a", "addr": "127.0.0.1:29395"}]
-    node = Node(check(raw, Operator()))
-    node.membership.leader = K1
-    node.membership.good = Instant(time.monotonic())
+    node = Controller(validate(raw, OperatorSettings()))
+    node.election.leader = K1
+    node.election.renewed_at = Instant(time.monotonic())
     said: list[bytes] = []
 
     def report() -> bytes:
-        said.append(wire.encode(
-            {"host": "i-7", "address": "10.1.0.7:9000", "flavor": "small", "yard": "a",
-             "tenure": 1, "serial": 3 + len(said), "epoch": 5, "shards": [], "reclaimable": False}
-        ))  # fmt: skip
+        said.append(
+            wire.encode(
+                {
+                    "host": "i-7",
+                    "address": "10.1.0.7:9000",
+                    "flavor": "small",
+                    "yard": "a",
+                    "tenure": 1,
+                    "serial": 3 + len(said),
+                    "epoch": 5,
+                    "shards": [],
+                    "reclaimable": False,
+                }
+            )
+        )
         return said[-1]
 
     heard = []
@@ -218,11 +232,11 @@
         return Response(200, b"what the leader says")
 
     async def hello(after: float) -> Response:
-        known = node.relays.sent.get(MachineId("i-7"))
+        known = node.forwarding.redirected.get(MachineId("i-7"))
         if known is not None:
-            moved = known._replace(at=Instant(known.at - after))
-            node.relays.sent[MachineId("i-7")] = moved
-        return await node._hello(Request("POST", "/hello", "", report()))
+            moved = known._replace(redirected_at=Instant(known.redirected_at - after))
+            node.forwarding.redirected[MachineId("i-7")] = moved
+        return await node._serve_heartbeat(Request("POST", "/hello", "", report()))
 
     async def play() -> None:
         first = await hello(0.0)
@@ -235,12 +249,12 @@
         await curio.sleep(0.05)
         # The leader was not reached a moment ago: nobody is held up by that once more.
         assert (await hello(5.0)).status == 421
-        node.peers.carry_again = 0.0
+        node.peers.forward_not_before = 0.0
         carried = await hello(5.0)
         assert (carried.status, carried.body) == (200, b"what the leader says")
         assert (await hello(0.0)).status == 200
         # A late copy of an earlier report is neither carried nor sent anywhere.
-        copy = await node._hello(Request("POST", "/hello", "", said[1]))
+        copy = await node._serve_heartbeat(Request("POST", "/hello", "", said[1]))
         assert copy.status == 421 and msgspec.msgpack.decode(copy.body) == {}
         await running.cancel()
 
--- a/tests/test_regress.py
+++ b/tests/test_regress.py
@@ -219,9 +219,11 @@
     monkeypatch.setattr(regress, "SITES", tmp_path / "sites")
     given = ["meetings", "--why", "x"]
     for words in (
-        [*given, "--day", "nonsense"], [*given, "--only", "nonsense"],
-        [*given, "--seed", "nonsense"], ["nonsense"],
-    ):  # fmt: skip
+        [*given, "--day", "nonsense"],
+        [*given, "--only", "nonsense"],
+        [*given, "--seed", "nonsense"],
+        ["nonsense"],
+    ):
         result = CliRunner().invoke(regress.main, words)
         assert result.exit_code == 2 and result.output.count("\n") == 1
         assert "nonsense" in result.output
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -5,9 +5,9 @@
 import pytest
 from test_scenarios import Play
 
-from umberward.core.types import NOTHING, Instant, MachineId, TeamName
-from umberward.decisions import records
-from umberward.decisions.scheduler import Scheduler
+from umberward.core.types import NO_RESOURCES, Instant, MachineId, TeamName
+from umberward.scheduling import job_records
+from umberward.scheduling.scheduler import Scheduler
 
 
 def _gang_not_sent() -> Scheduler:
@@ -20,9 +20,9 @@
     game.do_submit("req-000001", "shards=3", "shape=ensemble", "cores=1", "runs=50")
     world, scheduler = game.world, game.world.scheduler
     assert scheduler is not None
-    records.take_changes(scheduler, world.store.core.news("", world.seen_revision))
-    scheduler.place(Instant(world.now))
-    held = scheduler.machines[MachineId("m1")].held.values()
+    job_records.apply_changes(scheduler, world.store.core.news("", world.seen_revision))
+    scheduler.run_pass(Instant(world.now))
+    held = scheduler.machines[MachineId("m1")].placements.values()
     assert len(held) == 3 and not any(placement.sent for placement in held)
     return scheduler
 
@@ -33,9 +33,9 @@
     scheduler = _gang_not_sent()
     machine = scheduler.machines[MachineId("m1")]
     if what == "machine gone":
-        scheduler.removed([machine.id], scheduler.now)
+        scheduler.remove_machines([machine.id], scheduler.now)
     else:
-        scheduler.lose_tasks(machine, what)
-    assert scheduler.quota.used[TeamName("red")] == NOTHING
-    assert machine.booked == NOTHING and not machine.held
-    assert not any(scheduler.running.values())
+        scheduler.release_all(machine, what)
+    assert scheduler.quota.used[TeamName("red")] == NO_RESOURCES
+    assert machine.allocated == NO_RESOURCES and not machine.placements
+    assert not any(scheduler.running_by_key.values())
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -6,7 +6,7 @@
 from controllers import Controllers
 from test_scenarios import Play
 
-from umberward.control import membership
+from umberward.leader import leader_election
 
 
 def _ends_again_and_again() -> tuple[int, float, int]:
@@ -45,7 +45,7 @@
 
 
 def test_without_a_rest_it_would_keep_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(membership, "RETURN_REST_S", -1.0)
+    monkeypatch.setattr(leader_election, "RESTARTED_LEADER_PAUSE_S", -1.0)
     mine, longest, _ = _ends_again_and_again()
     assert mine > 0 or longest >= 0.3
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -25,17 +25,23 @@
 from world import Worker, World, raw_settings
 
 from umberward.cli import main as cli
-from umberward.clients.state import State
-from umberward.control import holder
-from umberward.control.node import Node
-from umberward.core.settings import NextLimits, Operator, SettingsError, StateLimits, check
+from umberward.clients.state_client import StateClient
+from umberward.control.controller import Controller
+from umberward.core.settings import (
+    NextLimits,
+    OperatorSettings,
+    SettingsError,
+    StateLimits,
+    validate,
+)
 from umberward.core.types import Address, Instant, JobId, Key, MachineId
-from umberward.decisions.invariants import Violation
-from umberward.decisions.jobs import Job
-from umberward.protocol import changes, wire
-from umberward.protocol.changes import delete
-from umberward.protocol.http import Client, NotSent, Request, Response, Server
-from umberward.protocol.wire import JOBS, LIVE
+from umberward.leader import leader_loop
+from umberward.protocol import transactions, wire
+from umberward.protocol.http import Client, Request, RequestNotSentError, Response, Server
+from umberward.protocol.transactions import delete
+from umberward.protocol.wire import JOBS_PREFIX, LIVE_JOBS_PREFIX
+from umberward.scheduling.invariants import InvariantViolationError
+from umberward.scheduling.jobs import Job
 
 FILES = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
 PRODUCTION_SPEC = msgspec.json.decode(
@@ -89,7 +95,7 @@
 
     def do_silence(self, seconds: str) -> None:
         """The operators' `silence.seconds`; to be said before anything else."""
-        self.world = self.make(None, Operator(silence_seconds=float(seconds)))
+        self.world = self.make(None, OperatorSettings(silence_seconds=float(seconds)))
 
     def do_peer(self, label: str, zone: str) -> None:
         """Another controller; to be said before anything else."""
@@ -117,7 +123,7 @@
         for path, data in msgspec.json.decode(text).items():
             # They may be larger than what may be written by now.
             self.world.store.keep(path, data)
-            if path.startswith(JOBS):
+            if path.startswith(JOBS_PREFIX):
                 self.world.stood_there.add(path.rpartition("/")[2])
             if path.startswith("jobs/live/"):
                 self.world.accepted_before(data)
@@ -139,7 +145,7 @@
             async def request(self, *_: Any) -> Response:
                 return answers.pop(0)
 
-        store = State(Address("127.0.0.1", 4), limits, 3, Refusing())  # type: ignore[arg-type]
+        store = StateClient(Address("127.0.0.1", 4), limits, 3, Refusing())  # type: ignore[arg-type]
         revision = curio.run(store.commit, [], [delete(Key("x"))])
         assert revision == 7 and not answers
         self.answers = int(store.limits.write_rps)
@@ -171,7 +177,7 @@
     def do_aim(self, kind: str, job_class: str, within_s: str) -> None:
         """What operators aim at; the leader of now knows it."""
         assert kind == "wait" and self.world.scheduler is not None
-        self.world.scheduler.aims[job_class] = (float(within_s), None)
+        self.world.scheduler.class_aims[job_class] = (float(within_s), None)
 
     def do_watch(self, mode: str) -> None:
         """Whether the leader hears of changes in the state service."""
@@ -197,8 +203,16 @@
         clear = flag.startswith("not-")
         flag = flag.removeprefix("not-")
         if flag not in (
-            "sick", "dead", "cut", "holding", "deaf", "mute", "slow", "astray", "oneway",
-        ):  # fmt: skip
+            "sick",
+            "dead",
+            "cut",
+            "holding",
+            "deaf",
+            "mute",
+            "slow",
+            "astray",
+            "oneway",
+        ):
             raise ValueError(flag)
         if flag == "dead":
             worker.end_session()
@@ -224,7 +238,7 @@
     def do_forget_deleted(self) -> None:
         """So many machines were deleted since that these are forgotten."""
         assert self.world.scheduler is not None
-        self.world.scheduler.gone.clear()
+        self.world.scheduler.deleted_machines.clear()
 
     def do_lose_job(self, id: str) -> None:
         """The leader's memory has lost it."""
@@ -235,19 +249,19 @@
     def do_lose_tasks(self, id: str) -> None:
         """The leader's books have lost the tasks that wait."""
         job = self._job(id)
-        job.again.clear()
-        job.fresh = job.size
+        job.requeued_tasks.clear()
+        job.next_fresh_task = job.size
 
     def do_trip(self, id: str) -> None:
         """Placing this job fails, for whatever reason."""
-        self._job(id).kind = []  # type: ignore[assignment]
+        self._job(id).placement_class = []  # type: ignore[assignment]
 
     def do_untrip(self, id: str) -> None:
-        self._job(id).kind = ("mended",)  # type: ignore[assignment]
+        self._job(id).placement_class = ("mended",)  # type: ignore[assignment]
 
     def do_garble(self, id: str) -> None:
         """Its live record cannot be read any more."""
-        self.world.store.apply([], [changes.put(Key(LIVE + id), {"spec": 7})])
+        self.world.store.apply([], [transactions.put(Key(LIVE_JOBS_PREFIX + id), {"spec": 7})])
 
     def do_copy_lacks(self, id: str) -> None:
         """The controller's copy of the states has lost the job, long after all were listed."""
@@ -308,7 +322,7 @@
             await curio.sleep(0.05)
             client = Client(4)
             await client.request(address, "POST", "/do", timeout=0.5, still=lambda: True)
-            with contextlib.suppress(NotSent):
+            with contextlib.suppress(RequestNotSentError):
                 await client.request(address, "POST", "/do", timeout=0.5, still=lambda: False)
             await running.cancel()
 
@@ -346,8 +360,8 @@
     @contextlib.contextmanager
     def _serving(self) -> Iterator[str]:
         """A controller's address for users, with the world's state service behind it."""
-        node = Node(self.world.settings)
-        node.users = self.world.users
+        node = Controller(self.world.settings)
+        node.job_api = self.world.users
         over = threading.Event()
 
         async def serve() -> None:
@@ -380,7 +394,7 @@
             place = place[name]
         place[last] = msgspec.json.decode(value)
         try:
-            check(raw, Operator())
+            validate(raw, OperatorSettings())
         except SettingsError as error:
             self.last = str(error)
         else:
@@ -395,15 +409,35 @@
 
     def _spec(self, id: str, words: tuple[str, ...]) -> dict[str, Any]:
         spec: dict[str, Any] = {
-            "uid": id, "jobclass": "x", "owner": "red", "shape": "batch", "rank": "normal",
-            "shards": 1, "cores": 2.0, "accelerators": 0.0, "mem_gb": 1.0, "bundle": "img",
-            "pull_gb": 1.0, "flavors": None, "yard": None, "same_place": False, "apart": False,
-            "reclaimable": False, "expect_s": 10.0, "snapshot_every_s": 0.0,
-            "snapshot_cost_s": 0.0, "due_s": None, "_runs": 10.0,
-        }  # fmt: skip
+            "uid": id,
+            "jobclass": "x",
+            "owner": "red",
+            "shape": "batch",
+            "rank": "normal",
+            "shards": 1,
+            "cores": 2.0,
+            "accelerators": 0.0,
+            "mem_gb": 1.0,
+            "bundle": "img",
+            "pull_gb": 1.0,
+            "flavors": None,
+            "yard": None,
+            "same_place": False,
+            "apart": False,
+            "reclaimable": False,
+            "expect_s": 10.0,
+            "snapshot_every_s": 0.0,
+            "snapshot_cost_s": 0.0,
+            "due_s": None,
+            "_runs": 10.0,
+        }
         given = _pairs(list(words))
-        spec.update({k.replace("runs", "_runs").replace("mistaken", "_mistaken"): v
-                     for k, v in given.items()})  # fmt: skip
+        spec.update(
+            {
+                k.replace("runs", "_runs").replace("mistaken", "_mistaken"): v
+                for k, v in given.items()
+            }
+        )
         if spec["shape"] == "service":
             spec["_runs"] = 1e9
         if isinstance(spec["flavors"], str) and spec["flavors"] != "-":
@@ -475,25 +509,25 @@
 
     def see_live(self) -> int:
         """How many jobs have a live record."""
-        return sum(1 for key in self.world.store.keys if key.startswith(LIVE))
+        return sum(1 for key in self.world.store.keys if key.startswith(LIVE_JOBS_PREFIX))
 
     def see_queued(self) -> int:
         """How many jobs are looked at for room."""
         assert self.world.scheduler is not None
-        return len(self.world.scheduler.waiting(Instant(self.world.now)))
+        return len(self.world.scheduler.jobs_in_service_order(Instant(self.world.now)))
 
     def see_refused_writes(self) -> int:
         return len(self.world.store.refused)
 
     def see_rank(self, id: str) -> int:
-        return self._job(id).rank
+        return self._job(id).priority
 
     def see_start_by_after_ready(self, id: str) -> int:
         assert self.world.scheduler is not None
-        return round(self.world.scheduler.deadline(self._job(id)) - self._job(id).ready_at)
+        return round(self.world.scheduler.start_by(self._job(id)) - self._job(id).ready_at)
 
     def see_waited_before_ready(self, id: str) -> int:
-        return round(self._job(id).ready_at - self._job(id).at)
+        return round(self._job(id).ready_at - self._job(id).submitted_at)
 
     def _job(self, id: str) -> Job:
         assert self.world.scheduler is not None
@@ -504,14 +538,14 @@
         known = {"spec", "at", "marked", "base", "done", "phase"} | set(PRODUCTION_SPEC)
         found = set()
         for key, got in self.world.store.keys.items():
-            if key.startswith(JOBS):
+            if key.startswith(JOBS_PREFIX):
                 found |= (set(got.data) | set(got.data.get("spec", ()))) - known
         return ",".join(sorted(found)) or "none"
 
     def see_pass_share(self, milliseconds: str) -> int:
         """Which percentage of the time goes into passes that take so long each."""
         took = float(milliseconds) / 1000
-        return int(100 * took / holder.pass_pause(took))
+        return int(100 * took / leader_loop.pass_pause(took))
 
     def see_retry_after(self) -> bool:
         return self.last.retry_after is not None
@@ -528,7 +562,7 @@
 
     def see_token_raises(self) -> int:
         assert self.world.scheduler is not None
-        return self.world.scheduler.token_raises.count
+        return self.world.scheduler.token_rotation.count
 
     def see_starts(self, task: str) -> int:
         return self.world.starts.get(task, 0)
@@ -542,14 +576,14 @@
         return self.world.poll_at_once(id, int(times))
 
     def cost_reading(self, seconds: str) -> int:
-        return self._counted("read", seconds)
+        return self._counted("heartbeats_decoded", seconds)
 
     def cost_searching(self, seconds: str) -> int:
         return self._counted("searches", seconds)
 
     def cost_considering(self, seconds: str) -> int:
         """Jobs that are looked at for tasks to place."""
-        return self._counted("considered", seconds)
+        return self._counted("jobs_examined", seconds)
 
     def cost_polls_one_by_one(self, id: str, times: str, gap_s: str) -> int:
         """Requests to the state service for polls one after the other, in each 0.15 s."""
@@ -560,14 +594,14 @@
 
     def cost_looking(self, seconds: str) -> int:
         """Machines that are looked at for work that may be stopped."""
-        return self._counted("looks", seconds)
+        return self._counted("machines_examined", seconds)
 
     def cost_renting(self) -> int:
         """How often a machine's room is compared with what waits, to find what to rent."""
         assert self.world.provisioner is not None
-        self.world.provisioner.tried = 0
-        self.world.provisioner.rentals(Instant(self.world.now))
-        return self.world.provisioner.tried
+        self.world.provisioner.comparisons = 0
+        self.world.provisioner.scale_out_requests(Instant(self.world.now))
+        return self.world.provisioner.comparisons
 
     def cost_probing(self, seconds: str) -> int:
         before = self.world.probes
@@ -609,30 +643,30 @@
     def see_returning(self) -> int:
         """How many machines would be returned now."""
         assert self.world.provisioner is not None
-        return len(self.world.provisioner.idle(Instant(self.world.now)))
+        return len(self.world.provisioner.machines_to_return(Instant(self.world.now)))
 
     def see_renting(self, flavor: str) -> int:
         """How many machines of the type would be rented now."""
         assert self.world.provisioner is not None
-        rentals = self.world.provisioner.rentals(Instant(self.world.now))
-        return sum(rental.many for rental in rentals if rental.offer.type == flavor)
+        rentals = self.world.provisioner.scale_out_requests(Instant(self.world.now))
+        return sum(rental.machine_count for rental in rentals if rental.offer.type == flavor)
 
     def see_cut_off(self) -> bool:
         assert self.world.scheduler is not None
-        return self.world.scheduler.cut_off(Instant(self.world.now))
+        return self.world.scheduler.is_isolated(Instant(self.world.now))
 
     def see_unheard(self) -> bool:
         assert self.world.scheduler is not None
-        return self.world.scheduler.unheard(Instant(self.world.now))
+        return self.world.scheduler.heard_no_machine(Instant(self.world.now))
 
     def see_deaf(self, name: str) -> bool:
         assert self.world.scheduler is not None
-        return self.world.scheduler.machines[MachineId(name)].deaf
+        return self.world.scheduler.machines[MachineId(name)].unreachable
 
     def see_usable(self) -> int:
         """How many machines may be given work."""
         assert self.world.scheduler is not None
-        return len(self.world.scheduler.survey()[0])
+        return len(self.world.scheduler.schedulable_room()[0])
 
     def see_known(self) -> int:
         """How many machines the leader knows of."""
@@ -644,7 +678,7 @@
 
     def see_sick(self, name: str) -> bool:
         assert self.world.scheduler is not None
-        return self.world.scheduler.machines[name].sick  # type: ignore[index]
+        return self.world.scheduler.machines[name].quarantined  # type: ignore[index]
 
 
 def play(path: Path, kind: type[Play] = Play) -> None:
@@ -678,7 +712,7 @@
     name = _guard(path)
     assert name is not None
     GUARDS[name](patch)
-    with pytest.raises((Failed, Violation)):
+    with pytest.raises((Failed, InvariantViolationError)):
         play(path)
 
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -9,17 +9,17 @@
 from test_scenarios import Play
 from world import SKUS, raw_settings
 
-from umberward.control.node import Node
-from umberward.control.peers import Told
-from umberward.core.settings import Operator, check
+from umberward.control.controller import Controller
+from umberward.control.peer_link import PeerContact
+from umberward.core.settings import OperatorSettings, validate
 from umberward.core.types import Instant, JobId, MachineId
-from umberward.decisions.lateness import Wait, put_off
-from umberward.decisions.relays import MOST, News
 from umberward.protocol.http import Request
+from umberward.scheduling.deadline_triage import DeadlineJob, choose_late_jobs
+from umberward.scheduling.heartbeat_forwarding import MAX_REMEMBERED_WORKERS, DuplicateFilter
 
 
-def _waits(*pairs: tuple[float, float]) -> list[Wait]:
-    return [Wait(due, takes, JobId(f"req-{n}")) for n, (due, takes) in enumerate(pairs)]
+def _waits(*pairs: tuple[float, float]) -> list[DeadlineJob]:
+    return [DeadlineJob(due, takes, JobId(f"req-{n}")) for n, (due, takes) in enumerate(pairs)]
 
 
 @pytest.mark.parametrize(
@@ -34,34 +34,34 @@
         (_waits((-1, 2), (5, 4)), {"req-0"}),
     ],
 )
-def test_as_few_as_can_be_are_late(waits: list[Wait], late: set[str]) -> None:
-    assert put_off(waits, 0.0) == late
+def test_as_few_as_can_be_are_late(waits: list[DeadlineJob], late: set[str]) -> None:
+    assert choose_late_jobs(waits, 0.0) == late
 
 
 def test_copies_are_known_and_the_memory_of_them_is_bounded() -> None:
-    news = News()
+    news = DuplicateFilter()
     host = MachineId("i-1")
-    assert news.told(host, 1, 5)
-    assert not news.told(host, 1, 5)
-    assert not news.told(host, 1, 4)
-    assert news.told(host, 2, 1)  # a new session counts from its beginning
-    assert not news.told(host, 1, 99)
-    for number in range(MOST + 10):
-        news.told(MachineId(f"i-x{number}"), 1, 1)
-    assert len(news.latest) == MOST
+    assert news.is_new(host, 1, 5)
+    assert not news.is_new(host, 1, 5)
+    assert not news.is_new(host, 1, 4)
+    assert news.is_new(host, 2, 1)  # a new session counts from its beginning
+    assert not news.is_new(host, 1, 99)
+    for number in range(MAX_REMEMBERED_WORKERS + 10):
+        news.is_new(MachineId(f"i-x{number}"), 1, 1)
+    assert len(news.latest) == MAX_REMEMBERED_WORKERS
 
 
-def _node(peers: int) -> Node:
+def _node(peers: int) -> Controller:
     raw = raw_settings()
     raw["peers"] = [
         {"label": f"k{n}", "site": "a", "addr": f"127.0.0.1:{29380 + n}"} for n in range(peers)
     ]
-    node = Node(check(raw, Operator()))
-    node.skus.update(SKUS)
+    node = Controller(validate(raw, OperatorSettings()))
+    node.machine_types.update(SKUS)
     return node
 
 
-def _ask(node: Node, method: str, path: str) -> int:
+def _ask(node: Controller, method: str, path: str) -> int:
     async def ask() -> int:
         began = time.monotonic()
         response = await node._serve(Request(method, path, "", b""))
@@ -84,17 +84,17 @@
 def test_who_is_ready(peers: int, silent_s: float, told: float | None, ready: int) -> None:
     node = _node(peers)
     now = time.monotonic()
-    node.membership.good = Instant(now - silent_s)
+    node.election.renewed_at = Instant(now - silent_s)
     if silent_s > 1.0:
-        node.peers.asked_since = now - silent_s
+        node.peers.contact_asked_since = now - silent_s
     if told is not None:
-        node.peers.contact["k1"] = Told(now, told, 0.1, None)
+        node.peers.contacts["k1"] = PeerContact(now, told, 0.1, None)
     assert _ask(node, "GET", "/ready") == ready
 
 
 def test_without_the_state_service_users_are_refused_at_once() -> None:
     node = _node(2)
-    node.membership.good = Instant(time.monotonic() - 60.0)
+    node.election.renewed_at = Instant(time.monotonic() - 60.0)
     assert _ask(node, "GET", "/v1/jobs/req-000001") == 503
     assert _ask(node, "POST", "/v1/jobs/req-000001/cancel") == 503
 
@@ -110,10 +110,10 @@
     game.do_run("3")
     scheduler = game.world.scheduler
     assert scheduler is not None
-    writes, looks = game.world.store.written, scheduler.considered
+    writes, looks = game.world.store.written, scheduler.jobs_examined
     game.do_run("20")
     assert sum(game.world.starts.values()) >= 60
-    return game.world.store.written - writes, scheduler.considered - looks
+    return game.world.store.written - writes, scheduler.jobs_examined - looks
 
 
 def test_a_start_and_an_end_cost_the_same_in_a_job_of_any_size() -> None:
@@ -141,8 +141,8 @@
     game.do_machine("m2", "small", "a")
     game.do_run("2")
     other = world.workers["m2"]
-    assert other.direct(command.epoch, command.tenure, command.orders)
-    scheduler.commanded(command, other.report(), False, Instant(world.now))
+    assert other.direct(command.fencing_token, command.incarnation, command.commands)
+    scheduler.command_completed(command, other.report(), False, Instant(world.now))
     game.do_run("15")
     assert not world.broken
     assert game.see_where("req-000001") == "m2" and game.see_starts("req-000001/0") == 1
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -80,5 +80,5 @@
     for number in range(1, jobs + 1):
         game.do_poll(f"req-{number:06}")
         assert game.see_status() == 200
-    placed = sum(len(job.placed) for job in game.world.scheduler.jobs.values())
+    placed = sum(len(job.placements) for job in game.world.scheduler.jobs.values())
     assert placed == min(6, 2 + 2 * jobs)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -17,8 +17,8 @@
 from click.testing import CliRunner
 
 from umberward.cli import main as cli
-from umberward.core import loop
-from umberward.core.settings import Team
+from umberward.core import event_loop
+from umberward.core.settings import TeamQuota
 from umberward.local.links import HELD, LinkFault
 from umberward.soak import plan
 from umberward.soak.checker import LEFT_WAITING_S, UNTOLD_S, Checker
@@ -44,7 +44,7 @@
 
 def judged(*events: Event, until: float = 0.0, calm: bool = False) -> list[str]:
     """The rules that the history breaks, each named once."""
-    checker = Checker([Team("red", cpus_max=4.0), Team("blue")], CANCEL_S)
+    checker = Checker([TeamQuota("red", cpus_max=4.0), TeamQuota("blue")], CANCEL_S)
     for event in (machine("m1"), machine("m2"), machine("m3", zone="b", spot=True), *events):
         checker.observe(event)
         checker.tick(event.at)
@@ -60,10 +60,16 @@
 
 
 def job(
-    shards: int = 1, owner: str = "blue", shape: str = "batch", cores: float = 1.0,
-    yard: str | None = None, same_place: bool = False, apart: bool = False,
-    reclaimable: bool = True, why_unfit: str = "",
-) -> Submitted:  # fmt: skip
+    shards: int = 1,
+    owner: str = "blue",
+    shape: str = "batch",
+    cores: float = 1.0,
+    yard: str | None = None,
+    same_place: bool = False,
+    apart: bool = False,
+    reclaimable: bool = True,
+    why_unfit: str = "",
+) -> Submitted:
     return Submitted(
         1.0, JOB, owner, shape, shards, cores, yard, same_place, apart, reclaimable, why_unfit
     )
@@ -92,7 +98,10 @@
 KEPT: dict[str, tuple[Event, ...]] = {
     "a plain job": (*ACCEPTED, starts(2.0), ends(3.0), told(4.0, "done"), told(5.0, "done")),
     "again after its end": (
-        *ACCEPTED, starts(2.0), ends(3.0, cause="stopped"), starts(4.0, "m2", 2),
+        *ACCEPTED,
+        starts(2.0),
+        ends(3.0, cause="stopped"),
+        starts(4.0, "m2", 2),
     ),
     "again after a session": (*ACCEPTED, starts(2.0), SessionOver(3.0, "m1"), starts(4.0, "m2", 2)),
     "late, in flight": (*CANCELLED, starts(3.0, sent_at=2.0), ends(4.0, cause="stopped")),
@@ -100,60 +109,83 @@
     "a question without an answer": (*ACCEPTED, told(2.0, "", status=0)),
     "refused": (job(why_unfit="cores"), told(1.2, "", "submit", 422)),
     "a gang that is done by one": (
-        job(2, shape="ensemble"), told(1.2, "pending", "submit", 201), starts(2.0), ends(3.0),
+        job(2, shape="ensemble"),
+        told(1.2, "pending", "submit", 201),
+        starts(2.0),
+        ends(3.0),
         told(4.0, "done"),
     ),
     "killed by the soak": (ProcessEnded(1.0, "keeper-0", -9, True),),
-}  # fmt: skip
+}
 
 BROKEN: dict[str, tuple[str, tuple[Event, ...]]] = {
     "two at once": ("ran_twice", (*ACCEPTED, starts(2.0), starts(3.0, "m2", 2))),
     "the same attempt anew": (
-        "restarted", (*ACCEPTED, starts(2.0), ends(3.0, cause="stopped"), starts(4.0)),
+        "restarted",
+        (*ACCEPTED, starts(2.0), ends(3.0, cause="stopped"), starts(4.0)),
     ),
     "sent after a cancellation": (
-        "ran_cancelled", (*CANCELLED, starts(2.2 + UNTOLD_S), ends(2.3 + UNTOLD_S)),
+        "ran_cancelled",
+        (*CANCELLED, starts(2.2 + UNTOLD_S), ends(2.3 + UNTOLD_S)),
     ),
     "runs on after a cancellation": (
         "ran_cancelled",
         (
-            *ACCEPTED, starts(1.5), *CANCELLED[2:],
+            *ACCEPTED,
+            starts(1.5),
+            *CANCELLED[2:],
             told(2.2 + CANCEL_S + 1.0, "", status=0),
         ),
     ),
     "goes on after it hung": (
         "ran_cancelled",
         (
-            *ACCEPTED, starts(1.5), MachineStill(1.6, "m1", True), *CANCELLED[2:],
+            *ACCEPTED,
+            starts(1.5),
+            MachineStill(1.6, "m1", True),
+            *CANCELLED[2:],
             MachineStill(20.0, "m1", False),
         ),
     ),
     "forgotten": ("forgotten", (*ACCEPTED, told(2.0, "", status=404))),
     "a repeat refused": ("forgotten", (*ACCEPTED, told(2.0, "", "submit", 422))),
     "older answer": ("went_back", (*CANCELLED, told(3.0, "running"))),
-    "done and cancelled": ("went_back", (*ACCEPTED, starts(2.0), ends(3.0), told(4.0, "done"),
-                                         CancelAsked(4.1, JOB), told(5.0, "cancelled"))),
+    "done and cancelled": (
+        "went_back",
+        (
+            *ACCEPTED,
+            starts(2.0),
+            ends(3.0),
+            told(4.0, "done"),
+            CancelAsked(4.1, JOB),
+            told(5.0, "cancelled"),
+        ),
+    ),
     "accepted anew": ("went_back", (*CANCELLED, told(3.0, "cancelled", "submit", 201))),
     "cancelled by nobody": ("went_back", (*ACCEPTED, told(2.0, "cancelled"))),
     "done too soon": ("not_done", (*ACCEPTED, told(2.0, "done"))),
     "invented": ("invented", (told(2.0, "pending"),)),
     "runs and was refused": ("invented", (job(why_unfit="cores"), starts(2.0))),
     "accepted though unfit": (
-        "accepted", (job(why_unfit="cores"), told(1.2, "pending", "submit", 201)),
+        "accepted",
+        (job(why_unfit="cores"), told(1.2, "pending", "submit", 201)),
     ),
     "over its limit": (
-        "quota", (job(2, "red", cores=3.0), starts(2.0), starts(2.1, "m2", 1, f"{JOB}/1")),
+        "quota",
+        (job(2, "red", cores=3.0), starts(2.0), starts(2.1, "m2", 1, f"{JOB}/1")),
     ),
     "other zone": ("wrong_place", (job(yard="b"), starts(2.0))),
     "on a spot machine": ("wrong_place", (job(reclaimable=False), starts(2.0, "m3"))),
     "not together": (
-        "wrong_place", (job(2, same_place=True), starts(2.0), starts(2.1, "m3", 1, f"{JOB}/1")),
+        "wrong_place",
+        (job(2, same_place=True), starts(2.0), starts(2.1, "m3", 1, f"{JOB}/1")),
     ),
     "not apart": (
-        "wrong_place", (job(2, apart=True), starts(2.0), starts(2.1, "m2", 1, f"{JOB}/1")),
+        "wrong_place",
+        (job(2, apart=True), starts(2.0), starts(2.1, "m2", 1, f"{JOB}/1")),
     ),
     "ended by itself": ("ended_by_itself", (ProcessEnded(1.0, "keeper-0", 1, False),)),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("what", KEPT)
@@ -259,7 +291,7 @@
     monkeypatch.setattr(SoakCluster, "_start", without_controllers)
     monkeypatch.setattr(Run, "_play", until_a_worker_runs)
     with contextlib.ExitStack() as silent:
-        result = loop.run(Run(plan.draw(1, plan.size("short"), [])).play)
+        result = event_loop.run(Run(plan.draw(1, plan.size("short"), [])).play)
     assert not result.broken
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -73,7 +73,7 @@
         try:
             found: Response = await request
             return found
-        except (http.NotSent, http.NoAnswer):
+        except (http.RequestNotSentError, http.NoResponseError):
             return None
 
     tasks = [await curio.spawn(one, request) for request in asked]
--- a/tests/test_stored_bytes.py
+++ b/tests/test_stored_bytes.py
@@ -15,11 +15,11 @@
 import msgspec
 import pytest
 
-from umberward.control import hints
-from umberward.control.peers import CancelledJobs
-from umberward.decisions.tending import Loan
+from umberward.control.peer_link import CancelledJobs
 from umberward.graphs import records
+from umberward.leader import failover_snapshot
 from umberward.protocol import wire
+from umberward.scheduling.lease_delegation import Delegation
 
 ENCODED = {
     name: bytes.fromhex(text)
@@ -30,26 +30,26 @@
 
 IN_MSGPACK: dict[str, Any] = {
     "job live": wire.JobRecord,
-    "job past": wire.FinalRecord,
+    "job past": wire.FinalJobRecord,
     "leader": wire.LeaderRecord,
     "controller": wire.ControllerRecord,
     "block": wire.BlockRecord,
-    "stored hints": hints.Hints,
-    "flavors": wire.Flavors,
+    "stored hints": failover_snapshot.FailoverSnapshot,
+    "flavors": wire.MachineTypeList,
     "graph live": records.GraphRecord,
     "graph past": records.EndRecord,
     "graph run": records.RunRecord,
     "graph page": records.PageRecord,
     "graph open": records.OpenRecord,
     "graph part": records.PartRecord,
-    "report": wire.Report,
-    "order": wire.Order,
+    "report": wire.Heartbeat,
+    "order": wire.TaskCommand,
 }
 GRAPH_TASKS = "graph tasks"
 IN_CBOR: dict[str, Any] = {
-    "peer hints": hints.Hints,
+    "peer hints": failover_snapshot.FailoverSnapshot,
     "peer cancelled": CancelledJobs,
-    "peer loan": Loan,
+    "peer loan": Delegation,
 }
 
 
@@ -61,7 +61,7 @@
 def test_what_an_earlier_version_stored(name: str) -> None:
     kind, body = IN_MSGPACK[name], ENCODED[name]
     data = msgspec.msgpack.decode(body)
-    made = wire.converted(data, kind)
+    made = wire.convert(data, kind)
     assert wire.encode(made) == body
     _has_every_field(data, kind)
 
@@ -81,8 +81,8 @@
 
 def test_hints_of_another_controller() -> None:
     body = ENCODED["peer hints"]
-    found = hints.loads(body)
-    assert found is not None and hints.dumps(found) == body
+    found = failover_snapshot.decode_snapshot(body)
+    assert found is not None and failover_snapshot.encode_snapshot(found) == body
 
 
 def test_tasks_of_a_stored_graph() -> None:
@@ -90,6 +90,6 @@
     assert records.pack(records.unpack(body)) == body
 
 
-@pytest.mark.parametrize("read", [wire.decode_report, wire.decode_head])
+@pytest.mark.parametrize("read", [wire.decode_heartbeat, wire.decode_heartbeat_header])
 def test_reports_of_workers(read: Callable[[bytes], Any]) -> None:
     assert isinstance(read(ENCODED["report"]), msgspec.Struct)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -22,7 +22,7 @@
 from test_scenarios import Play
 
 from umberward.local.links import LinkFault
-from umberward.protocol.wire import LIVE
+from umberward.protocol.wire import LIVE_JOBS_PREFIX
 
 NAMES = ("k0", "k1", "k2")
 MACHINES = ("m1", "m2", "m3")
@@ -340,7 +340,11 @@
         assert not left, f"did not go on: {left}"
 
     def _live(self) -> list[str]:
-        return [key[len(LIVE) :] for key in self.world.kept() if key.startswith(LIVE)]
+        return [
+            key[len(LIVE_JOBS_PREFIX) :]
+            for key in self.world.kept()
+            if key.startswith(LIVE_JOBS_PREFIX)
+        ]
 
     def _unfinished(self) -> list[str]:
         return [id for id in self._live() if self.world.specs[id]["_runs"] < ENDLESS_S]
--- a/tests/traffic_runs.py
+++ b/tests/traffic_runs.py
@@ -31,7 +31,7 @@
 from test_troubles import EVENTS, HANGS, KEPT, PROCESSES, TROUBLES, Day
 from traffic_recorder import Digest, recording
 
-from umberward.decisions.invariants import Invariants
+from umberward.scheduling.invariants import Invariants
 
 Run = Callable[[], None]
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -15,36 +15,44 @@
 from rules import Rules
 from traffic_recorder import note
 
-from umberward.clients import state
-from umberward.control import hints, holder
-from umberward.control.mirror import Mirror
-from umberward.control.users import Users
-from umberward.core.settings import Operator, check
+from umberward.clients import state_client
+from umberward.control.job_api import JobApi
+from umberward.control.job_state_cache import JobStateCache
+from umberward.core.settings import OperatorSettings, validate
 from umberward.core.types import (
-    Epoch,
+    ControllerName,
+    FencingToken,
     Instant,
     JobId,
     Key,
     MachineId,
-    NodeName,
+    MachineTypeName,
     Revision,
-    Stamp,
-    TypeName,
+    Version,
     WallTime,
 )
-from umberward.decisions import records
-from umberward.decisions.cluster import Command, Probe
-from umberward.decisions.commands import CommandQueue
-from umberward.decisions.provision import Provisioner
-from umberward.decisions.scheduler import Scheduler
-from umberward.decisions.tending import Borrower, Bounds
+from umberward.leader import failover_snapshot, leader_loop
 from umberward.local import statecore
 from umberward.local.statecore import StateCore
 from umberward.local.workercore import Fate, Task, WorkerCore
-from umberward.protocol import changes, wire
-from umberward.protocol.changes import Got
+from umberward.protocol import transactions, wire
 from umberward.protocol.http import Response
-from umberward.protocol.wire import BLOCKS, LIVE, PAST, JobRecord, Report, Sku, Spec
+from umberward.protocol.transactions import VersionedValue
+from umberward.protocol.wire import (
+    BLOCKS_PREFIX,
+    FINAL_JOBS_PREFIX,
+    LIVE_JOBS_PREFIX,
+    Heartbeat,
+    JobRecord,
+    JobSpec,
+    MachineType,
+)
+from umberward.scheduling import job_records
+from umberward.scheduling.autoscaler import Autoscaler
+from umberward.scheduling.cluster_state import DirectCommand, Probe
+from umberward.scheduling.command_queue import CommandQueue
+from umberward.scheduling.lease_delegation import Delegate, LeaseBounds
+from umberward.scheduling.scheduler import Scheduler
 
 STEP = 0.1
 
@@ -78,11 +86,13 @@
 
 
 SKUS = {
-    TypeName(sku.sku): sku
+    MachineTypeName(sku.name): sku
     for sku in (
-        Sku("small", 4.0, 16.0, 0.2, 10.0, ["a", "b"], local_gb=50.0, low_price=0.1),
-        Sku("big", 32.0, 128.0, 3.0, 10.0, ["a", "b"], local_gb=50.0),
-        Sku("accel", 32.0, 128.0, 9.0, 10.0, ["a", "b"], accelerators=4.0, local_gb=50.0),
+        MachineType("small", 4.0, 16.0, 0.2, 10.0, ["a", "b"], image_cache_gb=50.0, spot_price=0.1),
+        MachineType("big", 32.0, 128.0, 3.0, 10.0, ["a", "b"], image_cache_gb=50.0),
+        MachineType(
+            "accel", 32.0, 128.0, 9.0, 10.0, ["a", "b"], accelerators=4.0, image_cache_gb=50.0
+        ),
     )
 }
 
@@ -108,37 +118,37 @@
     def written(self) -> int:
         return self.core.written
 
-    async def get(self, key: Key, *_: Any, **__: Any) -> Got | None:
+    async def get(self, key: Key, *_: Any, **__: Any) -> VersionedValue | None:
         self.requests += 1
         await curio.sleep(0)  # others run meanwhile
         note("read", key, self.mode)
         if self.mode == "down":
-            raise state.Unavailable("down")
+            raise state_client.StateUnavailableError("down")
         return self.keys.get(key)
 
-    async def entries(self, prefix: str) -> tuple[list[wire.Entry], Revision]:
+    async def list_all(self, prefix: str) -> tuple[list[wire.KeyValue], Revision]:
         self.requests += 1
         note("list", prefix, self.mode)
         if self.mode == "down":
-            raise state.Unavailable("down")
-        found: list[wire.Entry] = []
+            raise state_client.StateUnavailableError("down")
+        found: list[wire.KeyValue] = []
         while True:
-            page = self.core.entries(prefix, found[-1].path if found else "")
+            page = self.core.entries(prefix, found[-1].key if found else "")
             found += page.entries
             if not page.more:
-                return found, Revision(page.generation)
+                return found, Revision(page.revision)
 
     async def watch(
         self, prefix: str, after: Revision, *_: Any
-    ) -> tuple[list[wire.Change], Revision]:
+    ) -> tuple[list[wire.KeyChange], Revision]:
         self.requests += 1
         note("watch", prefix, after, self.mode)
         if self.mode == "down":
-            raise state.Unavailable("down")
+            raise state_client.StateUnavailableError("down")
         try:
             news = self.core.news(prefix, after)
-        except statecore.TooOld:
-            raise state.TooOld from None
+        except statecore.RevisionCompactedError:
+            raise state_client.RevisionCompactedError from None
         revision = Revision(self.revision)
         meanwhile, self.meanwhile = self.meanwhile, None
         if meanwhile is not None:
@@ -150,38 +160,38 @@
         conditions = list(conditions)
         note("commit", conditions, writes, self.mode)
         if self.mode == "down":
-            raise state.Unavailable("down")
+            raise state_client.StateUnavailableError("down")
         if self.mode == "late":
             self.pending.append((conditions, writes))
-            raise state.Unknown("no answer")
+            raise state_client.UnknownOutcomeError("no answer")
         self.apply(conditions, writes)
         if self.mode == "lost":
-            raise state.Unknown("no answer")
+            raise state_client.UnknownOutcomeError("no answer")
         return Revision(self.revision)
 
     def apply(self, conditions: Any, writes: Any) -> None:
         try:
             self.core.commit(conditions, writes)
-        except statecore.Failed as error:
+        except statecore.CompareFailedError as error:
             note("applied", conditions, writes, "conflict", error.keys)
-            raise state.Conflict(str(error)) from None
-        except statecore.Refused as error:
+            raise state_client.CompareAndSwapError(str(error)) from None
+        except statecore.InvalidRequestError as error:
             note("applied", conditions, writes, "refused")
             self.refused.append(str(error))
-            raise state.TooLarge("400") from None
+            raise state_client.ValueTooLargeError("400") from None
         note("applied", conditions, writes, self.revision)
         self.applied()
 
     def keep(self, path: str, data: Any) -> None:
         """A record that stands there already, whatever its size."""
         self.core.revision += 1
-        self.keys[path] = Got(data, Stamp(self.revision))
+        self.keys[path] = VersionedValue(data, Version(self.revision))
 
     def deliver_late(self) -> None:
         for conditions, writes in self.pending:
             try:
                 self.apply(conditions, writes)
-            except state.Conflict:
+            except state_client.CompareAndSwapError:
                 continue
         self.pending.clear()
 
@@ -189,7 +199,7 @@
 class HeldCommand:
     """A direct command on its way. Its sender waits until `gives_up_at`, None: it has given up."""
 
-    def __init__(self, command: Command, sender: Scheduler, gives_up_at: float) -> None:
+    def __init__(self, command: DirectCommand, sender: Scheduler, gives_up_at: float) -> None:
         self.command = command
         self.sender = sender
         self.gives_up_at: float | None = gives_up_at
@@ -200,11 +210,19 @@
 
     def __init__(self, world: World, host: str, flavor: str, zone: str, spot: bool) -> None:
         times = world.settings.platform.cluster.workers
-        sku = SKUS[TypeName(flavor)]
+        sku = SKUS[MachineTypeName(flavor)]
         super().__init__(
-            host, "127.0.0.1:9", sku, zone, spot, times, world.mates, world.describe, self._fate,
+            host,
+            "127.0.0.1:9",
+            sku,
+            zone,
+            spot,
+            times,
+            world.mates,
+            world.describe,
+            self._fate,
             world.now,
-        )  # fmt: skip
+        )
         self.world = world
         self.report_at = world.now
         self.sick = False
@@ -220,7 +238,7 @@
         self.holding = False  # direct commands are held back and delivered later
         self.held: list[HeldCommand] = []
 
-    def _fate(self, name: str, spec: Spec) -> Fate:
+    def _fate(self, name: str, spec: JobSpec) -> Fate:
         return Fate(0.3) if self.sick else self.world.fate(name, spec)
 
     def start(self, name: str, attempt: int) -> None:
@@ -240,21 +258,23 @@
     workers: dict[str, Worker]  # type: ignore[assignment]
 
     def __init__(
-        self, raw: dict[str, Any] | None = None, operator: Operator | None = None
-    ) -> None:  # fmt: skip
-        self.settings = check(raw or raw_settings(), operator or Operator())
+        self, raw: dict[str, Any] | None = None, operator: OperatorSettings | None = None
+    ) -> None:
+        self.settings = validate(raw or raw_settings(), operator or OperatorSettings())
         super().__init__(self.settings.platform.cluster, SKUS.values())
         self.now = 100.0
         self.store = FakeState()
         self.scheduler: Scheduler | None = None
-        self.provisioner: Provisioner | None = None
+        self.provisioner: Autoscaler | None = None
         self.epoch = 0
         self.seen_revision = 0
         self.placing = True
         self.watching = True
         self.cloud_up = True
-        self.mirror = Mirror(self.settings, self.store, lambda: self.now)  # type: ignore[arg-type]
-        self.users = Users(self.settings, self.store, self.mirror, SKUS, lambda: WallTime(self.now))  # type: ignore[arg-type]
+        self.mirror = JobStateCache(self.settings, self.store, lambda: self.now)  # type: ignore[arg-type]
+        self.users = JobApi(
+            self.settings, self.store, self.mirror, SKUS, lambda: WallTime(self.now)
+        )  # type: ignore[arg-type]
         self.frozen = False  # the leader stands still, its clock goes on
         self.probes = 0
         self.store.applied = self._check_blocks
@@ -265,10 +285,10 @@
         self.lost_commands: list[HeldCommand] = []  # that never arrive, and are not given up yet
         times = self.settings.platform.cluster.workers
         self.led_since = self.now
-        self.tend_s = Bounds(times).tend_s  # for so long the former one answers
+        self.tend_s = LeaseBounds(times).keepalive_s  # for so long the former one answers
         # The other controllers, with the zone of each, and the zones that are cut off.
         self.borrowers = {
-            peer.label: (peer.site, Borrower(self.settings.platform.cluster.workers))
+            peer.label: (peer.site, Delegate(self.settings.platform.cluster.workers))
             for peer in self.settings.platform.peers
         }
         self.apart: set[str] = set()
@@ -283,29 +303,35 @@
     def succeed(self) -> None:
         """Another controller takes over, and has heard what the last leader had learnt."""
         assert self.scheduler is not None and self.provisioner is not None
-        told = hints.dumps(hints.gather(self.scheduler, self.provisioner, Instant(self.now)))
+        told = failover_snapshot.encode_snapshot(
+            failover_snapshot.take_snapshot(self.scheduler, self.provisioner, Instant(self.now))
+        )
         note("hints", told)
         self.take_blocks()
-        found = hints.loads(told)
+        found = failover_snapshot.decode_snapshot(told)
         assert found is not None
-        hints.recall(found, 1.0, self.scheduler, self.provisioner, Instant(self.now))
+        failover_snapshot.restore_snapshot(
+            found, 1.0, self.scheduler, self.provisioner, Instant(self.now)
+        )
         self.take_jobs()
 
     def restart(self) -> None:
         """All controllers ended at once: the new leader has what the last one stored."""
         assert self.scheduler is not None and self.provisioner is not None
-        told = hints.gather(self.scheduler, self.provisioner, Instant(self.now))
-        for number, part in enumerate(hints.parts(told, 2, 1000)):
-            self.store.apply([], [changes.put(Key(f"{wire.HINTS}{number}"), part)])
+        told = failover_snapshot.take_snapshot(self.scheduler, self.provisioner, Instant(self.now))
+        for number, part in enumerate(failover_snapshot.split_snapshot(told, 2, 1000)):
+            self.store.apply([], [transactions.put(Key(f"{wire.SNAPSHOT_PREFIX}{number}"), part)])
         self.take_blocks()
         for key, got in sorted(self.store.keys.items()):
-            if key.startswith(wire.HINTS):
-                found = wire.converted(got.data, hints.Hints)
-                hints.recall(found, 15.0, self.scheduler, self.provisioner, Instant(self.now))
+            if key.startswith(wire.SNAPSHOT_PREFIX):
+                found = wire.convert(got.data, failover_snapshot.FailoverSnapshot)
+                failover_snapshot.restore_snapshot(
+                    found, 15.0, self.scheduler, self.provisioner, Instant(self.now)
+                )
         self.take_jobs()
 
     def take_blocks(self) -> None:
-        self.store.apply([], [changes.put(Key("leader"), {"node": "n", "nonce": "x"})])
+        self.store.apply([], [transactions.put(Key("leader"), {"node": "n", "nonce": "x"})])
         self.epoch = self.store.revision
         self.led_since = self.now
         if self.scheduler is not None:
@@ -313,7 +339,7 @@
         made = Scheduler(
             self.settings,
             SKUS,
-            Epoch(self.epoch),
+            FencingToken(self.epoch),
             Instant(self.now),
             lambda: WallTime(self.now),
             self.rng,
@@ -321,23 +347,25 @@
         self.scheduler = made
         self.commands = CommandQueue(made, lambda: True)
         self.lost_commands = []
-        self.provisioner = Provisioner(made, f"n-{self.epoch}", Instant(self.now))
+        self.provisioner = Autoscaler(made, f"n-{self.epoch}", Instant(self.now))
         for key, got in list(self.store.keys.items()):
-            if key.startswith(BLOCKS):
-                record = wire.converted(got.data, wire.BlockRecord)
-                made.load_block(int(key[len(BLOCKS) :]), record, got.stamp, Instant(self.now))
+            if key.startswith(BLOCKS_PREFIX):
+                record = wire.convert(got.data, wire.BlockRecord)
+                made.load_block(
+                    int(key[len(BLOCKS_PREFIX) :]), record, got.version, Instant(self.now)
+                )
 
     def take_jobs(self) -> None:
         made = self.scheduler
         assert made is not None
         for key, got in list(self.store.keys.items()):
-            if key.startswith(LIVE):
-                made.job_put(wire.converted(got.data, JobRecord), got.stamp)
-        records.take_ends(made, self.store.core.news(PAST, 0))
-        made.load_done()
+            if key.startswith(LIVE_JOBS_PREFIX):
+                made.put_job(wire.convert(got.data, JobRecord), got.version)
+        job_records.apply_final_records(made, self.store.core.news(FINAL_JOBS_PREFIX, 0))
+        made.finish_loading()
         self.seen_revision = self.store.revision
 
-    def kept(self) -> dict[Key, Got]:
+    def kept(self) -> dict[Key, VersionedValue]:
         return self.store.keys  # type: ignore[return-value]
 
     def gone(self, worker: Worker) -> bool:  # type: ignore[override]
@@ -362,8 +390,10 @@
         base = data.get("base", 0)
         done = [n for n in range(spec["shards"]) if n < base or bits >> (n - base) & 1]
         self.specs[spec["uid"]] = {
-            **spec, "_runs": 10.0, "_done": {f"{spec['uid']}/{n}" for n in done}
-        }  # fmt: skip
+            **spec,
+            "_runs": 10.0,
+            "_done": {f"{spec['uid']}/{n}" for n in done},
+        }
 
     def submit(self, spec: Any) -> Response:
         body = spec if isinstance(spec, bytes) else wire.encode(spec)
@@ -418,8 +448,8 @@
         self.mirror, self.users = mirror, users
 
     def _other_controller(self) -> None:
-        self.mirror = Mirror(self.settings, self.store, lambda: self.now)  # type: ignore[arg-type]
-        self.users = Users(self.settings, self.store, self.mirror, SKUS, self.users.wall)  # type: ignore[arg-type]
+        self.mirror = JobStateCache(self.settings, self.store, lambda: self.now)  # type: ignore[arg-type]
+        self.users = JobApi(self.settings, self.store, self.mirror, SKUS, self.users.wall)  # type: ignore[arg-type]
 
     def poll_elsewhere(self, id: str) -> Response:
         """At a controller that was started just now."""
@@ -487,28 +517,28 @@
             now = Instant(self.now)
             scheduler.wake(now)
             if self.watching and self.store.mode != "down":
-                records.take_changes(scheduler, self.store.core.news("", self.seen_revision))
+                job_records.apply_changes(scheduler, self.store.core.news("", self.seen_revision))
                 self._look_up(scheduler)
                 self.seen_revision = self.store.revision
-                scheduler.known = now
+                scheduler.jobs_read_at = now
             if self.store.mode != "down":
                 self._lend(scheduler, now)
             self._give_up(scheduler, now)
             scheduler.tick(now)
-            if scheduler.token_raises.wanted and self.store.mode == "ok":
-                self.store.apply([], [changes.put(Key("term"), 1)])
-                scheduler.next_epoch(Epoch(self.store.revision))
+            if scheduler.token_rotation.wanted and self.store.mode == "ok":
+                self.store.apply([], [transactions.put(Key("term"), 1)])
+                scheduler.token_rotated(FencingToken(self.store.revision))
                 self.epoch = self.store.revision
             if self.placing and self.store.mode != "down":
-                scheduler.place(now)
+                scheduler.run_pass(now)
             self._flush(scheduler)
             self._write(scheduler)
             self._flush(scheduler)
             self._sweep(scheduler, now)
             if self.cloud_up and self.provisioner is not None:
-                for machine in self.provisioner.unreachable(now):
+                for machine in self.provisioner.machines_to_abandon(now):
                     machine.returning = True
-                gone = [id for id in self.provisioner.deletions(now) if id in self.workers]
+                gone = [id for id in self.provisioner.machines_to_delete(now) if id in self.workers]
                 for id in gone:
                     note("machine deleted", id, self.now)
                     self.delete(id)
@@ -516,45 +546,49 @@
 
     def _lend(self, scheduler: Scheduler, now: Instant) -> None:
         for name, (zone, borrower) in self.borrowers.items():
-            if zone not in self.apart and now - borrower.asked >= 1.0:
-                loan = scheduler.lend(NodeName(name), borrower.serial, borrower.idle, now)
+            if zone not in self.apart and now - borrower.asked_at >= 1.0:
+                loan = scheduler.delegate(
+                    ControllerName(name), borrower.serial, borrower.unused, now
+                )
                 if loan is not None:
                     note("loan", name, loan)
-                    borrower.keep(loan, now, now)
+                    borrower.accept(loan, now, now)
 
     def _sweep(self, scheduler: Scheduler, now: Instant) -> None:
         if now < self.sweep_at or self.store.mode == "down" or not scheduler.loaded:
             return
-        self.sweep_at = now + holder.SWEEP_S
-        entries = self.store.core.entries(LIVE, "").entries
-        for id in scheduler.swept(entries, now):
-            records.take_missed(scheduler, id, self.store.keys[Key(LIVE + id)], now)
-        scheduler.mend(now)
+        self.sweep_at = now + leader_loop.SWEEP_INTERVAL_S
+        entries = self.store.core.entries(LIVE_JOBS_PREFIX, "").entries
+        for id in scheduler.find_unknown_jobs(entries, now):
+            job_records.apply_unknown_job(
+                scheduler, id, self.store.keys[Key(LIVE_JOBS_PREFIX + id)], now
+            )
+        scheduler.repair(now)
 
     def _look_up(self, scheduler: Scheduler) -> None:
-        for id in list(scheduler.pipelines.graph.unknown):
-            found = self.store.keys.get(Key(PAST + id))
+        for id in list(scheduler.waiting_jobs.graph.unresolved_ids):
+            found = self.store.keys.get(Key(FINAL_JOBS_PREFIX + id))
             if found is not None:
-                records.take_end(scheduler, id, found.data)
+                job_records.apply_final_record(scheduler, id, found.data)
 
     def _write(self, scheduler: Scheduler) -> None:
         for _ in range(5):
-            batch = scheduler.writer.next_batch(Instant(self.now))
+            batch = scheduler.writer.next_transaction(Instant(self.now))
             if batch is None or self.store.mode == "down":
                 return
             try:
                 revision = curio.run(self.store.commit, batch.conditions, batch.writes)
-            except state.TooLarge:
+            except state_client.ValueTooLargeError:
                 return
-            except (state.Conflict, state.Unknown):
+            except (state_client.CompareAndSwapError, state_client.UnknownOutcomeError):
                 for key, _ in batch.conditions:
-                    scheduler.reread(key, self.store.keys.get(key))
+                    scheduler.reconcile_key(key, self.store.keys.get(key))
                 return
-            scheduler.committed(batch, Stamp(revision), Instant(self.now))
+            scheduler.transaction_committed(batch, Version(revision), Instant(self.now))
 
     def _flush(self, scheduler: Scheduler) -> None:
         for _ in range(6):
-            out, scheduler.out = scheduler.out, []
+            out, scheduler.outbox = scheduler.outbox, []
             if not out:
                 return
             for item in out:
@@ -564,18 +598,23 @@
                 if isinstance(item, Probe):
                     self.probes += 1
                     note("probe", item.machine, silent, self.now)
-                    scheduler.probed(item, None if silent else worker.report(), now)
+                    scheduler.probe_completed(item, None if silent else worker.report(), now)
                     continue
                 self._send(scheduler, self.commands.submit(item), now)
 
-    def _send(self, scheduler: Scheduler, command: Command | None, now: Instant) -> None:
+    def _send(self, scheduler: Scheduler, command: DirectCommand | None, now: Instant) -> None:
         """One command at a time is under way to each machine, as with the daemon."""
         while command is not None:
             note(
-                "command", command.machine, command.epoch, command.tenure, command.orders, self.now
+                "command",
+                command.machine,
+                command.fencing_token,
+                command.incarnation,
+                command.commands,
+                self.now,
             )
             worker = self.workers.get(command.machine)
-            gives_up_at = now + holder.DO_TIMEOUT_S
+            gives_up_at = now + leader_loop.COMMAND_TIMEOUT_S
             if worker is not None and worker.holding:
                 worker.held.append(HeldCommand(command, scheduler, gives_up_at))
                 return
@@ -585,8 +624,8 @@
                 return
             unreachable = worker is None or worker.dead or worker.cut
             report = None if unreachable else self._do(worker, command)  # type: ignore[arg-type]
-            scheduler.commanded(command, report, False, now)
-            command = self.commands.ended(command.machine)
+            scheduler.command_completed(command, report, False, now)
+            command = self.commands.completed(command.machine)
 
     def _give_up(self, scheduler: Scheduler, now: Instant) -> None:
         """Commands that had no answer within the daemon's time-out."""
@@ -594,8 +633,8 @@
         for one in [*held, *self.lost_commands]:
             if one.sender is scheduler and one.gives_up_at is not None and now >= one.gives_up_at:
                 one.gives_up_at = None
-                scheduler.commanded(one.command, None, True, now)
-                self._send(scheduler, self.commands.ended(one.command.machine), now)
+                scheduler.command_completed(one.command, None, True, now)
+                self._send(scheduler, self.commands.completed(one.command.machine), now)
         self.lost_commands = [one for one in self.lost_commands if one.gives_up_at is not None]
 
     def release(self, name: str) -> None:
@@ -607,15 +646,15 @@
             report = self._do(worker, one.command)
             if one.gives_up_at is not None and one.sender is self.scheduler:
                 now = Instant(self.now)
-                one.sender.commanded(one.command, report, False, now)
-                self._send(one.sender, self.commands.ended(worker.host), now)  # type: ignore[arg-type]
+                one.sender.command_completed(one.command, report, False, now)
+                self._send(one.sender, self.commands.completed(worker.host), now)  # type: ignore[arg-type]
 
     def delete(self, name: str) -> None:
         del self.workers[name]
         if self.scheduler is not None:
-            self.scheduler.removed([name], Instant(self.now))  # type: ignore[list-item]
+            self.scheduler.remove_machines([name], Instant(self.now))  # type: ignore[list-item]
         if self.provisioner is not None:
-            self.provisioner.removed([name])  # type: ignore[list-item]
+            self.provisioner.machines_removed([name])  # type: ignore[list-item]
 
     # ---- workers -----------------------------------------------------------------------
 
@@ -657,15 +696,17 @@
         if worker.astray and self.former and self.now - self.led_since < self.tend_s:
             holder = self.former[-1]  # it answers still, as it knows of no other
         assert holder is not None
-        orders = holder.hello(wire.decode_head(body), body, Instant(self.now))
-        note("report", body, holder.epoch, orders, self.now)
+        orders = holder.receive_heartbeat(
+            wire.decode_heartbeat_header(body), body, Instant(self.now)
+        )
+        note("report", body, holder.fencing_token, orders, self.now)
         if orders is None and holder is not self.scheduler:
             worker.astray = False  # sent away, it looks for another controller
         if orders is None or worker.deaf or worker.oneway or self.now - sent > 4.0:
             return
         if self.store.mode == "down" or holder is not self.scheduler:
             orders = [order for order in orders if order.verb == wire.KILL]
-        worker.answered(Instant(sent), tenure, holder.epoch, orders)
+        worker.answered(Instant(sent), tenure, holder.fencing_token, orders)
 
     def copy(self, said: deque[tuple[float, bytes]], age: float) -> None:
         """A late copy arrives of the latest report that is at least so old."""
@@ -673,14 +714,23 @@
         body = next((body for sent, body in reversed(said) if self.now - sent >= age), None)
         if body is not None:
             # Nobody waits for an answer to it.
-            orders = self.scheduler.hello(wire.decode_head(body), body, Instant(self.now))
+            orders = self.scheduler.receive_heartbeat(
+                wire.decode_heartbeat_header(body), body, Instant(self.now)
+            )
             note("copied report", body, orders, self.now)
             self._flush(self.scheduler)
 
-    def _do(self, worker: Worker, command: Command) -> Report:
-        worker.direct(command.epoch, command.tenure, command.orders)
+    def _do(self, worker: Worker, command: DirectCommand) -> Heartbeat:
+        worker.direct(command.fencing_token, command.incarnation, command.commands)
         report = worker.report()
-        note("command done", command.epoch, command.tenure, command.orders, report, self.now)
+        note(
+            "command done",
+            command.fencing_token,
+            command.incarnation,
+            command.commands,
+            report,
+            self.now,
+        )
         return report
 
     def _check_ready(self) -> None:
@@ -688,8 +738,8 @@
         scheduler = self.scheduler
         if scheduler is None:
             return
-        usable, free = scheduler.survey()
-        found = {m.id: m.free(SKUS[m.type]) for m in scheduler.machines.values() if m.usable}
+        usable, free = scheduler.schedulable_room()
+        found = {m.id: m.free(SKUS[m.type]) for m in scheduler.machines.values() if m.schedulable}
         if found != free or {m.id for m in usable} != set(found):
             self.broken.append(f"kept of machines: {sorted(free)}, found {sorted(found)}")
 
@@ -697,7 +747,7 @@
         """No session is taken for over that its worker still lives in."""
         for machine in self.scheduler.machines.values() if self.scheduler is not None else ():
             worker = self.workers.get(machine.id)
-            if worker is not None and not worker.dead and worker.tenure < machine.min_tenure:
+            if worker is not None and not worker.dead and worker.tenure < machine.min_incarnation:
                 self.broken.append(f"session of {machine.id} taken for over")
 
     def _check_invariants(self) -> None:
@@ -716,7 +766,7 @@
         stored = {
             name
             for key, got in self.store.keys.items()
-            if key.startswith(BLOCKS)
+            if key.startswith(BLOCKS_PREFIX)
             for name in got.data["hosts"]
         }
         self.blocked = (self.blocked | stored) & set(self.workers)
--- a/tools/measure_graphs.py
+++ b/tools/measure_graphs.py
@@ -20,9 +20,9 @@
 from umberward.core.types import JobId
 from umberward.graphs.model import File, GraphId, Options, Shape, Task, job_id
 from umberward.local import example
-from umberward.local.cluster import LocalCluster, Plan
+from umberward.local.cluster import ClusterPlan, LocalCluster
 from umberward.protocol import wire
-from umberward.protocol.wire import ARRAY, Sku
+from umberward.protocol.wire import ARRAY, MachineType
 
 LONGEST_S = 900.0
 WARM_UP_JOB = 900_000
@@ -68,12 +68,12 @@
 
 
 async def measure(file: File, way: str, machines: int) -> Run:
-    sku = Sku("large", 32.0, 128.0, 1.6, 2.0, ["a", "b"], local_gb=50.0)
-    async with LocalCluster.running(Plan(machines=[sku])) as cluster:
+    sku = MachineType("large", 32.0, 128.0, 1.6, 2.0, ["a", "b"], image_cache_gb=50.0)
+    async with LocalCluster.running(ClusterPlan(machines=[sku])) as cluster:
         # A free cluster: an array that needs the room is done before the clock starts.
         warm = example.job(WARM_UP_JOB, ARRAY, 32 * machines, expect_s=1.0)
         await example.ask(cluster, "POST", "/v1/jobs", wire.encode(warm))
-        await example.wait_for(cluster, f"/v1/jobs/{warm.uid}", ("done",))
+        await example.wait_for(cluster, f"/v1/jobs/{warm.job_id}", ("done",))
         shape = Shape(file.tasks)
         before = _books(cluster)
         began = time.monotonic()
@@ -107,9 +107,15 @@
     for position, uid in enumerate(uids):
         needs = [uids[need] for need in shape.needs[position]]
         spec = example.job(
-            FIRST_JOB + position, ARRAY, 1, uid=uid, expect_s=file.tasks[0].expect_s, mem_gb=0.1,
-            waits_on=needs or None, pull_gb=0.0,
-        )  # fmt: skip
+            FIRST_JOB + position,
+            ARRAY,
+            1,
+            uid=uid,
+            expect_s=file.tasks[0].expect_s,
+            mem_gb=0.1,
+            waits_on=needs or None,
+            pull_gb=0.0,
+        )
         response = await example.ask(cluster, "POST", "/v1/jobs", wire.encode(spec))
         assert response.status in (200, 201), response
     return [f"{uid}/0" for uid in uids]
@@ -127,9 +133,11 @@
 @click.command()
 @click.option("--tasks", default=1000, show_default=True, type=click.IntRange(1, 10_000))
 @click.option(
-    "--shape", type=click.Choice(["wide", "deep", "diamond", "random"]), default="random",
+    "--shape",
+    type=click.Choice(["wide", "deep", "diamond", "random"]),
+    default="random",
     show_default=True,
-)  # fmt: skip
+)
 @click.option("--as", "ways", type=click.Choice(["graph", "jobs"]), multiple=True)
 @click.option("--run", "run_s", default=0.2, show_default=True, help="Seconds that a task runs.")
 @click.option("--machines", default=4, show_default=True, help="Of 32 cores, at the start.")
--- a/tools/regress/__main__.py
+++ b/tools/regress/__main__.py
@@ -152,9 +152,15 @@
 @click.option("--only", default="", help="Only deployments whose names contain this.")
 @click.option("--day", default="", help="Only meetings whose names contain this.")
 def _meetings(
-    why: str, jobs: int, factors: tuple[float, ...], restart_s: float, seeds: tuple[int, ...],
-    pairs: int, only: str, day: str,
-) -> None:  # fmt: skip
+    why: str,
+    jobs: int,
+    factors: tuple[float, ...],
+    restart_s: float,
+    seeds: tuple[int, ...],
+    pairs: int,
+    only: str,
+    day: str,
+) -> None:
     """Days on which two troubles meet, on both hunt deployments and on lending.
 
     Ends with 1 as `half-again` does, with 2 without the users' kit or for an unknown name.
--- a/tools/regress/meetings.py
+++ b/tools/regress/meetings.py
@@ -249,11 +249,15 @@
     last = max(fault["at_s"] + fault.get("for_s", 0.0) for fault in faults)
     cancelled = max(meeting.cancelled for meeting in met)
     return {
-        "name": name, "slot": "scale", "light": True, "seed": seed,
-        "duration_s": round(last + LAST_S, 1), "faults": faults,
+        "name": name,
+        "slot": "scale",
+        "light": True,
+        "seed": seed,
+        "duration_s": round(last + LAST_S, 1),
+        "faults": faults,
         "jobs": [{"name": job["name"], "cancelled": cancelled} for job in site["jobs"]],
         "vary": SLOW if any(meeting.slow_state for meeting in met) else {},
-    }  # fmt: skip
+    }
 
 
 def days(site: dict[str, Any], seed: int, pairs: int, only: str = "") -> list[Drawn]:
--- a/tools/regress/sites.py
+++ b/tools/regress/sites.py
@@ -66,11 +66,17 @@
     """Jobs of one short task come four a second, besides all others."""
     like = next(job for job in site["jobs"] if job["kind"] == "array")
     more = {
-        **like, "name": "small-jobs", "cpus": 1.0, "memory_gb": 1.0, "checkpoint_s": 0.0,
-        "initial": 0, "tasks": {"sizes": [1], "weights": [1.0]}, "arrivals": {"rate": 4.0},
+        **like,
+        "name": "small-jobs",
+        "cpus": 1.0,
+        "memory_gb": 1.0,
+        "checkpoint_s": 0.0,
+        "initial": 0,
+        "tasks": {"sizes": [1], "weights": [1.0]},
+        "arrivals": {"rate": 4.0},
         "run_s": {"median": 8.0, "p95": 20.0, "max": 30.0},
         "images": {"count": 3, "gb": {"median": 0.3, "p95": 0.4, "max": 0.5}, "zipf": 1.0},
-    }  # fmt: skip
+    }
     return {**site, "jobs": [*site["jobs"], more]}
 
 
--- a/umberward/cli/asking.py
+++ b/umberward/cli/asking.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from umberward.core.types import Address, parse_address
-from umberward.protocol.http import Client, NoAnswer, NotSent, Response
+from umberward.protocol.http import Client, NoResponseError, RequestNotSentError, Response
 
 
 class HostPort(click.ParamType):
@@ -25,9 +25,12 @@
 
 
 server_option = click.option(
-    "--server", required=True, envvar="UMBERWARD_SERVER", type=HostPort(),
+    "--server",
+    required=True,
+    envvar="UMBERWARD_SERVER",
+    type=HostPort(),
     help="A controller, or the load balancer before them.",
-)  # fmt: skip
+)
 
 
 def ask(server: Address, method: str, path: str, body: bytes = b"") -> Response:
@@ -36,7 +39,7 @@
 
     try:
         return curio.run(call)
-    except (NotSent, NoAnswer) as error:
+    except (RequestNotSentError, NoResponseError) as error:
         raise click.ClickException(f"no answer: {error}") from None
 
 
--- a/umberward/cli/graph.py
+++ b/umberward/cli/graph.py
@@ -33,20 +33,22 @@
 
 @graph.command()
 @click.option(
-    "--config", type=click.Path(path_type=Path),
+    "--config",
+    type=click.Path(path_type=Path),
     help="A controller's settings file: are the team and its maximum right?",
-)  # fmt: skip
+)
 @click.option(
-    "--machines", type=click.Path(path_type=Path),
+    "--machines",
+    type=click.Path(path_type=Path),
     help="Machine types as `umberward local` takes them: can they hold each task?",
-)  # fmt: skip
+)
 @click.argument("file", type=click.Path(path_type=Path))
 def check(config: Path | None, machines: Path | None, file: Path) -> None:
     """Check a graph file (TOML, or JSON by its suffix) without sending it."""
     from umberward.core.settings import SettingsError, load
-    from umberward.core.types import TypeName
+    from umberward.core.types import MachineTypeName
     from umberward.graphs.model import Shape
-    from umberward.protocol.wire import Sku
+    from umberward.protocol.wire import MachineType
 
     teams = skus = None
     try:
@@ -55,7 +57,10 @@
     except SettingsError as error:
         raise click.ClickException(str(error)) from None
     if machines is not None:
-        skus = {TypeName(sku.sku): sku for sku in read_list(machines, "machines", list[Sku])}
+        skus = {
+            MachineTypeName(sku.name): sku
+            for sku in read_list(machines, "machines", list[MachineType])
+        }
     found = _load(file, teams, skus)
     shape = Shape(found.tasks)
     needs = sum(len(some) for some in shape.needs)
@@ -130,7 +135,7 @@
 
     try:
         return files.load(file, teams, skus)
-    except files.FileError as error:
+    except files.GraphFileError as error:
         for line in error.lines:
             click.echo(line, err=True)
         raise SystemExit(2) from None
--- a/umberward/cli/load.py
+++ b/umberward/cli/load.py
@@ -15,15 +15,23 @@
 
 
 @click.command()
-@click.option("--server", "servers", required=True, multiple=True, envvar="UMBERWARD_SERVER",
-              type=HostPort(), help="A controller; may be given several times.")  # fmt: skip
+@click.option(
+    "--server",
+    "servers",
+    required=True,
+    multiple=True,
+    envvar="UMBERWARD_SERVER",
+    type=HostPort(),
+    help="A controller; may be given several times.",
+)
 @click.option("--submit", default=2.0, show_default=True, type=RATE, help="Jobs a second.")
 @click.option("--poll", default=5.0, show_default=True, type=RATE, help="Polls a second.")
 @click.option("--cancel", default=0.1, show_default=True, type=RATE, help="Cancellations a second.")
 @click.option("--graph", default=0.0, show_default=True, type=RATE, help="Graphs a second.")
 @click.option("--graph-tasks", default=50, show_default=True, type=click.IntRange(1, 10_000))
-@click.option("--tasks", default=4, show_default=True, type=click.IntRange(1, 100_000),
-              help="Of each job.")  # fmt: skip
+@click.option(
+    "--tasks", default=4, show_default=True, type=click.IntRange(1, 100_000), help="Of each job."
+)
 @click.option("--run", "run_s", default=5.0, show_default=True, help="Seconds that a task takes.")
 @click.option("--team", default="red", show_default=True)
 @click.option("--seconds", default=30.0, show_default=True, type=click.FloatRange(0.1, 3600.0))
@@ -31,19 +39,31 @@
 @click.option("--save", type=click.Path(path_type=Path), help="Write the figures as JSON.")
 @click.option("--plot", type=click.Path(path_type=Path), help="Draw them: FILE.svg or FILE.png.")
 def load(
-    servers: tuple[Address, ...], submit: float, poll: float, cancel: float, graph: float,
-    graph_tasks: int, tasks: int, run_s: float, team: str, seconds: float, seed: int,
-    save: Path | None, plot: Path | None,
-) -> None:  # fmt: skip
+    servers: tuple[Address, ...],
+    submit: float,
+    poll: float,
+    cancel: float,
+    graph: float,
+    graph_tasks: int,
+    tasks: int,
+    run_s: float,
+    team: str,
+    seconds: float,
+    seed: int,
+    save: Path | None,
+    plot: Path | None,
+) -> None:
     """Send requests at given rates, not waiting for the answers, and say how they fared."""
     from umberward.load import generator as load_
 
     if plot is not None and plot.suffix not in (".svg", ".png"):
         raise click.BadParameter("expected FILE.svg or FILE.png", param_hint="--plot")
     made = load_.Generator(
-        list(servers), load_.Rates(submit, poll, cancel, graph),
-        load_.Work(team, tasks, 1.0, run_s, graph_tasks), seed,
-    )  # fmt: skip
+        list(servers),
+        load_.Rates(submit, poll, cancel, graph),
+        load_.Work(team, tasks, 1.0, run_s, graph_tasks),
+        seed,
+    )
     result = curio.run(made.run, seconds)
     for kind, figures in result.kinds.items():
         times = ", ".join(f"{name} {value:g}" for name, value in figures.ms.items())
--- a/umberward/cli/local.py
+++ b/umberward/cli/local.py
@@ -21,32 +21,41 @@
 @click.option(
     "--machines", type=click.Path(path_type=Path), help="Machine types (TOML): [[machines]]."
 )
-@click.option("--speed", default=1.0, show_default=True, type=click.FloatRange(0.1, 100.0),
-              help="How much faster machines boot and tasks run.")  # fmt: skip
+@click.option(
+    "--speed",
+    default=1.0,
+    show_default=True,
+    type=click.FloatRange(0.1, 100.0),
+    help="How much faster machines boot and tasks run.",
+)
 @click.option(
     "--troubles", type=click.Path(path_type=Path), help="What goes wrong when (TOML): [[troubles]]."
 )
 @click.option("--for", "seconds", type=click.FloatRange(0.1), help="End after so many seconds.")
 @click.option("--example", is_flag=True, help="Run an example of each kind of work, then end.")
 def local(
-    controllers: int, machines: Path | None, speed: float, troubles: Path | None,
-    seconds: float | None, example: bool,
-) -> None:  # fmt: skip
+    controllers: int,
+    machines: Path | None,
+    speed: float,
+    troubles: Path | None,
+    seconds: float | None,
+    example: bool,
+) -> None:
     """Run a cluster on this machine until Ctrl-C: controllers for real, all else by stand-ins."""
-    from umberward.core import log, loop
-    from umberward.local.cluster import Plan, Trouble
-    from umberward.protocol.wire import Sku
+    from umberward.core import event_loop, log
+    from umberward.local.cluster import ClusterPlan, Fault
+    from umberward.protocol.wire import MachineType
 
     log.configure("error", "lines")
-    plan = Plan(controllers=controllers, speed=speed)
+    plan = ClusterPlan(controllers=controllers, speed=speed)
     if machines is not None:
-        plan.machines = read_list(machines, "machines", list[Sku])
+        plan.machines = read_list(machines, "machines", list[MachineType])
     if troubles is not None:
-        plan.troubles = read_list(troubles, "troubles", list[Trouble])
+        plan.troubles = read_list(troubles, "troubles", list[Fault])
     # Ended by a signal, it still takes its processes along.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
     try:
-        failed = loop.run(_run, plan, seconds, example)
+        failed = event_loop.run(_run, plan, seconds, example)
     except KeyboardInterrupt:
         click.echo("\nended")
         return
--- a/umberward/cli/main.py
+++ b/umberward/cli/main.py
@@ -24,13 +24,18 @@
 GC_OBJECTS = 10_000  # made since the last pass of the collector over the youngest
 
 _config = click.option(
-    "--config", "config", required=True, type=click.Path(path_type=Path),
+    "--config",
+    "config",
+    required=True,
+    type=click.Path(path_type=Path),
     help="The platform's settings file (TOML).",
-)  # fmt: skip
+)
 _properties = click.option(
-    "--properties", envvar="UMBERWARD_PROPERTIES", type=click.Path(path_type=Path),
+    "--properties",
+    envvar="UMBERWARD_PROPERTIES",
+    type=click.Path(path_type=Path),
     help="The operators' own settings (Java-style properties).",
-)  # fmt: skip
+)
 
 
 @click.group()
@@ -52,12 +57,12 @@
     """Run one controller until it is killed."""
     settings = _load(config, properties)
     _log_to_stderr(settings.operator.log_format)
-    from umberward.control.node import Node
-    from umberward.core import loop
+    from umberward.control.controller import Controller
+    from umberward.core import event_loop
 
     # What is made for a message is gone with it: most passes of the collector find nothing.
     gc.set_threshold(GC_OBJECTS)
-    loop.run(Node(settings).run)
+    event_loop.run(Controller(settings).run)
 
 
 @main.command()
@@ -76,9 +81,12 @@
 @main.command()
 @server_option
 @click.option(
-    "--after", "after", multiple=True, metavar="JOB_ID",
+    "--after",
+    "after",
+    multiple=True,
+    metavar="JOB_ID",
     help="A job that must be done before this one starts; may be given several times.",
-)  # fmt: skip
+)
 @click.argument("job", type=click.File("rb"))
 def submit(server: Address, after: tuple[str, ...], job: Any) -> None:
     """Submit the job described in the JSON file JOB ('-': standard input)."""
--- a/umberward/cli/soak.py
+++ b/umberward/cli/soak.py
@@ -42,12 +42,18 @@
 
 @click.command()
 @click.option("--seeds", default="1", show_default=True, type=Seeds(), help="N, or N-M.")
-@click.option("--size", default="small", show_default=True,
-              help="short, small, medium or large: workers, load and length.")  # fmt: skip
-@click.option("--fault", "faults", multiple=True,
-              help="Only this kind of fault; may be given several times.")  # fmt: skip
-@click.option("--jobs", default=1, show_default=True, type=click.IntRange(1, 16),
-              help="Seeds played at once.")  # fmt: skip
+@click.option(
+    "--size",
+    default="small",
+    show_default=True,
+    help="short, small, medium or large: workers, load and length.",
+)
+@click.option(
+    "--fault", "faults", multiple=True, help="Only this kind of fault; may be given several times."
+)
+@click.option(
+    "--jobs", default=1, show_default=True, type=click.IntRange(1, 16), help="Seeds played at once."
+)
 @click.option("--report", type=click.Path(path_type=Path), help="Write the results as JSON.")
 def soak(seeds: range, size: str, faults: tuple[str, ...], jobs: int, report: Path | None) -> None:
     """Play drawn faults against a cluster on this machine, and judge it from outside.
@@ -70,14 +76,14 @@
 
 
 def _play_here(seed: int, size: str, faults: tuple[str, ...], report: Path | None) -> int:
-    from umberward.core import log, loop
+    from umberward.core import event_loop, log
     from umberward.soak import plan
     from umberward.soak.runner import Run
 
     log.configure("error", "lines")
     run = Run(plan.draw(seed, plan.size(size), plan.kinds(list(faults))))
     try:
-        result = loop.run(run.play)
+        result = event_loop.run(run.play)
     except (RuntimeError, OSError) as error:
         click.echo(f"soak: seed {seed}: the soak failed: {error}", err=True)
         return HARNESS_FAILED
--- a/umberward/client/session.py
+++ b/umberward/client/session.py
@@ -27,7 +27,7 @@
     problems,
 )
 from umberward.protocol import wire
-from umberward.protocol.http import Client, NoAnswer, NotSent, Response
+from umberward.protocol.http import Client, NoResponseError, RequestNotSentError, Response
 
 GRAPHS = "/v1/graphs"
 POLL_S = 0.25
@@ -216,7 +216,7 @@
             for address in self.servers:
                 try:
                     response: Response = curio.run(_request, address, method, path, body)
-                except (NotSent, NoAnswer) as error:
+                except (RequestNotSentError, NoResponseError) as error:
                     last = str(error)
                     continue
                 if response.status < 429:
@@ -251,9 +251,13 @@
 
 
 def init(
-    server: str | Sequence[str], *, store: str, team: str, rank: str = "normal",
+    server: str | Sequence[str],
+    *,
+    store: str,
+    team: str,
+    rank: str = "normal",
     **options: Any,
-) -> None:  # fmt: skip
+) -> None:
     """Say where the controllers and the store are, as HOST:PORT, and for whom the tasks run.
 
     `options` are those of a graph: due_s, on_failure, job_class, image, pull_gb, reclaimable.
--- a/umberward/client/store.py
+++ b/umberward/client/store.py
@@ -12,7 +12,14 @@
 
 from umberward.core.types import Address
 from umberward.protocol import wire
-from umberward.protocol.http import Client, NoAnswer, NotSent, Request, Response, Server
+from umberward.protocol.http import (
+    Client,
+    NoResponseError,
+    Request,
+    RequestNotSentError,
+    Response,
+    Server,
+)
 
 VALUES = "/values/"
 PIECE_BYTES = 60_000
@@ -119,6 +126,6 @@
     for _ in range(TRIES):
         try:
             return await client.request(store, method, target, body, TIMEOUT_S)
-        except (NotSent, NoAnswer) as error:
+        except (RequestNotSentError, NoResponseError) as error:
             failed = error  # the same again changes nothing
     raise StoreError(f"{name}: no answer from the store at {store}: {failed}")
--- a/umberward/core/actor.py
+++ b/umberward/core/actor.py
@@ -11,7 +11,7 @@
 log = logger(__name__)
 
 
-class Ask:
+class Question:
     """A message that waits for an answer."""
 
     __slots__ = ("message", "answer", "_done")
@@ -34,42 +34,42 @@
     """Handles one message at a time. `handle` may spawn tasks, and must not wait for anything."""
 
     def __init__(self) -> None:
-        self.mail: Any = curio.Queue()
+        self.mailbox: Any = curio.Queue()
         self.running = False
         self.ended = False
         self.handling = False
 
     async def tell(self, message: Any) -> None:
-        await self.mail.put(message)
+        await self.mailbox.put(message)
 
     async def ask(self, message: Any) -> Any:
         """The answer; None if the actor has ended, or ends before it is given."""
         if self.ended:
             return None
-        if self.running and not self.handling and self.mail.empty():
+        if self.running and not self.handling and self.mailbox.empty():
             # Nothing is before it, so its turn is now: taken here it costs no change of tasks. Of
             # the reports of a large fleet that is nearly all, and two changes cost more than what
             # they say.
             return await self._take(message)
-        question = Ask(message)
-        await self.mail.put(question)
+        question = Question(message)
+        await self.mailbox.put(question)
         return await question.wait()
 
     async def run(self) -> None:
         self.running, self.ended = True, False
         try:
             while True:
-                message = await self.mail.get()
-                if isinstance(message, Ask):
+                message = await self.mailbox.get()
+                if isinstance(message, Question):
                     await message.reply(await self._take(message.message))
                 else:
                     await self._take(message)
         finally:
             self.running, self.ended = False, True
             # Who still waits would wait for ever.
-            while not self.mail.empty():
-                message = await self.mail.get()
-                if isinstance(message, Ask):
+            while not self.mailbox.empty():
+                message = await self.mailbox.get()
+                if isinstance(message, Question):
                     await message.reply(None)
 
     async def _take(self, message: Any) -> Any:
--- a/umberward/core/loop.py
+++ b/umberward/core/event_loop.py
@@ -9,10 +9,10 @@
 
 import curio
 
-POLL_S = 0.002  # while tasks are ready, sockets are looked at so often
+POLL_INTERVAL_S = 0.002  # while tasks are ready, sockets are looked at so often
 
 
-class SparingSelector(selectors.DefaultSelector):
+class BatchingSelector(selectors.DefaultSelector):
     """While tasks are ready to run, curio asks for events before each round of them, and a message
     from one actor to another makes a round. Sockets need not be looked at that often.
     """
@@ -23,7 +23,7 @@
         self.polls = 0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        if timeout == 0 and time.monotonic() - self.polled < POLL_S:
+        if timeout == 0 and time.monotonic() - self.polled < POLL_INTERVAL_S:
             return []
         found = super().select(timeout)
         self.polled = time.monotonic()
@@ -33,4 +33,4 @@
 
 def run(main: Callable[..., Any], *args: Any) -> Any:
     """Run a controller's main task to its end."""
-    return curio.run(main, *args, selector=SparingSelector())
+    return curio.run(main, *args, selector=BatchingSelector())
--- a/umberward/core/bounded_log.py
+++ b/umberward/core/rate_limited_log.py
@@ -9,7 +9,7 @@
 LINES_PER_S = 20  # of one event
 
 
-class _Second:
+class _EventWindow:
     """What was said of one event within the second that began at `began`."""
 
     __slots__ = ("began", "lines", "left_out")
@@ -20,16 +20,18 @@
         self.left_out = 0
 
 
-class BoundedLog:
+class RateLimitedLog:
     def __init__(
-        self, log: Any, lines_per_s: int = LINES_PER_S,
+        self,
+        log: Any,
+        lines_per_s: int = LINES_PER_S,
         clock: Callable[[], float] = time.monotonic,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`log`: a logger of `umberward.core.log`; `clock`: steady, in seconds."""
         self.log = log
         self.lines_per_s = lines_per_s
         self.clock = clock
-        self._seconds: dict[str, _Second] = {}
+        self._seconds: dict[str, _EventWindow] = {}
 
     def info(self, event: str, **fields: Any) -> None:
         """As the logger's own; `left_out` is how many lines of this event came before and were not
@@ -37,7 +39,7 @@
         now = self.clock()
         second = self._seconds.get(event)
         if second is None:
-            second = self._seconds[event] = _Second(now)
+            second = self._seconds[event] = _EventWindow(now)
         if now - second.began >= 1.0:
             second.began, second.lines = now, 0
         if second.lines >= self.lines_per_s:
--- a/umberward/core/settings.py
+++ b/umberward/core/settings.py
@@ -17,14 +17,14 @@
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 
 
-LEAST_VALUE_KB = 2.0  # a job's description, its marks and some of its completions
+MIN_VALUE_KB = 2.0  # a job's description, its marks and some of its completions
 
 
 class SettingsError(Exception):
     """One line that names the field and says what is wrong with it."""
 
 
-class Peer(msgspec.Struct, frozen=True):
+class PeerSettings(msgspec.Struct, frozen=True):
     label: Text
     site: Text
     addr: Text
@@ -35,7 +35,7 @@
     state: Text
 
 
-class Team(msgspec.Struct, frozen=True):
+class TeamQuota(msgspec.Struct, frozen=True):
     """A maximum of 0 means that none is set."""
 
     name: Text
@@ -53,7 +53,7 @@
     times: NotNegative | None = None
 
 
-class Workers(msgspec.Struct, frozen=True):
+class WorkerTimes(msgspec.Struct, frozen=True):
     report_s: Positive
     lease_s: Positive
     gang_wait_s: Positive
@@ -77,7 +77,7 @@
     txn_ops: Count
     next: NextLimits | None = None
 
-    def least(self) -> StateLimits:
+    def strictest(self) -> StateLimits:
         """The smaller of each limit: what fits these is never refused."""
         if self.next is None:
             return self
@@ -100,11 +100,11 @@
     sockets: Count
 
 
-class Cluster(msgspec.Struct, frozen=True):
+class ClusterSettings(msgspec.Struct, frozen=True):
     size: Count
     zones: Annotated[list[Text], msgspec.Meta(min_length=1)]
-    teams: list[Team]
-    workers: Workers
+    teams: list[TeamQuota]
+    workers: WorkerTimes
     state: StateLimits
     cloud: CloudLimits
     machine_limits: MachineLimits
@@ -112,7 +112,7 @@
     objectives: list[Objective] = []
 
 
-class Platform(msgspec.Struct, frozen=True):
+class PlatformSettings(msgspec.Struct, frozen=True):
     """What the platform hands to each controller."""
 
     label: Text
@@ -120,11 +120,11 @@
     listen: Text
     peer_bind: Text
     endpoints: Endpoints
-    cluster: Cluster
-    peers: list[Peer] = []
+    cluster: ClusterSettings
+    peers: list[PeerSettings] = []
 
 
-class Operator(msgspec.Struct, frozen=True):
+class OperatorSettings(msgspec.Struct, frozen=True):
     """The operators' own settings; the field ``a_b`` is the property ``a.b``."""
 
     lease_seconds: Annotated[float, msgspec.Meta(ge=1.0, le=60.0)] = 3.0
@@ -137,8 +137,8 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    platform: Platform
-    operator: Operator
+    platform: PlatformSettings
+    operator: OperatorSettings
     listen: Address
     peer_bind: Address
     cloud: Address
@@ -155,12 +155,12 @@
         raise SettingsError(f"{path}: not UTF-8 text: {error.reason}") from None
     except tomllib.TOMLDecodeError as error:
         raise SettingsError(f"{path}: not TOML: {error}") from None
-    return check(raw, load_operator(properties), str(path))
+    return validate(raw, load_operator(properties), str(path))
 
 
-def check(raw: dict[str, Any], operator: Operator, source: str = "settings") -> Settings:
+def validate(raw: dict[str, Any], operator: OperatorSettings, source: str = "settings") -> Settings:
     try:
-        platform = msgspec.convert(raw, Platform)
+        platform = msgspec.convert(raw, PlatformSettings)
     except msgspec.ValidationError as error:
         raise SettingsError(f"{source}: {_plain(error)}") from None
     addresses: dict[str, Address] = {}
@@ -184,10 +184,10 @@
     ):
         if limits is None:
             continue
-        if limits.value_kb is not None and limits.value_kb < LEAST_VALUE_KB:
+        if limits.value_kb is not None and limits.value_kb < MIN_VALUE_KB:
             raise SettingsError(
                 f"{source}: {where}.value_kb: {limits.value_kb:g} is too little for one record,"
-                f" at least {LEAST_VALUE_KB:g} are needed"
+                f" at least {MIN_VALUE_KB:g} are needed"
             )
         if limits.txn_ops is not None and limits.txn_ops < 2:
             raise SettingsError(f"{source}: {where}.txn_ops: a job's end needs 2 changes at once")
@@ -208,9 +208,9 @@
     )
 
 
-def load_operator(path: Path | None) -> Operator:
+def load_operator(path: Path | None) -> OperatorSettings:
     if path is None:
-        return Operator()
+        return OperatorSettings()
     try:
         text = path.read_text(encoding="utf-8")
         found = javaproperties.loads(text)
@@ -218,7 +218,7 @@
         raise SettingsError(f"{path}: {error.strerror or error}") from None
     except ValueError as error:
         raise SettingsError(f"{path}: not a properties file: {error}") from None
-    known = set(Operator.__struct_fields__)
+    known = set(OperatorSettings.__struct_fields__)
     fields = {}
     for name, value in found.items():
         field = name.replace(".", "_")
@@ -226,7 +226,7 @@
             raise SettingsError(f"{path}: {name}: no such property")
         fields[field] = value
     try:
-        return msgspec.convert(fields, Operator, strict=False)
+        return msgspec.convert(fields, OperatorSettings, strict=False)
     except msgspec.ValidationError as error:
         raise SettingsError(f"{path}: {_plain(error).replace('_', '.')}") from None
 
--- a/umberward/core/types.py
+++ b/umberward/core/types.py
@@ -9,18 +9,18 @@
 JobId = NewType("JobId", str)
 TeamName = NewType("TeamName", str)
 ImageName = NewType("ImageName", str)
-TypeName = NewType("TypeName", str)
+MachineTypeName = NewType("MachineTypeName", str)
 ZoneName = NewType("ZoneName", str)
 MachineId = NewType("MachineId", str)
-NodeName = NewType("NodeName", str)
-ClaimId = NewType("ClaimId", str)
+ControllerName = NewType("ControllerName", str)
+ScaleOutRequestId = NewType("ScaleOutRequestId", str)
 Key = NewType("Key", str)
 
-Stamp = NewType("Stamp", int)  # version of a key in the state service; 0: no such key
+Version = NewType("Version", int)  # version of a key in the state service; 0: no such key
 Revision = NewType("Revision", int)  # counter of all changes in the state service
-Epoch = NewType("Epoch", int)  # fencing token
-Tenure = NewType("Tenure", int)  # session of a worker
-Serial = NewType("Serial", int)
+FencingToken = NewType("FencingToken", int)  # fencing token
+Incarnation = NewType("Incarnation", int)  # session of a worker
+SequenceNumber = NewType("SequenceNumber", int)
 Attempt = NewType("Attempt", int)
 LeaseId = NewType("LeaseId", int)
 
@@ -71,19 +71,19 @@
     return Address(host, int(port))
 
 
-SLACK = 1e-6  # sums of decimal numbers are not exact
+ROUNDING_TOLERANCE = 1e-6  # sums of decimal numbers are not exact
 
 
-class Amount(NamedTuple):
+class Resources(NamedTuple):
     """What a task takes, or a machine has."""
 
     cores: float
     accelerators: float
     mem_gb: float
 
-    def plus(self, other: Amount, times: int = 1) -> Amount:
+    def plus(self, other: Resources, times: int = 1) -> Resources:
         cores, accelerators, mem_gb = other
-        return _amount(
+        return _make_resources(
             (
                 self[0] + times * cores,
                 self[1] + times * accelerators,
@@ -91,43 +91,45 @@
             )
         )
 
-    def minus(self, other: Amount, times: int = 1) -> Amount:
+    def minus(self, other: Resources, times: int = 1) -> Resources:
         return self.plus(other, -times)
 
-    def least(self, other: Amount) -> Amount:
+    def minimum(self, other: Resources) -> Resources:
         """The smaller of each part."""
-        return Amount(*map(min, self, other))
+        return Resources(*map(min, self, other))
 
-    def fits(self, room: Amount) -> bool:
+    def fits(self, room: Resources) -> bool:
         return (
-            self[0] <= room[0] + SLACK and self[1] <= room[1] + SLACK and self[2] <= room[2] + SLACK
+            self[0] <= room[0] + ROUNDING_TOLERANCE
+            and self[1] <= room[1] + ROUNDING_TOLERANCE
+            and self[2] <= room[2] + ROUNDING_TOLERANCE
         )
 
-    def times_into(self, room: Amount) -> int:
+    def count_within(self, room: Resources) -> int:
         """How many tasks of this size fit into `room`."""
         most = MAX_TASKS
         for need, free in zip(self, room, strict=True):
             if need > 0:
-                most = min(most, int((free + SLACK) / need))
+                most = min(most, int((free + ROUNDING_TOLERANCE) / need))
         return max(most, 0)
 
 
 # Of all that a placing pass makes there is most of these: this is their quickest way.
-_amount = partial(tuple.__new__, Amount)
-NOTHING = Amount(0.0, 0.0, 0.0)
+_make_resources = partial(tuple.__new__, Resources)
+NO_RESOURCES = Resources(0.0, 0.0, 0.0)
 
 
-class Offer(NamedTuple):
+class MachineOffer(NamedTuple):
     """What the cloud rents: a machine type in a zone, spot or ordinary."""
 
-    type: TypeName
+    type: MachineTypeName
     zone: ZoneName
     spot: bool
 
 
-class Rental(NamedTuple):
+class ScaleOutRequest(NamedTuple):
     """So many machines of one offer; the claim makes sure that they are rented once."""
 
-    claim: ClaimId
-    offer: Offer
-    many: int
+    request_id: ScaleOutRequestId
+    offer: MachineOffer
+    machine_count: int
--- a/umberward/graphs/files.py
+++ b/umberward/graphs/files.py
@@ -10,22 +10,22 @@
 
 import msgspec
 
-from umberward.core.settings import Team
-from umberward.core.types import TypeName
-from umberward.decisions.quota import Quota
+from umberward.core.settings import TeamQuota
+from umberward.core.types import MachineTypeName
 from umberward.graphs import model
 from umberward.graphs.model import File, GraphId, Part
 from umberward.protocol import wire
-from umberward.protocol.wire import BODY_LIMIT, Sku
+from umberward.protocol.wire import MAX_BODY_BYTES, MachineType
+from umberward.scheduling.quota import Quota
 
-PART_BYTES = BODY_LIMIT - 4096  # of tasks in one part; the rest is for what goes with them
+PART_BYTES = MAX_BODY_BYTES - 4096  # of tasks in one part; the rest is for what goes with them
 
 _TOML_TASK = re.compile(r"^\s*\[\[\s*tasks\s*\]\]", re.MULTILINE)
 _JSON_TASK = re.compile(r'"name"\s*:')
 _TASK_PATH = re.compile(r"tasks\[(\d+)\]")
 
 
-class FileError(Exception):
+class GraphFileError(Exception):
     """One line for each thing that is wrong: FILE:LINE: what."""
 
     def __init__(self, lines: list[str]) -> None:
@@ -34,22 +34,24 @@
 
 
 def load(
-    path: Path, teams: Iterable[Team] | None = None, skus: dict[TypeName, Sku] | None = None
+    path: Path,
+    teams: Iterable[TeamQuota] | None = None,
+    skus: dict[MachineTypeName, MachineType] | None = None,
 ) -> File:
     """Raises FileError. `teams`, `skus`: those of the cluster that it is for, if they are known."""
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
-        raise FileError([f"{path}: {error.strerror or error}"]) from None
+        raise GraphFileError([f"{path}: {error.strerror or error}"]) from None
     except UnicodeDecodeError as error:
-        raise FileError([f"{path}: not UTF-8 text: {error.reason}"]) from None
+        raise GraphFileError([f"{path}: not UTF-8 text: {error.reason}"]) from None
     is_json = path.suffix == ".json"
     try:
         raw = msgspec.json.decode(text) if is_json else tomllib.loads(text)
     except msgspec.DecodeError as error:
-        raise FileError([f"{path}: not JSON: {error}"]) from None
+        raise GraphFileError([f"{path}: not JSON: {error}"]) from None
     except tomllib.TOMLDecodeError as error:
-        raise FileError([f"{path}: not TOML: {error}"]) from None
+        raise GraphFileError([f"{path}: not TOML: {error}"]) from None
     lines = _task_lines(text, is_json)
     try:
         made = msgspec.convert(raw, File)
@@ -58,7 +60,7 @@
         where = where.rstrip("`").lstrip(".")
         found = _TASK_PATH.search(where)
         at = _at(path, lines, int(found[1]) if found else None)
-        raise FileError([f"{at} {where}: {what}" if where else f"{at} {what}"]) from None
+        raise GraphFileError([f"{at} {where}: {what}" if where else f"{at} {what}"]) from None
     wrong = model.problems(made.tasks, skus)
     if teams is not None:
         wrong += model.team_problems(
@@ -66,7 +68,7 @@
         )
     said = [f"{_at(path, lines, problem.task)} {problem.text}" for problem in wrong]
     if said:
-        raise FileError(said)
+        raise GraphFileError(said)
     return made
 
 
