--- a/umberward/graphs/gateway.py
+++ b/umberward/graphs/graph_api.py
@@ -17,26 +17,26 @@
 import curio
 import msgspec
 
-from umberward.clients import state
-from umberward.clients.state import State
+from umberward.clients import state_client
+from umberward.clients.state_client import StateClient
 from umberward.core.log import logger
 from umberward.core.settings import Settings
-from umberward.core.types import MAX_TASKS, Stamp, TypeName, WallTime
-from umberward.decisions.quota import Quota
+from umberward.core.types import MAX_TASKS, MachineTypeName, Version, WallTime
 from umberward.graphs import model, records
 from umberward.graphs.model import GraphId, Part, Shape, Task, parse_graph_id
 from umberward.graphs.records import (
     EndRecord,
     GraphRecord,
-    Incomplete,
+    IncompleteGraphError,
     OpenRecord,
     PartRecord,
     Progress,
 )
 from umberward.graphs.store import delete_parts, give_up, read_parts, read_progress, read_tasks
-from umberward.protocol import changes, wire
+from umberward.protocol import transactions, wire
 from umberward.protocol.http import Response
-from umberward.protocol.wire import Sku
+from umberward.protocol.wire import MachineType
+from umberward.scheduling.quota import Quota
 
 log = logger(__name__)
 
@@ -46,7 +46,7 @@
 PATIENCE_S = 1.5  # for our turn under the limits of writes
 SHAPES_KEPT = 8
 ENDS_KEPT = 200
-PAGE_BYTES = wire.BODY_LIMIT - 1024  # of tasks in one answer
+PAGE_BYTES = wire.MAX_BODY_BYTES - 1024  # of tasks in one answer
 RECORD_SPARE = 256
 PIECES_AT_ONCE_BYTES = 40_000  # of one transaction
 
@@ -54,13 +54,13 @@
 NOT_RUN = "not_run"
 
 
-class Refused(Exception):
+class GraphRejectedError(Exception):
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
         self.status = status
 
 
-class Found(NamedTuple):
+class StoredGraph(NamedTuple):
     """A graph as it stands in the state service."""
 
     graph: GraphRecord
@@ -68,12 +68,12 @@
     progress: Progress
 
 
-class Graphs:
+class GraphApi:
     def __init__(
         self,
         settings: Settings,
-        store: State,
-        skus: dict[TypeName, Sku],
+        store: StateClient,
+        skus: dict[MachineTypeName, MachineType],
         wall: Callable[[], WallTime],
         rng: random.Random,
     ) -> None:
@@ -83,11 +83,11 @@
         self.rng = rng
         cluster = settings.platform.cluster
         self.quota = Quota(cluster.teams)
-        limits = cluster.state.least()
+        limits = cluster.state.strictest()
         self.value_limit = int(limits.value_kb * 1024)
         self.most = limits.txn_ops
         self.shapes: OrderedDict[GraphId, tuple[list[str], Shape]] = OrderedDict()
-        self.ends: OrderedDict[GraphId, Found] = OrderedDict()  # what never changes any more
+        self.ends: OrderedDict[GraphId, StoredGraph] = OrderedDict()  # what never changes any more
 
     async def serve(self, method: str, path: str, query: str, body: bytes) -> Response:
         """`path`: what follows /v1/graphs."""
@@ -105,12 +105,12 @@
         try:
             made: Response = await call()
             return made
-        except Refused as error:
+        except GraphRejectedError as error:
             log.info("graph_refused", status=error.status, error=error)
             return Response(error.status, wire.encode({"error": str(error)}))
-        except state.OverBudget as error:
-            return Response(429, retry_after=max(RETRY_S, error.wait))
-        except (state.Unavailable, state.Unknown) as error:
+        except state_client.RateBudgetError as error:
+            return Response(429, retry_after=max(RETRY_S, error.wait_s))
+        except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
             log.info("graph_not_served", error=error)
             return Response(503, retry_after=OUTAGE_RETRY_S)
 
@@ -118,7 +118,7 @@
     def _id(name: str) -> GraphId:
         id = parse_graph_id(name)
         if id is None:
-            raise Refused(404, "no such graph")
+            raise GraphRejectedError(404, "no such graph")
         return id
 
     # ---- sending -----------------------------------------------------------------------
@@ -127,7 +127,9 @@
         part = self._part(body)
         id = parse_graph_id(part.uid)
         if id is None:
-            raise Refused(400, f"uid: expected graph-N with at most {model.GRAPH_DIGITS} digits")
+            raise GraphRejectedError(
+                400, f"uid: expected graph-N with at most {model.GRAPH_DIGITS} digits"
+            )
         data = records.pack(part.tasks)
         digest = records.digest(data, part.options, part.part, part.parts)
         for _ in range(TRIES):
@@ -140,7 +142,7 @@
                 if part.parts == 1 and await self._accept_whole(id, part, data, digest):
                     return self._accepted(id, len(part.tasks))
                 return await self._accept_part(id, part, data, digest)
-            except (state.Conflict, state.Unknown):
+            except (state_client.CompareAndSwapError, state_client.UnknownOutcomeError):
                 # Somebody else sends it too, or the outcome is unknown: what stands there decides.
                 await curio.sleep(self.rng.uniform(0.0, 0.05))
         return Response(503, retry_after=RETRY_S)
@@ -149,13 +151,15 @@
         try:
             part: Part = _decode_part(body)
         except (msgspec.DecodeError, RecursionError, ValueError) as error:
-            raise Refused(400, str(error)) from None
+            raise GraphRejectedError(400, str(error)) from None
         if part.part >= part.parts:
-            raise Refused(400, f"part: {part.part} of {part.parts} parts, counted from 0")
+            raise GraphRejectedError(
+                400, f"part: {part.part} of {part.parts} parts, counted from 0"
+            )
         if part.options.due_s is not None and part.options.due_s != part.options.due_s:
-            raise Refused(400, "options.due_s: not a number")
+            raise GraphRejectedError(400, "options.due_s: not a number")
         for problem in model.team_problems(part.options.team, [], self.quota):
-            raise Refused(422, problem.text)
+            raise GraphRejectedError(422, problem.text)
         return part
 
     def _check(self, options: model.Options, tasks: list[Task]) -> None:
@@ -165,7 +169,7 @@
         if found:
             status = 422 if all(problem.never for problem in found) else 400
             more = f" (and {len(found) - 1} more)" if len(found) > 1 else ""
-            raise Refused(status, found[0].text + more)
+            raise GraphRejectedError(status, found[0].text + more)
 
     async def _again(
         self, id: GraphId, found: GraphRecord | EndRecord, part: Part, digest: str
@@ -175,21 +179,24 @@
         if not graph.digests:
             return await self.poll(id)  # cancelled before all of it had come
         if part.parts != len(graph.digests) or graph.digests[part.part] != digest:
-            raise Refused(409, f"{id} was accepted with other content")
+            raise GraphRejectedError(409, f"{id} was accepted with other content")
         return await self.poll(id)
 
     async def _accept_whole(self, id: GraphId, part: Part, data: bytes, digest: str) -> bool:
         """In one value; False if it is too large for that."""
         record = GraphRecord(
-            part.options, round(self.wall(), 3), len(part.tasks), [digest],
-            content=records.fold(data),
-        )  # fmt: skip
+            part.options,
+            round(self.wall(), 3),
+            len(part.tasks),
+            [digest],
+            content=records.compress(data),
+        )
         # Its end is stored with the same content.
         if wire.json_size(record) > self.value_limit - RECORD_SPARE:
             return False
         self._check(part.options, part.tasks)
-        conditions = [(records.live_key(id), Stamp(0)), (records.past_key(id), Stamp(0))]
-        put = changes.put(records.live_key(id), record)
+        conditions = [(records.live_key(id), Version(0)), (records.past_key(id), Version(0))]
+        put = transactions.put(records.live_key(id), record)
         await self.store.commit(conditions, [put], patience=PATIENCE_S)
         return True
 
@@ -199,56 +206,60 @@
         there = await self.store.get(head)
         if there is None:
             await self._store_part(id, opened, part, data, digest)
-        elif wire.converted(there.data, PartRecord).digest != digest:
-            raise Refused(409, f"{id}: part {part.part} has come with other content")
+        elif wire.convert(there.data, PartRecord).digest != digest:
+            raise GraphRejectedError(409, f"{id}: part {part.part} has come with other content")
         try:
             parts = await read_parts(self.store, id, opened, part.parts)
-        except Incomplete:
+        except IncompleteGraphError:
             body = {"uid": id, "phase": "incomplete", "part": part.part, "parts": part.parts}
             return Response(202, wire.encode(body))
         tasks = [task for _, tasks in parts for task in tasks]
         try:
             self._check(part.options, tasks)
-        except Refused:
+        except GraphRejectedError:
             await self._drop(id, opened)
             raise
         digests = [digest for digest, _ in parts]
         record = GraphRecord(part.options, round(self.wall(), 3), len(tasks), digests, opened)
         if wire.json_size(record) > self.value_limit - RECORD_SPARE:
             await self._drop(id, opened)
-            raise Refused(400, "the graph has too many parts for one record")
+            raise GraphRejectedError(400, "the graph has too many parts for one record")
         conditions = [
             (records.open_key(id), opened),
-            (records.live_key(id), Stamp(0)),
-            (records.past_key(id), Stamp(0)),
+            (records.live_key(id), Version(0)),
+            (records.past_key(id), Version(0)),
+        ]
+        writes = [
+            transactions.put(records.live_key(id), record),
+            transactions.delete(records.open_key(id)),
         ]
-        writes = [changes.put(records.live_key(id), record), changes.delete(records.open_key(id))]
         await self.store.commit(conditions, writes, patience=PATIENCE_S)
         return self._accepted(id, len(tasks))
 
-    async def _open(self, id: GraphId, part: Part) -> Stamp:
+    async def _open(self, id: GraphId, part: Part) -> Version:
         """The version of the opening record, under which all who send the graph store it."""
         key = records.open_key(id)
         found = await self.store.get(key)
         if found is None:
             record = OpenRecord(round(self.wall(), 3), part.parts, part.options)
-            conditions = [(key, Stamp(0)), (records.live_key(id), Stamp(0))]
+            conditions = [(key, Version(0)), (records.live_key(id), Version(0))]
             await self.store.commit(
-                [*conditions, (records.past_key(id), Stamp(0))], [changes.put(key, record)],
+                [*conditions, (records.past_key(id), Version(0))],
+                [transactions.put(key, record)],
                 patience=PATIENCE_S,
-            )  # fmt: skip
+            )
             found = await self.store.get(key)
             if found is None:
-                raise state.Conflict(key)
-        there = wire.converted(found.data, OpenRecord)
+                raise state_client.CompareAndSwapError(key)
+        there = wire.convert(found.data, OpenRecord)
         if (there.parts, there.options) != (part.parts, part.options):
-            raise Refused(409, f"{id}: other parts of it are on their way in")
-        return found.stamp
+            raise GraphRejectedError(409, f"{id}: other parts of it are on their way in")
+        return found.version
 
     async def _store_part(
-        self, id: GraphId, opened: Stamp, part: Part, data: bytes, digest: str
+        self, id: GraphId, opened: Version, part: Part, data: bytes, digest: str
     ) -> None:
-        pieces = records.pieces(records.fold(data), self.value_limit)
+        pieces = records.pieces(records.compress(data), self.value_limit)
         keys = [
             records.piece_key(id, opened, part.part, digest, number)
             for number in range(len(pieces))
@@ -258,18 +269,24 @@
         at_once = max(1, min(self.most, PIECES_AT_ONCE_BYTES // self.value_limit))
         for start in range(0, len(pieces), at_once):
             some = slice(start, start + at_once)
-            writes = [changes.put(*pair) for pair in zip(keys[some], pieces[some], strict=True)]
+            writes = [
+                transactions.put(*pair) for pair in zip(keys[some], pieces[some], strict=True)
+            ]
             await self.store.commit(still, writes, patience=PATIENCE_S)
         head = records.head_key(id, opened, part.part)
-        put = changes.put(head, PartRecord(digest, len(pieces)))
-        await self.store.commit([*still, (head, Stamp(0))], [put], patience=PATIENCE_S)
+        put = transactions.put(head, PartRecord(digest, len(pieces)))
+        await self.store.commit([*still, (head, Version(0))], [put], patience=PATIENCE_S)
 
-    async def _drop(self, id: GraphId, opened: Stamp) -> None:
+    async def _drop(self, id: GraphId, opened: Version) -> None:
         """Refused: nothing of it stays. The leader finishes what we cannot."""
         try:
             await give_up(self.store, id, opened)
             await delete_parts(self.store, id, opened)
-        except (state.Unavailable, state.Unknown, state.Conflict) as error:
+        except (
+            state_client.StateUnavailableError,
+            state_client.UnknownOutcomeError,
+            state_client.CompareAndSwapError,
+        ) as error:
             log.debug("graph_not_deleted", graph=id, error=error)
 
     @staticmethod
@@ -287,7 +304,7 @@
         """The answers of as many tasks as fit, in the graph's topological order."""
         found = await self._find(id)
         shape = await self._shape(id, found.graph)
-        states = Answers(shape, found)
+        states = GraphResponses(shape, found)
         listed: list[dict[str, Any]] = []
         size = 0
         for position in range(start, len(shape)):
@@ -308,16 +325,17 @@
                 if await self._cancel_half(id):
                     continue
                 return await self.poll(id)  # over, or 404
-            record = wire.converted(found.data, GraphRecord)
+            record = wire.convert(found.data, GraphRecord)
             end = EndRecord(records.CANCELLED, record, round(self.wall(), 3))
             writes = [
-                changes.put(records.past_key(id), end), changes.delete(records.live_key(id))
-            ]  # fmt: skip
+                transactions.put(records.past_key(id), end),
+                transactions.delete(records.live_key(id)),
+            ]
             try:
                 await self.store.commit(
-                    [(records.live_key(id), found.stamp)], writes, priority=changes.URGENT
+                    [(records.live_key(id), found.version)], writes, priority=transactions.URGENT
                 )
-            except (state.Conflict, state.Unknown):
+            except (state_client.CompareAndSwapError, state_client.UnknownOutcomeError):
                 continue  # its last task may have been done meanwhile
             log.info("graph_cancelled", graph=id)
             return await self.poll(id)
@@ -329,24 +347,28 @@
         there = await self.store.get(records.open_key(id))
         if there is None:
             return False
-        opened = wire.converted(there.data, OpenRecord)
-        record = GraphRecord(opened.options, opened.at, 0, [], there.stamp)
+        opened = wire.convert(there.data, OpenRecord)
+        record = GraphRecord(opened.options, opened.at, 0, [], there.version)
         end = EndRecord(records.CANCELLED, record, round(self.wall(), 3))
-        writes = [changes.put(records.past_key(id), end), changes.delete(records.open_key(id))]
-        note = changes.put(records.stale_key(id, there.stamp), {})
+        writes = [
+            transactions.put(records.past_key(id), end),
+            transactions.delete(records.open_key(id)),
+        ]
+        note = transactions.put(records.stale_key(id, there.version), {})
         together = len(writes) < self.most
         try:
             await self.store.commit(
-                [(records.open_key(id), there.stamp)], [*writes, note] if together else writes,
-                priority=changes.URGENT,
-            )  # fmt: skip
+                [(records.open_key(id), there.version)],
+                [*writes, note] if together else writes,
+                priority=transactions.URGENT,
+            )
             if not together:
                 await self.store.commit([], [note])
-        except (state.Conflict, state.Unknown):
+        except (state_client.CompareAndSwapError, state_client.UnknownOutcomeError):
             return True  # what stands there now decides
         return False
 
-    async def _state(self, id: GraphId, found: Found) -> dict[str, Any]:
+    async def _state(self, id: GraphId, found: StoredGraph) -> dict[str, Any]:
         total = found.graph.tasks
         end = found.end
         body: dict[str, Any] = {"uid": id, "tasks": total}
@@ -355,17 +377,18 @@
             return body | {"phase": end.phase} | counts
         failed = sum(len(some) for some in found.progress.failed.values())
         over = sum(
-            run.base + int(run.done, 16).bit_count() for run, _ in found.progress.runs.values()
+            run.done_below + int(run.done_bitmap, 16).bit_count()
+            for run, _ in found.progress.runs.values()
         )
         not_run = 0
         if failed:
             # What hangs on a failed task is stored as over, or will be.
-            answers = Answers(await self._shape(id, found.graph), found)
+            answers = GraphResponses(await self._shape(id, found.graph), found)
             not_run, over = len(answers.because), answers.done + failed + len(answers.because)
         counts = {"done": over - failed - not_run, "failed": failed, NOT_RUN: not_run}
         if end is not None:
             return body | {"phase": end.phase} | counts | {"cancelled": total - over}
-        started = any(run.marked for run, _ in found.progress.runs.values())
+        started = any(run.placed_below for run, _ in found.progress.runs.values())
         return body | {"phase": RUNNING if started else PENDING} | counts
 
     async def _record(self, id: GraphId) -> GraphRecord | EndRecord | None:
@@ -374,13 +397,13 @@
             return self.ends[id].end
         found = await self.store.get(records.live_key(id))
         if found is not None:
-            return wire.converted(found.data, GraphRecord)  # type: ignore[no-any-return]
+            return wire.convert(found.data, GraphRecord)  # type: ignore[no-any-return]
         found = await self.store.get(records.past_key(id))
         if found is not None:
-            return wire.converted(found.data, EndRecord)  # type: ignore[no-any-return]
+            return wire.convert(found.data, EndRecord)  # type: ignore[no-any-return]
         return None
 
-    async def _find(self, id: GraphId) -> Found:
+    async def _find(self, id: GraphId) -> StoredGraph:
         """Raises Refused (404)."""
         if id in self.ends:
             return self.ends[id]
@@ -389,11 +412,11 @@
         progress = await read_progress(self.store, id)
         record = await self._record(id)
         if record is None:
-            raise Refused(404, "no such graph")
+            raise GraphRejectedError(404, "no such graph")
         if isinstance(record, GraphRecord):
-            return Found(record, None, progress)
+            return StoredGraph(record, None, progress)
         # The last of it may have been stored after it was read.
-        found = Found(record.graph, record, await read_progress(self.store, id))
+        found = StoredGraph(record.graph, record, await read_progress(self.store, id))
         self.ends[id] = found
         while len(self.ends) > ENDS_KEPT:
             self.ends.popitem(last=False)
@@ -405,19 +428,19 @@
             return known[1]
         try:
             shape = Shape(await read_tasks(self.store, id, record))
-        except (Incomplete, ValueError, wire.Malformed) as error:
+        except (IncompleteGraphError, ValueError, wire.MalformedMessageError) as error:
             log.error("graph_malformed", graph=id, error=error)
-            raise state.Unavailable(str(error)) from None
+            raise state_client.StateUnavailableError(str(error)) from None
         self.shapes[id] = (record.digests, shape)
         while len(self.shapes) > SHAPES_KEPT:
             self.shapes.popitem(last=False)
         return shape
 
 
-class Answers:
+class GraphResponses:
     """Each task's answer, from what is stored. A final one never changes."""
 
-    def __init__(self, shape: Shape, found: Found) -> None:
+    def __init__(self, shape: Shape, found: StoredGraph) -> None:
         self.shape = shape
         self.found = found
         self.failures = {
@@ -429,7 +452,8 @@
         for position in sorted(self.failures):
             shape.spread(position, self.because)
         self.bits = {
-            kind: (run.base, int(run.done, 16)) for kind, (run, _) in found.progress.runs.items()
+            kind: (run.done_below, int(run.done_bitmap, 16))
+            for kind, (run, _) in found.progress.runs.items()
         }
 
     @functools.cached_property
@@ -472,5 +496,5 @@
     if not query:
         return 0
     if name != "from" or not value.isdecimal() or int(value) > MAX_TASKS:
-        raise Refused(400, "expected from=NUMBER")
+        raise GraphRejectedError(400, "expected from=NUMBER")
     return int(value)
--- a/umberward/graphs/keeper.py
+++ b/umberward/graphs/graph_controller.py
@@ -8,13 +8,13 @@
 
 import curio
 
-from umberward.clients import state
-from umberward.clients.state import State
+from umberward.clients import state_client
+from umberward.clients.state_client import StateClient
 from umberward.core.log import logger
-from umberward.core.types import Key, Revision, Stamp
-from umberward.graphs.board import Board
+from umberward.core.types import Key, Revision, Version
+from umberward.graphs.graph_state import GraphState
 from umberward.graphs.model import GraphId
-from umberward.graphs.records import LIVE, GraphRecord, Incomplete
+from umberward.graphs.records import LIVE, GraphRecord, IncompleteGraphError
 from umberward.graphs.store import delete_stale, give_up_old, read_progress, read_tasks
 from umberward.protocol import wire
 
@@ -34,31 +34,31 @@
     id: GraphId
 
 
-class Keeper:
+class GraphController:
     """Runs for one term of leadership; the board is changed by messages to the holder only."""
 
     def __init__(
         self,
-        store: State,
-        board: Board,
+        store: StateClient,
+        board: GraphState,
         tell: Callable[[Any], Awaitable[Any]],
-        condition: Callable[[], tuple[Key, Stamp]],
+        condition: Callable[[], tuple[Key, Version]],
         leading: Callable[[], bool],
     ) -> None:
         self.store = store
-        self.board = board
+        self.graph_state = board
         self.tell = tell
-        self.condition = condition
-        self.leading = leading
-        self.told: set[GraphId] = set()  # graphs that the board has, or has in its mail
-        self.after: Revision | None = None  # all changes until then have been told
+        self.leadership_condition = condition
+        self.is_leader = leading
+        self.known_graphs: set[GraphId] = set()  # graphs that the board has, or has in its mail
+        self.watched_revision: Revision | None = None  # all changes until then have been told
 
-    def takes(self, message: Any) -> bool:
+    def handle(self, message: Any) -> bool:
         """Handle the message if it is about graphs."""
         if isinstance(message, GraphPut):
-            self.board.put(*message.args)
+            self.graph_state.add(*message.args)
         elif isinstance(message, GraphGone):
-            self.board.gone(message.id)
+            self.graph_state.remove(message.id)
         else:
             return False
         return True
@@ -66,15 +66,15 @@
     async def load(self) -> None:
         """All accepted graphs. Must be done before the holder's jobs are taken for complete: what
         workers run of a graph that is not known is stopped."""
-        self.after = None
-        entries, after = await self.store.entries(LIVE)
+        self.watched_revision = None
+        entries, after = await self.store.list_all(LIVE)
         listed = set()
         for entry in entries:
-            listed.add(GraphId(entry.path[len(LIVE) :]))
-            await self._take(entry.path, entry.data, entry.stamp)
-        for id in self.told - listed:
+            listed.add(GraphId(entry.key[len(LIVE) :]))
+            await self._take(entry.key, entry.data, entry.version)
+        for id in self.known_graphs - listed:
             await self._gone(id)
-        self.after = after
+        self.watched_revision = after
 
     async def watch(self) -> None:
         """Follow what controllers accept and cancel, from where the first `load` has ended.
@@ -82,58 +82,64 @@
         Nobody else may read meanwhile: a graph that was read before its cancellation and told
         after it would start once more.
         """
-        while self.after is None:
+        while self.watched_revision is None:
             await curio.sleep(FIRST_LOOK_S)
         while True:
             try:
                 await self.follow()
-            except state.TooOld:
-                self.after = None
-            except (state.Unavailable, state.Unknown) as error:
+            except state_client.RevisionCompactedError:
+                self.watched_revision = None
+            except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
                 log.debug("graphs_not_read", error=error)
-                self.after = None  # what was only half taken in is read again
+                self.watched_revision = None  # what was only half taken in is read again
                 await curio.sleep(0.3)
 
     async def follow(self) -> None:
         """Tell the next changes."""
-        if self.after is None:
+        if self.watched_revision is None:
             await self.load()
             return
-        news, after = await self.store.watch(LIVE, self.after, WATCH_S)
+        news, after = await self.store.watch(LIVE, self.watched_revision, WATCH_S)
         for change in news:
-            if change.delete is not None:
-                await self._gone(GraphId(change.delete[len(LIVE) :]))
-            elif change.write is not None:
-                await self._take(change.write, change.data, change.stamp)
-        self.after = after
+            if change.deleted_key is not None:
+                await self._gone(GraphId(change.deleted_key[len(LIVE) :]))
+            elif change.put_key is not None:
+                await self._take(change.put_key, change.data, change.version)
+        self.watched_revision = after
 
     async def _gone(self, id: GraphId) -> None:
-        self.told.discard(id)
+        self.known_graphs.discard(id)
         await self.tell(GraphGone(id))
 
     async def _take(self, path: str, data: Any, stamp: int) -> None:
         id = GraphId(path[len(LIVE) :])
-        if id in self.told:
+        if id in self.known_graphs:
             return
         try:
-            record = wire.converted(data, GraphRecord)
+            record = wire.convert(data, GraphRecord)
             tasks = await read_tasks(self.store, id, record)
             progress = await read_progress(self.store, id)
-        except (wire.Malformed, Incomplete, ValueError) as error:
+        except (wire.MalformedMessageError, IncompleteGraphError, ValueError) as error:
             log.error("graph_malformed", graph=id, error=error)
             return
-        self.told.add(id)
-        await self.tell(GraphPut((id, record, Stamp(stamp), tasks, progress)))
+        self.known_graphs.add(id)
+        await self.tell(GraphPut((id, record, Version(stamp), tasks, progress)))
 
     async def finish(self) -> None:
         while True:
             await curio.sleep(ENDS_S)
-            for end in self.board.ends():
-                if not self.leading():
+            for end in self.graph_state.finished():
+                if not self.is_leader():
                     break
                 try:
-                    await self.store.commit([self.condition(), *end.conditions], end.writes)
-                except (state.Unavailable, state.Unknown, state.Conflict) as error:
+                    await self.store.commit(
+                        [self.leadership_condition(), *end.conditions], end.writes
+                    )
+                except (
+                    state_client.StateUnavailableError,
+                    state_client.UnknownOutcomeError,
+                    state_client.CompareAndSwapError,
+                ) as error:
                     log.debug("graph_not_ended", graph=end.id, error=error)
                     continue  # if it was: its live record's deletion tells
                 log.info("graph_ended", graph=end.id)
@@ -143,10 +149,14 @@
         """Remove what never became a graph."""
         while True:
             await curio.sleep(CLEAN_S)
-            if not self.leading():
+            if not self.is_leader():
                 continue
             try:
                 await give_up_old(self.store, time.time())
                 await delete_stale(self.store)
-            except (state.Unavailable, state.Unknown, state.Conflict) as error:
+            except (
+                state_client.StateUnavailableError,
+                state_client.UnknownOutcomeError,
+                state_client.CompareAndSwapError,
+            ) as error:
                 log.debug("graphs_not_cleaned", error=error)
--- a/umberward/graphs/live.py
+++ b/umberward/graphs/live.py
@@ -13,15 +13,18 @@
 from typing import Any
 
 from umberward.core.log import logger
-from umberward.core.types import Instant, Key, MachineId, Stamp
-from umberward.decisions.blame import DECIDED_S, MISTAKEN_AFTER
-from umberward.decisions.fleet import Machine
-from umberward.decisions.jobs import Job
+from umberward.core.types import Instant, Key, MachineId, Version
 from umberward.graphs import records
 from umberward.graphs.model import GraphId, Shape
 from umberward.graphs.records import Failure, GraphRecord, PageRecord, RunRecord
-from umberward.protocol import changes, wire
+from umberward.protocol import transactions, wire
 from umberward.protocol.wire import JobRecord
+from umberward.scheduling.failure_attribution import (
+    FAULTY_JOB_AFTER_MACHINES,
+    QUARANTINE_DECISION_S,
+)
+from umberward.scheduling.jobs import Job
+from umberward.scheduling.machines import Machine
 
 log = logger(__name__)
 
@@ -29,11 +32,11 @@
 MACHINES_BYTES = 600  # of the names of machines in one failure's account
 # The last failure may be its machine's, as long as nothing has spoken for that: so often a task is
 # tried elsewhere once more, which tells sooner than any wait.
-GRANTS = 1
+EXTRA_ATTEMPTS = 1
 CAUSE = "error"  # all that a worker says of a failed task
 
 
-class Try:
+class FailedAttempt:
     """One failure of one task. It is excused if its machine turns out to be at fault."""
 
     __slots__ = ("machine", "at", "excused", "granted")
@@ -48,21 +51,26 @@
 class DagJob(Job):
     """The array of one kind of a graph's tasks."""
 
-    judges_tasks = True
+    attributes_failures_per_task = True
 
     def __init__(
-        self, graph: LiveGraph, kind: int, run: RunRecord, stamp: Stamp, failed: list[Failure],
+        self,
+        graph: LiveGraph,
+        kind: int,
+        run: RunRecord,
+        stamp: Version,
+        failed: list[Failure],
         value_limit: int,
-    ) -> None:  # fmt: skip
+    ) -> None:
         spec = graph.shape.spec(graph.id, graph.options, kind)
-        record = JobRecord(spec, graph.record.at, run.marked, run.base, run.done)
+        record = JobRecord(spec, graph.record.at, run.placed_below, run.done_below, run.done_bitmap)
         super().__init__(record, stamp, value_limit)
-        self.fresh = self.size  # tasks come in when they are ready, never by their number
+        self.next_fresh_task = self.size  # tasks come in when they are ready, never by their number
         self.graph = graph
         self.number = kind
         self.max_retries = graph.shape.kinds[kind].max_retries
         self.conditions = ((records.live_key(graph.id), graph.stamp),)
-        self.tries: dict[int, list[Try]] = {}
+        self.failed_attempts: dict[int, list[FailedAttempt]] = {}
         self.retries: dict[int, None] = {}  # failed, and ready to be tried again
         self.doubtful: set[int] = set()  # retries used up, unless a machine was at fault
         self.failures = list(failed)
@@ -72,42 +80,42 @@
 
     # ---- what may start ----------------------------------------------------------------
 
-    def ready(self, index: int) -> None:
+    def task_ready(self, index: int) -> None:
         """All that the task needs is done."""
         # A former holder may have started it: not before all machines are known. If it was found
         # running, that alone may have told us that what it needs is done.
-        if index not in self.unsure and index not in self.placed:
+        if index not in self.unlocated_tasks and index not in self.placements:
             self.put_back(index)
 
     def put_back(self, index: int) -> None:
         if index not in self.doubtful and self.graph.is_ready(self.number, index):
             super().put_back(index)
 
-    def lost_tasks(self) -> int:
+    def count_lost_tasks(self) -> int:
         """Those that are not ready yet are in none of its places."""
         return 0
 
-    def startable(self) -> int:
-        return bisect.bisect_left(self.again, self.base + self.window)
+    def startable_count(self) -> int:
+        return bisect.bisect_left(self.requeued_tasks, self.done_below + self.window)
 
-    def take(self) -> int:
+    def take_task(self) -> int:
         for index in self.retries:
-            if index < self.base + self.window and self.not_again(index):
+            if index < self.done_below + self.window and self.remove_requeued(index):
                 del self.retries[index]
                 return index
-        return self.again.pop(0)
+        return self.requeued_tasks.pop(0)
 
     @property
-    def avoided(self) -> set[MachineId]:
+    def avoided_machines(self) -> set[MachineId]:
         found: set[MachineId] = set()
         for index in self.retries:
-            found.update(t.machine for t in self.tries.get(index, ()))
+            found.update(t.machine for t in self.failed_attempts.get(index, ()))
             if len(found) >= MOST_AVOIDED:
                 break
         return found
 
-    def found(self, index: int) -> None:
-        super().found(index)
+    def locate_task(self, index: int) -> None:
+        super().locate_task(index)
         self.graph.was_started(self.number, index)
 
     # ---- what is over ------------------------------------------------------------------
@@ -124,7 +132,7 @@
     def over(self, index: int) -> None:
         """The task has its final answer."""
         super().mark_done(index)
-        self.tries.pop(index, None)
+        self.failed_attempts.pop(index, None)
         self.retries.pop(index, None)
         self.doubtful.discard(index)
 
@@ -133,26 +141,31 @@
     def task_failed(self, index: int, machine: MachineId, now: Instant) -> None:
         if self.is_done(index):
             return
-        self.tries.setdefault(index, []).append(Try(machine, now))
+        self.failed_attempts.setdefault(index, []).append(FailedAttempt(machine, now))
         if self._used(index) > self.max_retries:
             self.doubtful.add(index)
             self.retries.pop(index, None)
-            self.not_again(index)
+            self.remove_requeued(index)
         else:
             self.retries[index] = None
 
-    def excused(self, index: int) -> bool:
+    def failure_excused(self, index: int) -> bool:
         # Fails wherever it is tried; or nothing of this array has ever gone well anywhere.
-        widely = len({t.machine for t in self.tries.get(index, ())}) >= MISTAKEN_AFTER
-        return widely or (not self.ran_well and len(self.errors) >= MISTAKEN_AFTER)
+        widely = (
+            len({t.machine for t in self.failed_attempts.get(index, ())})
+            >= FAULTY_JOB_AFTER_MACHINES
+        )
+        return widely or (
+            not self.ran_well and len(self.failed_machines) >= FAULTY_JOB_AFTER_MACHINES
+        )
 
-    def judge(self, machines: Mapping[MachineId, Machine], now: Instant) -> bool:
+    def judge_failures(self, machines: Mapping[MachineId, Machine], now: Instant) -> bool:
         """Decide what can be decided of the tasks that failed; False: none is left."""
-        for index in sorted(self.tries):
-            for failed in self.tries[index]:
+        for index in sorted(self.failed_attempts):
+            for failed in self.failed_attempts[index]:
                 machine = machines.get(failed.machine)
                 if machine is not None:
-                    failed.excused = machine.sick
+                    failed.excused = machine.quarantined
         for index in sorted(self.doubtful):
             if self._used(index) <= self.max_retries:
                 # A machine is to blame: that uses up no retry.
@@ -161,15 +174,17 @@
                 self.graph.wake(self, index)
             elif not self._grant(index, machines) and self._decided(index, machines, now):
                 self._fail(index)
-        return bool(self.tries)
+        return bool(self.failed_attempts)
 
     def _used(self, index: int) -> int:
-        return sum(1 for failed in self.tries[index] if not (failed.excused or failed.granted))
+        return sum(
+            1 for failed in self.failed_attempts[index] if not (failed.excused or failed.granted)
+        )
 
     def _grant(self, index: int, machines: Mapping[MachineId, Machine]) -> bool:
         """One more try, in place of the last that may be its machine's fault, if there is one."""
-        tries = self.tries[index]
-        if sum(failed.granted for failed in tries) >= GRANTS:
+        tries = self.failed_attempts[index]
+        if sum(failed.granted for failed in tries) >= EXTRA_ATTEMPTS:
             return False
         for failed in reversed(tries):
             if not (failed.excused or failed.granted or self._vouched(failed, machines)):
@@ -181,10 +196,10 @@
         return False
 
     @staticmethod
-    def _vouched(failed: Try, machines: Mapping[MachineId, Machine]) -> bool:
+    def _vouched(failed: FailedAttempt, machines: Mapping[MachineId, Machine]) -> bool:
         """Whether the machine has done well since."""
         machine = machines.get(failed.machine)
-        return machine is not None and machine.worked_at > failed.at
+        return machine is not None and machine.succeeded_at > failed.at
 
     def _decided(self, index: int, machines: Mapping[MachineId, Machine], now: Instant) -> bool:
         """Whether nothing more is to be waited for before the failures are held against it."""
@@ -192,14 +207,14 @@
             failed.excused
             or failed.granted
             or self._vouched(failed, machines)
-            or now - failed.at > DECIDED_S
-            for failed in self.tries[index]
+            or now - failed.at > QUARANTINE_DECISION_S
+            for failed in self.failed_attempts[index]
         )
 
     def _fail(self, index: int) -> None:
         """The task has failed for good."""
         names: list[str] = []
-        for failed in self.tries[index]:
+        for failed in self.failed_attempts[index]:
             if failed.machine not in names and not failed.excused:
                 names.append(str(failed.machine))
         while len(names) > 1 and wire.json_size(names) > MACHINES_BYTES:
@@ -221,29 +236,32 @@
         return records.run_key(self.graph.id, self.number)
 
     @property
-    def dirty(self) -> bool:
-        return self.saved != (self.base, self.bits) or self.failures_saved < len(self.failures)
+    def progress_unstored(self) -> bool:
+        return self.stored_progress != (
+            self.done_below,
+            self.done_bitmap,
+        ) or self.failures_saved < len(self.failures)
 
     @property
-    def to_end(self) -> bool:
-        return self.complete and self.dirty
+    def end_unwritten(self) -> bool:
+        return self.complete and self.progress_unstored
 
-    def record(self, marked: int) -> RunRecord | None:
-        bits = self.bits_to_store()
-        return None if bits is None else RunRecord(marked, self.base, bits, len(self.pages))
+    def build_record(self, marked: int) -> RunRecord | None:
+        bits = self.encode_done_bitmap()
+        return None if bits is None else RunRecord(marked, self.done_below, bits, len(self.pages))
 
-    def parse(self, data: Any) -> RunRecord:
-        return wire.converted(data, RunRecord)  # type: ignore[no-any-return]
+    def parse_record(self, data: Any) -> RunRecord:
+        return wire.convert(data, RunRecord)  # type: ignore[no-any-return]
 
-    def with_record(self) -> list[dict[str, Any]]:
+    def companion_writes(self) -> list[dict[str, Any]]:
         self.failures_sent = len(self.failures)
         if self.failures_saved == len(self.failures):
             return []
         key = records.page_key(self.graph.id, self.number, len(self.pages) - 1)
-        return [changes.put(key, PageRecord(self.pages[-1]))]
+        return [transactions.put(key, PageRecord(self.pages[-1]))]
 
-    def stored(self, record: RunRecord, stamp: Stamp, now: float) -> None:
-        super().stored(record, stamp, now)
+    def record_stored(self, record: RunRecord, stamp: Version, now: float) -> None:
+        super().record_stored(record, stamp, now)
         self.failures_saved = self.failures_sent
 
 
@@ -251,11 +269,17 @@
     """One graph: which of its tasks are over, and which of the others may start."""
 
     def __init__(
-        self, id: GraphId, record: GraphRecord, stamp: Stamp, shape: Shape,
-        progress: records.Progress, value_limit: int,
-        woken: Callable[[Job], None], changed: Callable[[Job], None],
+        self,
+        id: GraphId,
+        record: GraphRecord,
+        stamp: Version,
+        shape: Shape,
+        progress: records.Progress,
+        value_limit: int,
+        woken: Callable[[Job], None],
+        changed: Callable[[Job], None],
         withdraw: Callable[[Job, int], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`woken`: tasks of this array may start; `changed`: it has something to store; `withdraw`:
         its task is to be stopped, as it is over."""
         self.id = id
@@ -271,11 +295,14 @@
         nothing = (RunRecord(), 0)
         self.jobs = [
             DagJob(
-                self, kind, *_run(progress.runs.get(kind, nothing)),
-                progress.failed.get(kind, []), value_limit,
+                self,
+                kind,
+                *_run(progress.runs.get(kind, nothing)),
+                progress.failed.get(kind, []),
+                value_limit,
             )
             for kind in range(len(shape.kinds))
-        ]  # fmt: skip
+        ]
         self._begin()
 
     def _begin(self) -> None:
@@ -294,12 +321,12 @@
         for position in range(len(self.shape)):
             if not self.left[position] and not self.is_over(position):
                 kind, number = self.shape.place[position]
-                self.jobs[kind].ready(number)
+                self.jobs[kind].task_ready(number)
 
     @property
     def ended(self) -> bool:
         """Whether its end may be stored: all that it rests on is."""
-        if any(job.dirty for job in self.jobs):
+        if any(job.progress_unstored for job in self.jobs):
             return False
         return all(job.complete for job in self.jobs) or (
             self.options.on_failure == "cancel_rest" and any(job.failures for job in self.jobs)
@@ -307,12 +334,16 @@
 
     def end(self, at: float) -> records.EndRecord:
         failed = sum(len(job.failures) for job in self.jobs)
-        over = sum(job.done for job in self.jobs)
+        over = sum(job.done_count for job in self.jobs)
         done = over - failed - len(self.not_run)
         return records.EndRecord(
-            records.FAILED if failed else records.DONE, self.record, round(at, 3), done, failed,
+            records.FAILED if failed else records.DONE,
+            self.record,
+            round(at, 3),
+            done,
+            failed,
             len(self.shape) - done - failed,
-        )  # fmt: skip
+        )
 
     def is_over(self, position: int) -> bool:
         kind, number = self.shape.place[position]
@@ -330,7 +361,7 @@
             self.left[heir] -= 1
             if not self.left[heir] and not self.is_over(heir):
                 place = self.shape.place[heir]
-                self.jobs[place.kind].ready(place.number)
+                self.jobs[place.kind].task_ready(place.number)
                 woken[place.kind] = None
         for other in woken:
             self.woken(self.jobs[other])
@@ -367,8 +398,8 @@
                 self.changed(self.jobs[kind])
 
 
-def _run(found: tuple[RunRecord, int]) -> tuple[RunRecord, Stamp]:
-    return found[0], Stamp(found[1])
+def _run(found: tuple[RunRecord, int]) -> tuple[RunRecord, Version]:
+    return found[0], Version(found[1])
 
 
 def _paged(failures: Iterable[Failure], value_limit: int) -> list[list[Failure]]:
--- a/umberward/graphs/model.py
+++ b/umberward/graphs/model.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from umberward.core.types import JOB_PREFIX, MAX_TASKS, Amount, JobId, TeamName, TypeName
-from umberward.decisions.quota import Quota
+from umberward.core.types import JOB_PREFIX, MAX_TASKS, JobId, MachineTypeName, Resources, TeamName
 from umberward.protocol import wire
-from umberward.protocol.wire import Above0, From0, Name, Sku, Spec
+from umberward.protocol.wire import JobSpec, MachineType, Name, NonNegative, Positive
+from umberward.scheduling.quota import Quota
 
 GraphId = NewType("GraphId", str)
 
@@ -43,12 +43,12 @@
 
     name: TaskName
     needs: Annotated[list[TaskName], msgspec.Meta(max_length=MOST_NEEDS)] = []
-    num_cpus: Above0 = 1.0
-    num_gpus: From0 = 0.0
+    num_cpus: Positive = 1.0
+    num_gpus: NonNegative = 0.0
     memory: Annotated[float, msgspec.Meta(gt=0, le=1e18)] = DEFAULT_MEMORY
     max_retries: Annotated[int, msgspec.Meta(ge=0, le=100)] = 3
-    resources: dict[Name, Above0] = {}  # "type:NAME" or "zone:NAME"
-    expect_s: From0 = 0.0
+    resources: dict[Name, Positive] = {}  # "type:NAME" or "zone:NAME"
+    expect_s: NonNegative = 0.0
 
 
 class Options(msgspec.Struct, omit_defaults=True, forbid_unknown_fields=True):
@@ -56,11 +56,11 @@
 
     team: Name
     rank: Literal["production", "urgent", "normal", "idle"] = "normal"
-    due_s: Above0 | None = None
+    due_s: Positive | None = None
     on_failure: Literal["go_on", "cancel_rest"] = "go_on"
     job_class: Name = "graph"
     image: Name = "graph"
-    pull_gb: From0 = 0.0
+    pull_gb: NonNegative = 0.0
     reclaimable: bool = False
 
 
@@ -103,8 +103,8 @@
     zone: str | None
 
     @property
-    def need(self) -> Amount:
-        return Amount(self.cpus, self.gpus, self.memory / GB)
+    def need(self) -> Resources:
+        return Resources(self.cpus, self.gpus, self.memory / GB)
 
 
 class Place(NamedTuple):
@@ -199,30 +199,30 @@
         """All tasks that this one needs, directly or through others, in topological order."""
         return sorted(_reached(position, self.needs, {}))
 
-    def spec(self, graph: GraphId, options: Options, kind: int) -> Spec:
+    def spec(self, graph: GraphId, options: Options, kind: int) -> JobSpec:
         """The array that the scheduler runs for the tasks of one kind."""
         same = self.kinds[kind]
-        return Spec(
-            uid=job_id(graph, kind),
-            jobclass=options.job_class,
-            owner=options.team,
-            shape=wire.ARRAY,
-            rank=options.rank,
-            shards=len(self.members[kind]),
+        return JobSpec(
+            job_id=job_id(graph, kind),
+            job_class=options.job_class,
+            team=options.team,
+            kind=wire.ARRAY,
+            priority=options.rank,
+            task_count=len(self.members[kind]),
             cores=same.cpus,
             accelerators=same.gpus,
             mem_gb=same.memory / GB,
-            bundle=options.image,
-            pull_gb=options.pull_gb,
-            expect_s=self.expect_s[kind],
-            same_place=False,
-            apart=False,
-            reclaimable=options.reclaimable,
-            snapshot_every_s=0.0,
-            snapshot_cost_s=0.0,
-            flavors=None if same.type is None else [same.type],
-            yard=same.zone,
-            due_s=options.due_s,
+            image=options.image,
+            image_gb=options.pull_gb,
+            expected_runtime_s=self.expect_s[kind],
+            same_zone=False,
+            spread=False,
+            spot=options.reclaimable,
+            checkpoint_interval_s=0.0,
+            checkpoint_cost_s=0.0,
+            machine_types=None if same.type is None else [same.type],
+            zone=same.zone,
+            deadline_s=options.due_s,
         )
 
 
@@ -254,7 +254,9 @@
     return Kind(task.num_cpus, task.num_gpus, task.memory, task.max_retries, type_, zone)
 
 
-def problems(tasks: list[Task], skus: dict[TypeName, Sku] | None = None) -> list[Problem]:
+def problems(
+    tasks: list[Task], skus: dict[MachineTypeName, MachineType] | None = None
+) -> list[Problem]:
     """All that is wrong with a graph. `skus`: the machine types, if they are known."""
     if len(tasks) > min(MOST_TASKS, MAX_TASKS):
         return [Problem(None, f"{len(tasks)} tasks, at most {MOST_TASKS} are taken")]
@@ -299,15 +301,15 @@
     return [
         Problem(number, f"{task.name}: needs more than the team's maximum", never=True)
         for number, task in enumerate(tasks)
-        if quota.exceeds(name, kind_of(task).need, 1)
+        if quota.exceeds_limit(name, kind_of(task).need, 1)
     ]
 
 
-def _held(kind: Kind, skus: dict[TypeName, Sku]) -> bool:
+def _held(kind: Kind, skus: dict[MachineTypeName, MachineType]) -> bool:
     return any(
         kind.type in (None, name)
-        and (kind.zone is None or kind.zone in sku.yards)
-        and kind.need.fits(sku.whole)
+        and (kind.zone is None or kind.zone in sku.zones)
+        and kind.need.fits(sku.capacity)
         for name, sku in skus.items()
     )
 
--- a/umberward/graphs/records.py
+++ b/umberward/graphs/records.py
@@ -65,15 +65,19 @@
     not_run: int = 0
 
 
-class RunRecord(msgspec.Struct, omit_defaults=True):
+class RunRecord(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={"placed_below": "marked", "done_below": "base", "done_bitmap": "done"},
+):
     """Progress of one array, as in a job's record; what is over is done, failed or will not run.
 
     `pages`: records with the tasks that failed.
     """
 
-    marked: int = 0
-    base: int = 0
-    done: str = "0"
+    placed_below: int = 0
+    done_below: int = 0
+    done_bitmap: str = "0"
     pages: int = 0
 
 
@@ -104,7 +108,7 @@
 
 def pack(tasks: list[Task]) -> bytes:
     """The same tasks make the same bytes, however their user has written them."""
-    return cbor2.dumps([wire.builtins(task) for task in tasks], canonical=True)
+    return cbor2.dumps([wire.to_builtins(task) for task in tasks], canonical=True)
 
 
 def unpack(data: bytes) -> list[Task]:
@@ -116,16 +120,16 @@
 
 
 def digest(data: bytes, options: Options, part: int, parts: int) -> str:
-    head = wire.encode([wire.builtins(options), part, parts])
+    head = wire.encode([wire.to_builtins(options), part, parts])
     return hashlib.sha256(head + data).hexdigest()[:DIGEST]
 
 
-def fold(data: bytes) -> str:
+def compress(data: bytes) -> str:
     """Bytes as text that JSON stores as it is."""
     return base64.b64encode(zlib.compress(data, 9)).decode()
 
 
-def unfold(text: str) -> bytes:
+def decompress(text: str) -> bytes:
     """Raises ValueError."""
     try:
         machine = zlib.decompressobj()
@@ -143,7 +147,7 @@
     return [text[start : start + size] for start in range(0, len(text), size)]
 
 
-class Incomplete(Exception):
+class IncompleteGraphError(Exception):
     """Not all of a graph's content stands in the state service."""
 
 
@@ -155,22 +159,22 @@
     ValueError, wire.Malformed."""
     missing = [part for part in range(count) if str(part) not in found]
     if missing:
-        raise Incomplete(f"{id}: part {missing[0]} is missing")
+        raise IncompleteGraphError(f"{id}: part {missing[0]} is missing")
     parts = []
     for part in range(count):
-        head = wire.converted(found[str(part)], PartRecord)
+        head = wire.convert(found[str(part)], PartRecord)
         names = [f"{part}/{head.digest}/{piece}" for piece in range(head.pieces)]
         if any(name not in found for name in names):
-            raise Incomplete(f"{id}: part {part} is not whole")
+            raise IncompleteGraphError(f"{id}: part {part} is not whole")
         text = "".join(found[name] for name in names)
-        parts.append((head.digest, unpack(unfold(text))))
+        parts.append((head.digest, unpack(decompress(text))))
     return parts
 
 
 def joined(id: GraphId, record: GraphRecord, parts: Parts) -> list[Task]:
     """All tasks, if these are the parts that were accepted. Raises Incomplete."""
     if [digest for digest, _ in parts] != record.digests:
-        raise Incomplete(f"{id}: parts do not match")
+        raise IncompleteGraphError(f"{id}: parts do not match")
     return [task for _, tasks in parts for task in tasks]
 
 
@@ -213,17 +217,17 @@
     failed: dict[int, list[Failure]]
 
 
-def progress(id: GraphId, entries: list[Any]) -> Progress:
+def progress(id: GraphId, entries: list[wire.KeyValue]) -> Progress:
     """From all records under `graphs/run/ID/`. Raises wire.Malformed."""
     made = Progress({}, {})
     for entry in entries:
-        kind, _, page = entry.path[len(RUN) + len(id) + 1 :].partition("/")
+        kind, _, page = entry.key[len(RUN) + len(id) + 1 :].partition("/")
         if not page:
-            made.runs[int(kind)] = (wire.converted(entry.data, RunRecord), entry.stamp)
+            made.runs[int(kind)] = (wire.convert(entry.data, RunRecord), entry.version)
     for entry in entries:
-        kind, _, page = entry.path[len(RUN) + len(id) + 1 :].partition("/")
+        kind, _, page = entry.key[len(RUN) + len(id) + 1 :].partition("/")
         # A page beyond those that the array's record counts was not committed with it.
         if page and int(kind) in made.runs and int(page) < made.runs[int(kind)][0].pages:
             found = made.failed.setdefault(int(kind), [])
-            found += wire.converted(entry.data, PageRecord).failed
+            found += wire.convert(entry.data, PageRecord).failed
     return made
--- a/umberward/load/generator.py
+++ b/umberward/load/generator.py
@@ -21,7 +21,7 @@
 from umberward.graphs import files
 from umberward.graphs.model import File, GraphId, Options, Task
 from umberward.protocol import wire
-from umberward.protocol.http import Client, NoAnswer, NotSent
+from umberward.protocol.http import Client, NoResponseError, RequestNotSentError
 
 JOBS, GRAPHS = "/v1/jobs", "/v1/graphs"
 LONGEST_MS = 600_000
@@ -118,9 +118,9 @@
                 try:
                     response = await self.client.request(server, method, path, body, ANSWER_S)
                     status = str(response.status)
-                except NotSent:
+                except RequestNotSentError:
                     status = "not reached"
-                except NoAnswer:
+                except NoResponseError:
                     status = "no answer"
                 if status not in ("200", "201", "202"):
                     break
@@ -150,12 +150,24 @@
     def _job(self, uid: str) -> dict[str, Any]:
         work = self.work
         return {
-            "uid": uid, "jobclass": "load", "owner": work.team, "shape": wire.ARRAY,
-            "rank": "normal", "shards": work.tasks, "cores": work.cores, "accelerators": 0.0,
-            "mem_gb": 0.5, "bundle": "load", "pull_gb": 0.0, "expect_s": work.expect_s,
-            "same_place": False, "apart": False, "reclaimable": True, "snapshot_every_s": 0.0,
+            "uid": uid,
+            "jobclass": "load",
+            "owner": work.team,
+            "shape": wire.ARRAY,
+            "rank": "normal",
+            "shards": work.tasks,
+            "cores": work.cores,
+            "accelerators": 0.0,
+            "mem_gb": 0.5,
+            "bundle": "load",
+            "pull_gb": 0.0,
+            "expect_s": work.expect_s,
+            "same_place": False,
+            "apart": False,
+            "reclaimable": True,
+            "snapshot_every_s": 0.0,
             "snapshot_cost_s": 0.0,
-        }  # fmt: skip
+        }
 
     def _graph(self) -> File:
         """Each task needs up to two of those before it."""
--- a/umberward/local/cloudcore.py
+++ b/umberward/local/cloudcore.py
@@ -6,23 +6,28 @@
 import random
 from typing import NamedTuple
 
-from umberward.protocol.wire import DELETE_LIMIT, RENT_LIMIT, Host, Sku
+from umberward.protocol.wire import (
+    MAX_DELETIONS_PER_REQUEST,
+    MAX_MACHINES_PER_REQUEST,
+    CloudMachine,
+    MachineType,
+)
 
 BOOT_SPREAD = (0.6, 1.5)  # of the nominal boot time
 NOTICE_SPREAD = (0.5, 1.5)
 
 
-class NoCapacity(Exception):
+class NoCapacityError(Exception):
     pass
 
 
-class Malformed(Exception):
+class MalformedRequestError(Exception):
     pass
 
 
 class Machine:
     def __init__(
-        self, id: str, sku: Sku, zone: str, spot: bool, rented_at: float, up_at: float
+        self, id: str, sku: MachineType, zone: str, spot: bool, rented_at: float, up_at: float
     ) -> None:
         self.id = id
         self.sku = sku
@@ -45,9 +50,9 @@
 
 class CloudCore:
     def __init__(
-        self, skus: list[Sku], list_lag_s: float, rng: random.Random, speed: float
+        self, skus: list[MachineType], list_lag_s: float, rng: random.Random, speed: float
     ) -> None:
-        self.skus = {sku.sku: sku for sku in skus}
+        self.skus = {sku.name: sku for sku in skus}
         self.list_lag_s = list_lag_s
         self.rng = rng
         self.speed = speed
@@ -55,7 +60,7 @@
         self.claims: dict[str, list[str]] = {}
         self.capacity: dict[Capacity, int] = {}
         self.rented = 0
-        self.past: list[tuple[float, list[Host]]] = []  # what was there when
+        self.past: list[tuple[float, list[CloudMachine]]] = []  # what was there when
 
     def rent(
         self, claim: str, flavor: str, zone: str, spot: bool, many: int, now: float
@@ -64,15 +69,13 @@
         if claim in self.claims:
             return self.claims[claim]
         sku = self.skus.get(flavor)
-        if sku is None or zone not in sku.yards or not 0 < many <= RENT_LIMIT:
-            raise Malformed(f"{flavor} in {zone}, {many} times")
+        if sku is None or zone not in sku.zones or not 0 < many <= MAX_MACHINES_PER_REQUEST:
+            raise MalformedRequestError(f"{flavor} in {zone}, {many} times")
         kind = Capacity(flavor, zone, spot)
-        there = sum(
-            (m.sku.sku, m.zone, m.spot) == kind for m in self.machines.values()
-        )  # fmt: skip
-        many = min(many, self.capacity.get(kind, RENT_LIMIT) - there)
+        there = sum((m.sku.name, m.zone, m.spot) == kind for m in self.machines.values())
+        many = min(many, self.capacity.get(kind, MAX_MACHINES_PER_REQUEST) - there)
         if many <= 0:
-            raise NoCapacity
+            raise NoCapacityError
         names = []
         for _ in range(many):
             self.rented += 1
@@ -85,16 +88,17 @@
 
     def delete(self, names: list[str]) -> list[Machine]:
         """The machines that are gone by this; unknown names are ignored. Raises Malformed."""
-        if len(names) > DELETE_LIMIT:
-            raise Malformed(f"{len(names)} names")
+        if len(names) > MAX_DELETIONS_PER_REQUEST:
+            raise MalformedRequestError(f"{len(names)} names")
         return [self.machines.pop(name) for name in names if name in self.machines]
 
     def take_back(self, count: int, notice_s: float, now: float, zone: str = "") -> list[Machine]:
         """Spot machines (or, with a zone, any of it) are told that they will be taken."""
         found = [
-            m for m in self.machines.values()
+            m
+            for m in self.machines.values()
             if m.up and m.taken_at is None and (m.zone == zone if zone else m.spot)
-        ]  # fmt: skip
+        ]
         for machine in found[:count]:
             machine.taken_at = now + notice_s * self.rng.uniform(*NOTICE_SPREAD)
         return found[:count]
@@ -112,17 +116,22 @@
             del self.past[0]
         return up, taken
 
-    def listed(self, start: str, most: int) -> tuple[list[Host], bool]:
+    def listed(self, start: str, most: int) -> tuple[list[CloudMachine], bool]:
         """As it was a while ago, after `start` in the order of names; whether there are more."""
         hosts = self.past[0][1] if self.past else []
-        found = [host for host in hosts if host.uid > start]
+        found = [host for host in hosts if host.machine_id > start]
         return found[:most], len(found) > most
 
-    def _hosts(self, now: float) -> list[Host]:
+    def _hosts(self, now: float) -> list[CloudMachine]:
         return [
-            Host(
-                m.id, m.address, m.sku.sku, m.zone, m.spot, "running" if m.up else "booting",
+            CloudMachine(
+                m.id,
+                m.address,
+                m.sku.name,
+                m.zone,
+                m.spot,
+                "running" if m.up else "booting",
                 now - m.rented_at,
             )
             for _, m in sorted(self.machines.items())
-        ]  # fmt: skip
+        ]
--- a/umberward/local/cluster.py
+++ b/umberward/local/cluster.py
@@ -22,7 +22,7 @@
 
 from umberward.client.store import CALL, Store
 from umberward.core.log import logger
-from umberward.core.settings import StateLimits, Team, Workers
+from umberward.core.settings import StateLimits, TeamQuota, WorkerTimes
 from umberward.core.tasks import TaskScope
 from umberward.core.types import Address
 from umberward.graphs import model, records
@@ -32,8 +32,8 @@
 from umberward.local.statecore import StateCore
 from umberward.local.workercore import Fate, Mates, WorkerCore
 from umberward.protocol import wire
-from umberward.protocol.http import Client, NoAnswer, NotSent
-from umberward.protocol.wire import Sku, Spec
+from umberward.protocol.http import Client, NoResponseError, RequestNotSentError
+from umberward.protocol.wire import JobSpec, MachineType
 
 log = logger(__name__)
 
@@ -48,16 +48,16 @@
 READY_S = 30.0  # by then a controller must be ready
 
 MACHINES = [
-    Sku("small", 4.0, 16.0, 0.2, 4.0, ["a", "b"], local_gb=50.0, low_price=0.1),
-    Sku("large", 32.0, 128.0, 1.6, 6.0, ["a", "b"], local_gb=50.0, low_price=0.6),
-    Sku("accel", 32.0, 128.0, 9.0, 8.0, ["a", "b"], accelerators=4.0, local_gb=50.0),
+    MachineType("small", 4.0, 16.0, 0.2, 4.0, ["a", "b"], image_cache_gb=50.0, spot_price=0.1),
+    MachineType("large", 32.0, 128.0, 1.6, 6.0, ["a", "b"], image_cache_gb=50.0, spot_price=0.6),
+    MachineType("accel", 32.0, 128.0, 9.0, 8.0, ["a", "b"], accelerators=4.0, image_cache_gb=50.0),
 ]
 
 
-WORKERS = Workers(report_s=1.0, lease_s=8.0, gang_wait_s=20.0, gang_peer_s=4.0, cancel_s=20.0)
+WORKERS = WorkerTimes(report_s=1.0, lease_s=8.0, gang_wait_s=20.0, gang_peer_s=4.0, cancel_s=20.0)
 
 
-class Trouble(msgspec.Struct, forbid_unknown_fields=True):
+class Fault(msgspec.Struct, forbid_unknown_fields=True):
     """Something that happens `at` so many seconds after the cluster is ready, `for` so many more.
 
     crash: controllers (all without `controller`) are killed; state_down, cloud_down: no service;
@@ -69,26 +69,36 @@
 
     at: float
     what: Literal[
-        "crash", "state_down", "cloud_down", "refuse", "lost", "late", "drain", "take", "delete",
+        "crash",
+        "state_down",
+        "cloud_down",
+        "refuse",
+        "lost",
+        "late",
+        "drain",
+        "take",
+        "delete",
         "sick",
-    ]  # fmt: skip
+    ]
     seconds: float = msgspec.field(name="for", default=5.0)
     controller: int | None = None
     zone: str = ""
     count: int = 1
 
 
-class Plan(msgspec.Struct):
+class ClusterPlan(msgspec.Struct):
     """What a local cluster is made of. `speed`: how much faster machines boot and tasks run."""
 
     controllers: int = 3
-    machines: list[Sku] = msgspec.field(default_factory=lambda: list(MACHINES))
-    teams: list[Team] = msgspec.field(default_factory=lambda: [Team("red"), Team("blue")])
-    troubles: list[Trouble] = []
+    machines: list[MachineType] = msgspec.field(default_factory=lambda: list(MACHINES))
+    teams: list[TeamQuota] = msgspec.field(
+        default_factory=lambda: [TeamQuota("red"), TeamQuota("blue")]
+    )
+    troubles: list[Fault] = []
     speed: float = 1.0
     seed: int = 1
     graphs: bool = True
-    workers: Workers = WORKERS
+    workers: WorkerTimes = WORKERS
     properties: dict[str, str] = {}  # of the controllers, besides those for graphs
     log_level: str = ""  # of the controllers; empty: as in this process
 
@@ -96,12 +106,12 @@
 class LocalCluster:
     worker_core: type[WorkerCore] = WorkerCore
 
-    def __init__(self, plan: Plan, folder: Path) -> None:
+    def __init__(self, plan: ClusterPlan, folder: Path) -> None:
         self.plan = plan
         self.folder = folder
         self.processes: dict[str, subprocess.Popen[bytes]] = {}  # functions of graphs' tasks
         self.rng = random.Random(plan.seed)
-        self.zones = sorted({zone for sku in plan.machines for zone in sku.yards})
+        self.zones = sorted({zone for sku in plan.machines for zone in sku.zones})
         self.workers_said = plan.workers
         self.limits = StateLimits(rps=600.0, write_rps=60.0, value_kb=4.0, txn_ops=8)
         free = self._addresses(3 * plan.controllers + 2)
@@ -141,7 +151,7 @@
 
     @classmethod
     @contextlib.asynccontextmanager
-    async def running(cls, plan: Plan) -> AsyncIterator[LocalCluster]:
+    async def running(cls, plan: ClusterPlan) -> AsyncIterator[LocalCluster]:
         """A cluster that is ready; all its processes and files are gone afterwards."""
         folder = Path(tempfile.mkdtemp(prefix="umberward-local-"))
         cluster = cls(plan, folder)
@@ -178,7 +188,7 @@
         for address in self.listen:
             try:
                 response = await self.client.request(address, "GET", "/ready", b"", 1.0)
-            except (NotSent, NoAnswer):
+            except (RequestNotSentError, NoResponseError):
                 return False
             if response.status != 200:
                 return False
@@ -200,23 +210,28 @@
             for n, addr in enumerate(self.peers)
             if n != number
         ]
-        limits = {name: v for name, v in wire.builtins(self.limits).items() if v is not None}
+        limits = {name: v for name, v in wire.to_builtins(self.limits).items() if v is not None}
         return {
-            "label": self.names[number], "site": zone, "listen": str(self.listen[number]),
-            "peer_bind": str(self.peers[number]), "peers": peers,
+            "label": self.names[number],
+            "site": zone,
+            "listen": str(self.listen[number]),
+            "peer_bind": str(self.peers[number]),
+            "peers": peers,
             "endpoints": {
                 "cloud": str(self.cloud.server.address),
                 "state": str(self.state.servers[number].address),
             },
             "cluster": {
-                "size": self.plan.controllers, "zones": self.zones, "skew_ms": 0.0,
-                "teams": wire.builtins(self.plan.teams),
-                "workers": wire.builtins(self.workers_said),
+                "size": self.plan.controllers,
+                "zones": self.zones,
+                "skew_ms": 0.0,
+                "teams": wire.to_builtins(self.plan.teams),
+                "workers": wire.to_builtins(self.workers_said),
                 "state": limits,
                 "cloud": {"rps": CLOUD_RPS, "list_lag_s": LIST_LAG_S},
                 "machine_limits": {"cpu": 1.0, "memory_mb": 200.0, "sockets": 800},
             },
-        }  # fmt: skip
+        }
 
     # ---- time --------------------------------------------------------------------------
 
@@ -263,12 +278,20 @@
         with open(self.folder / f"{name}.log", "ab") as out:
             return subprocess.Popen(
                 [
-                    sys.executable, "-m", "umberward.local.child", "run",
-                    "--config", str(self.folder / f"{name}.toml"),
-                    "--properties", str(self.folder / "own.properties"),
+                    sys.executable,
+                    "-m",
+                    "umberward.local.child",
+                    "run",
+                    "--config",
+                    str(self.folder / f"{name}.toml"),
+                    "--properties",
+                    str(self.folder / "own.properties"),
                 ],
-                stdin=subprocess.PIPE, stdout=out, stderr=out, env=self._environment(),
-            )  # fmt: skip
+                stdin=subprocess.PIPE,
+                stdout=out,
+                stderr=out,
+                env=self._environment(),
+            )
 
     def _environment(self) -> dict[str, str]:
         level = {"LOG_LEVEL": self.plan.log_level} if self.plan.log_level else {}
@@ -276,10 +299,18 @@
 
     def _core(self, machine: Machine, now: float) -> WorkerCore:
         return self.worker_core(
-            machine.id, machine.address, machine.sku, machine.zone, machine.spot,
-            self.workers_said, self.mates, self.describe,
-            lambda name, spec: self._fate(machine.id, name, spec), now, self.plan.speed,
-        )  # fmt: skip
+            machine.id,
+            machine.address,
+            machine.sku,
+            machine.zone,
+            machine.spot,
+            self.workers_said,
+            self.mates,
+            self.describe,
+            lambda name, spec: self._fate(machine.id, name, spec),
+            now,
+            self.plan.speed,
+        )
 
     def _worker(self, machine: Machine, now: float) -> WorkerServer:
         core = self._core(machine, now)
@@ -302,11 +333,11 @@
 
     # ---- what runs ---------------------------------------------------------------------
 
-    def _fate(self, host: str, name: str, spec: Spec) -> Fate:
+    def _fate(self, host: str, name: str, spec: JobSpec) -> Fate:
         self.started_at.setdefault(name, time.monotonic())
-        if spec.shape == wire.SERVICE:
+        if spec.kind == wire.SERVICE:
             return Fate(float("inf"))
-        seconds = (spec.expect_s or DEFAULT_RUN_S) / self.plan.speed
+        seconds = (spec.expected_runtime_s or DEFAULT_RUN_S) / self.plan.speed
         if host in self.sick:
             return Fate(min(seconds, 0.2), "error")
         if self.store.whole(name + CALL):
@@ -344,32 +375,32 @@
         for worker, _ in self.workers.values():
             for task in worker.core.alive.values():
                 if task.spec is not None:
-                    used[task.spec.owner] = used.get(task.spec.owner, 0.0) + task.spec.cores
+                    used[task.spec.team] = used.get(task.spec.team, 0.0) + task.spec.cores
         for team, cores in used.items():
             self.most_cores[team] = max(self.most_cores.get(team, 0.0), cores)
 
-    def describe(self, job: str) -> Spec | None:
+    def describe(self, job: str) -> JobSpec | None:
         """A job's description. Users would upload it; here it is read where it was submitted."""
         own = model.graph_of(job)
         keys = self.state.core.keys
         if own is None:
-            found = keys.get(wire.LIVE + job)
+            found = keys.get(wire.LIVE_JOBS_PREFIX + job)
             if found is None:
                 return None
-            record: wire.JobRecord = wire.converted(found.data, wire.JobRecord)
+            record: wire.JobRecord = wire.convert(found.data, wire.JobRecord)
             return record.spec
         id, kind = own
         stored = keys.get(records.live_key(id))
         if stored is None:
             return None
-        graph: records.GraphRecord = wire.converted(stored.data, records.GraphRecord)
+        graph: records.GraphRecord = wire.convert(stored.data, records.GraphRecord)
         if id not in self.shapes:
             self.shapes[id] = Shape(self._tasks(id, graph))
         return self.shapes[id].spec(id, graph.options, kind)
 
     def _tasks(self, id: model.GraphId, graph: records.GraphRecord) -> list[model.Task]:
         if not graph.opened:
-            return records.unpack(records.unfold(graph.content))
+            return records.unpack(records.decompress(graph.content))
         prefix = f"{records.PART}{id}/{graph.opened}/"
         page = self.state.core.keys.items()
         found = {key[len(prefix) :]: got.data for key, got in page if key.startswith(prefix)}
@@ -383,7 +414,7 @@
             await curio.sleep(max(0.0, began + trouble.at - time.monotonic()))
             await self.group.spawn(self.cause, trouble)
 
-    async def cause(self, trouble: Trouble) -> None:
+    async def cause(self, trouble: Fault) -> None:
         """Make it happen, and end it when its time is over."""
         log.info("trouble", what=trouble.what)
         some = [worker.core.host for worker, _ in self.workers.values()][: trouble.count]
@@ -433,7 +464,7 @@
         alive = sum(child is not None for child in self.children)
         tasks = sum(len(worker.core.alive) for worker, _ in self.workers.values())
         core = self.state.core
-        jobs = sum(key.startswith(wire.LIVE) for key in core.keys)
+        jobs = sum(key.startswith(wire.LIVE_JOBS_PREFIX) for key in core.keys)
         graphs = sum(key.startswith(records.LIVE) for key in core.keys)
         leader = "none" if self.leader is None else self.names[self.leader]
         return (
--- a/umberward/local/example.py
+++ b/umberward/local/example.py
@@ -13,22 +13,35 @@
 from umberward.graphs.model import File, GraphId, Options, Task
 from umberward.local.cluster import LocalCluster
 from umberward.protocol import wire
-from umberward.protocol.http import NoAnswer, NotSent, Response
-from umberward.protocol.wire import ARRAY, GANG, SERVICE, Spec
+from umberward.protocol.http import NoResponseError, RequestNotSentError, Response
+from umberward.protocol.wire import ARRAY, GANG, SERVICE, JobSpec
 
 AGAIN_S = 0.5
 END_S = 90.0
 
 
-def job(number: int, shape: str, shards: int, **fields: Any) -> Spec:
+def job(number: int, shape: str, shards: int, **fields: Any) -> JobSpec:
     """A small job; `fields` are those of the protocol."""
     base: dict[str, Any] = {
-        "uid": f"req-{number:06d}", "jobclass": f"example-{shape}", "owner": "red",
-        "shape": shape, "rank": "normal", "shards": shards, "cores": 1.0, "accelerators": 0.0,
-        "mem_gb": 1.0, "bundle": "example", "pull_gb": 0.5, "expect_s": 4.0, "same_place": False,
-        "apart": False, "reclaimable": False, "snapshot_every_s": 0.0, "snapshot_cost_s": 0.0,
-    }  # fmt: skip
-    return msgspec.convert(base | fields, Spec)
+        "uid": f"req-{number:06d}",
+        "jobclass": f"example-{shape}",
+        "owner": "red",
+        "shape": shape,
+        "rank": "normal",
+        "shards": shards,
+        "cores": 1.0,
+        "accelerators": 0.0,
+        "mem_gb": 1.0,
+        "bundle": "example",
+        "pull_gb": 0.5,
+        "expect_s": 4.0,
+        "same_place": False,
+        "apart": False,
+        "reclaimable": False,
+        "snapshot_every_s": 0.0,
+        "snapshot_cost_s": 0.0,
+    }
+    return msgspec.convert(base | fields, JobSpec)
 
 
 def graph(width: int = 6) -> File:
@@ -48,7 +61,7 @@
             response = await cluster.client.request(address, method, path, body, 5.0)
             if response.status < 429:
                 return response
-        except (NotSent, NoAnswer):
+        except (RequestNotSentError, NoResponseError):
             pass
         number += 1
         await curio.sleep(AGAIN_S)
@@ -81,13 +94,13 @@
     for spec in (array, gang, service):
         await ask(cluster, "POST", "/v1/jobs", wire.encode(spec))
     await send_graph(cluster, "graph-1", graph())
-    ended = await wait_for(cluster, f"/v1/jobs/{service.uid}", ("running",))
-    say(f"service {service.uid}: {ended['phase']}")
-    await ask(cluster, "POST", f"/v1/jobs/{service.uid}/cancel")
+    ended = await wait_for(cluster, f"/v1/jobs/{service.job_id}", ("running",))
+    say(f"service {service.job_id}: {ended['phase']}")
+    await ask(cluster, "POST", f"/v1/jobs/{service.job_id}/cancel")
     good = ended["phase"] == "running"
     for what, path in (
-        (f"array {array.uid}", f"/v1/jobs/{array.uid}"),
-        (f"gang {gang.uid}", f"/v1/jobs/{gang.uid}"),
+        (f"array {array.job_id}", f"/v1/jobs/{array.job_id}"),
+        (f"gang {gang.job_id}", f"/v1/jobs/{gang.job_id}"),
         ("graph graph-1", "/v1/graphs/graph-1"),
     ):
         ended = await wait_for(cluster, path, ("done", "failed", "cancelled"))
--- a/umberward/local/servers.py
+++ b/umberward/local/servers.py
@@ -18,7 +18,15 @@
 from umberward.local.statecore import Rate, StateCore
 from umberward.local.workercore import WorkerCore
 from umberward.protocol import wire
-from umberward.protocol.http import Client, Handler, NoAnswer, NotSent, Request, Response, Server
+from umberward.protocol.http import (
+    Client,
+    Handler,
+    NoResponseError,
+    Request,
+    RequestNotSentError,
+    Response,
+    Server,
+)
 
 log = logger(__name__)
 
@@ -121,7 +129,7 @@
         found = self.core.keys.get(key)
         if found is None:
             return Response(404, wire.encode({"generation": self.core.revision}))
-        entry = wire.Entry(key, found.data, found.stamp, self.core.attached.get(key))
+        entry = wire.KeyValue(key, found.data, found.version, self.core.attached.get(key))
         return Response(200, wire.encode(entry))
 
     async def _commit(self, body: dict[str, object]) -> Response:
@@ -132,10 +140,10 @@
             return Response(429)
         try:
             revision = self.core.commit(conditions, writes)
-        except statecore.Failed as error:
+        except statecore.CompareFailedError as error:
             answer = {"failed": error.keys, "generation": self.core.revision}
             return Response(409, wire.encode(answer))
-        except statecore.Refused as error:
+        except statecore.InvalidRequestError as error:
             return _error(400, str(error))
         await self.notify()
         return Response(200, wire.encode({"generation": revision}))
@@ -161,11 +169,11 @@
             if not self.closed(number):
                 try:
                     news = self.core.news(prefix, after)
-                except statecore.TooOld:
+                except statecore.RevisionCompactedError:
                     return Response(410)
                 left = deadline - time.monotonic()
                 if news or left <= 0:
-                    return Response(200, wire.encode(wire.News(self.core.revision, news)))
+                    return Response(200, wire.encode(wire.WatchResponse(self.core.revision, news)))
             else:
                 left = LOOK_S  # open watches wait through an outage
             await curio.ignore_after(min(left, 1.0), changed.wait)
@@ -206,20 +214,26 @@
             return Response(429)
         try:
             return self._answer(request)
-        except (msgspec.DecodeError, TypeError, ValueError, KeyError, cloudcore.Malformed) as error:
+        except (
+            msgspec.DecodeError,
+            TypeError,
+            ValueError,
+            KeyError,
+            cloudcore.MalformedRequestError,
+        ) as error:
             return _error(400, str(error))
 
     def _answer(self, request: Request) -> Response:
         route = (request.method, request.path)
         if route == ("GET", "/flavors"):
-            return Response(200, wire.encode(wire.Flavors(list(self.core.skus.values()))))
+            return Response(200, wire.encode(wire.MachineTypeList(list(self.core.skus.values()))))
         if route == ("POST", "/hosts"):
             b = msgspec.convert(_body(request), _Rent)
             try:
                 names = self.core.rent(
                     b.claim, b.flavor, b.yard, b.reclaimable, b.how_many, time.monotonic()
                 )
-            except cloudcore.NoCapacity:
+            except cloudcore.NoCapacityError:
                 return _error(503, "no capacity")
             return Response(200, wire.encode({"hosts": names}))
         if route == ("POST", "/hosts/delete"):
@@ -227,9 +241,11 @@
             return Response(200, wire.encode({}))
         if route == ("GET", "/hosts"):
             asked = _query(request)
-            most = min(int(asked.get("most", wire.LIST_LIMIT)), wire.LIST_LIMIT)
+            most = min(
+                int(asked.get("most", wire.MAX_MACHINES_PER_PAGE)), wire.MAX_MACHINES_PER_PAGE
+            )
             hosts, more = self.core.listed(asked.get("from", ""), most)
-            return Response(200, wire.encode(wire.Hosts(hosts, more)))
+            return Response(200, wire.encode(wire.CloudMachinePage(hosts, more)))
         return Response(404)
 
 
@@ -245,9 +261,13 @@
     """One machine's worker: reports to one controller at a time, and takes direct commands."""
 
     def __init__(
-        self, core: WorkerCore, nodes: dict[str, Address], report_s: float, client: Client,
+        self,
+        core: WorkerCore,
+        nodes: dict[str, Address],
+        report_s: float,
+        client: Client,
         rng: random.Random,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.core = core
         self.nodes = nodes
         self.report_s = report_s
@@ -293,9 +313,12 @@
         tenure, sent = core.tenure, time.monotonic()
         try:
             response = await self.client.request(
-                self.nodes[self.node], "POST", "/hello", wire.encode(core.report()),
+                self.nodes[self.node],
+                "POST",
+                "/hello",
+                wire.encode(core.report()),
                 HELLO_TIMEOUT_S,
-            )  # fmt: skip
+            )
             if response.status == 200:
                 body = msgspec.msgpack.decode(response.body, type=_Orders)
                 core.answered(sent, tenure, body.epoch, body.orders)
@@ -303,7 +326,7 @@
             steward = None
             if response.status == 421:
                 steward = msgspec.msgpack.decode(response.body, type=_Steward).steward
-        except (NotSent, NoAnswer, msgspec.DecodeError):
+        except (RequestNotSentError, NoResponseError, msgspec.DecodeError):
             steward = None
         if steward in self.nodes and steward != self.node:
             self.node = steward
@@ -316,12 +339,12 @@
 class _Do(msgspec.Struct):
     epoch: int
     tenure: int
-    orders: list[wire.Order]
+    orders: list[wire.TaskCommand]
 
 
 class _Orders(msgspec.Struct):
     epoch: int = -1
-    orders: list[wire.Order] = []
+    orders: list[wire.TaskCommand] = []
 
 
 class _Steward(msgspec.Struct):
--- a/umberward/local/statecore.py
+++ b/umberward/local/statecore.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterable
 from typing import Any
 
-from umberward.core.types import Stamp
+from umberward.core.types import Version
 from umberward.protocol import wire
-from umberward.protocol.changes import Got
+from umberward.protocol.transactions import VersionedValue
 
 KEPT_CHANGES = 10_000
 TXN_BYTES = 64 * 1024
@@ -22,7 +22,7 @@
 LONGEST_KEY = 200
 
 
-class Failed(Exception):
+class CompareFailedError(Exception):
     """These conditions do not hold."""
 
     def __init__(self, keys: list[str]) -> None:
@@ -30,11 +30,11 @@
         self.keys = keys
 
 
-class Refused(Exception):
+class InvalidRequestError(Exception):
     """Malformed, too large, or its lease is over: 400 with this reason."""
 
 
-class TooOld(Exception):
+class RevisionCompactedError(Exception):
     """The changes asked for are kept no longer."""
 
 
@@ -60,11 +60,11 @@
         self.value_bytes = value_bytes
         self.txn_ops = txn_ops
         self.revision = 0
-        self.keys: dict[str, Got] = {}
+        self.keys: dict[str, VersionedValue] = {}
         self.attached: dict[str, int] = {}  # key -> its lease
         self.leases: dict[int, tuple[float, float]] = {}  # lease -> (length, when it ends), seconds
         self.granted = 0
-        self.changes: deque[wire.Change] = deque(maxlen=KEPT_CHANGES)
+        self.changes: deque[wire.KeyChange] = deque(maxlen=KEPT_CHANGES)
         self.written = 0  # puts and deletes
         self.bytes = 0  # of the values put
 
@@ -74,7 +74,7 @@
         self._check(conditions, writes)
         failed = [key for key, stamp in conditions if self._stamp(key) != stamp]
         if failed:
-            raise Failed(failed)
+            raise CompareFailedError(failed)
         if writes:
             self.revision += 1
             self.written += len(writes)
@@ -88,57 +88,57 @@
     def _check(self, conditions: list[tuple[str, int]], writes: list[dict[str, Any]]) -> None:
         sizes = [wire.json_size(write.get("data")) for write in writes if "write" in write]
         if len(writes) > self.txn_ops or any(size > self.value_bytes for size in sizes):
-            raise Refused(f"{len(writes)} changes, values of {sizes} bytes")
+            raise InvalidRequestError(f"{len(writes)} changes, values of {sizes} bytes")
         if len(conditions) > CONDITIONS_FOR_EACH * self.txn_ops:
-            raise Refused(f"{len(conditions)} conditions")
+            raise InvalidRequestError(f"{len(conditions)} conditions")
         if sum(sizes) > TXN_BYTES:
-            raise Refused(f"{sum(sizes)} bytes together")
+            raise InvalidRequestError(f"{sum(sizes)} bytes together")
         for write in writes:
             key = write.get("write", write.get("delete"))
             if not isinstance(key, str) or not 0 < len(key.encode()) <= LONGEST_KEY or " " in key:
-                raise Refused(f"not a key: {key!r}")
+                raise InvalidRequestError(f"not a key: {key!r}")
             lease = write.get("charter")
             if lease is not None and lease not in self.leases:
-                raise Refused("no such lease")
+                raise InvalidRequestError("no such lease")
 
     def _stamp(self, key: str) -> int:
         found = self.keys.get(key)
-        return found.stamp if found is not None else 0
+        return found.version if found is not None else 0
 
     def _put(self, key: str, data: Any, lease: int | None) -> None:
         self.bytes += wire.json_size(data)
-        self.keys[key] = Got(data, Stamp(self.revision))
+        self.keys[key] = VersionedValue(data, Version(self.revision))
         self.attached.pop(key, None)
         if lease is not None:
             self.attached[key] = lease
-        self.changes.append(wire.Change(key, None, data, self.revision))
+        self.changes.append(wire.KeyChange(key, None, data, self.revision))
 
     def _delete(self, key: str) -> None:
         if self.keys.pop(key, None) is not None:
             self.attached.pop(key, None)
-            self.changes.append(wire.Change(delete=key, stamp=self.revision))
+            self.changes.append(wire.KeyChange(deleted_key=key, version=self.revision))
 
-    def entries(self, prefix: str, start: str = "", most: int = MOST_ENTRIES) -> wire.Listing:
+    def entries(self, prefix: str, start: str = "", most: int = MOST_ENTRIES) -> wire.KeyValuePage:
         """Entries after `start` in the order of their keys, as many as one answer holds."""
-        found: list[wire.Entry] = []
+        found: list[wire.KeyValue] = []
         size = 0
         for key in sorted(key for key in self.keys if key.startswith(prefix) and key > start):
             got = self.keys[key]
             size += wire.json_size(got.data)
             if len(found) >= min(most, MOST_ENTRIES) or (found and size > MOST_ENTRY_BYTES):
-                return wire.Listing(found, self.revision, True)
-            found.append(wire.Entry(key, got.data, got.stamp, self.attached.get(key)))
-        return wire.Listing(found, self.revision)
+                return wire.KeyValuePage(found, self.revision, True)
+            found.append(wire.KeyValue(key, got.data, got.version, self.attached.get(key)))
+        return wire.KeyValuePage(found, self.revision)
 
-    def news(self, prefix: str, after: int) -> list[wire.Change]:
+    def news(self, prefix: str, after: int) -> list[wire.KeyChange]:
         """Changes of keys with the prefix after that revision. Raises TooOld."""
-        if len(self.changes) == KEPT_CHANGES and self.changes[0].stamp > after + 1:
-            raise TooOld
+        if len(self.changes) == KEPT_CHANGES and self.changes[0].version > after + 1:
+            raise RevisionCompactedError
         found = []
         for change in reversed(self.changes):
-            if change.stamp <= after:
+            if change.version <= after:
                 break
-            if (change.write or change.delete or "").startswith(prefix):
+            if (change.put_key or change.deleted_key or "").startswith(prefix):
                 found.append(change)
         return found[::-1]
 
--- a/umberward/local/workercore.py
+++ b/umberward/local/workercore.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from umberward.core.settings import Workers
-from umberward.core.types import NOTHING, Amount
+from umberward.core.settings import WorkerTimes
+from umberward.core.types import NO_RESOURCES, Resources
 from umberward.protocol import wire
-from umberward.protocol.wire import Order, Report, ShardReport, Sku, Spec
+from umberward.protocol.wire import Heartbeat, JobSpec, MachineType, TaskCommand, TaskStatus
 
 
 class Fate(NamedTuple):
@@ -24,11 +24,11 @@
 
 
 class Task:
-    def __init__(self, name: str, attempt: int, spec: Spec | None, now: float) -> None:
+    def __init__(self, name: str, attempt: int, spec: JobSpec | None, now: float) -> None:
         self.name = name
         self.attempt = attempt
         self.spec = spec
-        self.phase = wire.PULLING
+        self.phase = wire.PULLING_IMAGE
         self.since = now
         self.cause: str | None = None
         self.stored: bool | None = None
@@ -67,8 +67,8 @@
     def complete(self, task: Task) -> bool:
         assert task.spec is not None
         mates = self.gangs.get(_gang(task), {})
-        return len(mates) == task.spec.shards and all(
-            mate.phase in (wire.GATHERING, wire.RUNNING) for mate in mates.values()
+        return len(mates) == task.spec.task_count and all(
+            mate.phase in (wire.WAITING_FOR_GANG, wire.RUNNING) for mate in mates.values()
         )
 
 
@@ -78,10 +78,19 @@
 
 class WorkerCore:
     def __init__(
-        self, host: str, address: str, sku: Sku, zone: str, spot: bool, times: Workers,
-        mates: Mates, describe: Callable[[str], Spec | None], fate: Callable[[str, Spec], Fate],
-        now: float, speed: float = 1.0,
-    ) -> None:  # fmt: skip
+        self,
+        host: str,
+        address: str,
+        sku: MachineType,
+        zone: str,
+        spot: bool,
+        times: WorkerTimes,
+        mates: Mates,
+        describe: Callable[[str], JobSpec | None],
+        fate: Callable[[str, JobSpec], Fate],
+        now: float,
+        speed: float = 1.0,
+    ) -> None:
         """`describe` fetches a job's description, as users have uploaded it."""
         self.host = host
         self.address = address
@@ -100,7 +109,7 @@
         self.lease_from = now  # when the last answered report was sent, or the session began
         self.tasks: dict[tuple[str, int], Task] = {}
         self.alive: dict[str, Task] = {}  # those of them that are not over
-        self.booked = NOTHING
+        self.booked = NO_RESOURCES
         self.images: set[str] = set()
         self.notice_at: float | None = None
         self.changes = 0  # what a report is due for
@@ -122,7 +131,7 @@
             self.mates.leave(task, self.now, self.times.gang_peer_s)
         self.tasks.clear()
         self.alive.clear()
-        self.booked = NOTHING
+        self.booked = NO_RESOURCES
         self.tenure += 1
         self.serial = 0
         self.lease_from = self.now
@@ -130,19 +139,19 @@
 
     def _advance(self, task: Task, step: float) -> None:
         assert task.spec is not None
-        if task.phase == wire.PULLING:
+        if task.phase == wire.PULLING_IMAGE:
             task.left -= step
-            if task.left <= 0 or task.spec.bundle in self.images:
-                self.images.add(task.spec.bundle)
-                self._phase(task, wire.GATHERING if _is_gang(task) else wire.RUNNING)
-        elif task.phase == wire.GATHERING:
+            if task.left <= 0 or task.spec.image in self.images:
+                self.images.add(task.spec.image)
+                self._phase(task, wire.WAITING_FOR_GANG if _is_gang(task) else wire.RUNNING)
+        elif task.phase == wire.WAITING_FOR_GANG:
             if self.mates.complete(task):
                 self._phase(task, wire.RUNNING)
             elif self.now - task.since > self.times.gang_wait_s:
                 self._exit(task, "alone")
         elif task.phase == wire.RUNNING:
             self._run(task, step)
-        elif task.phase == wire.FLUSHING:
+        elif task.phase == wire.CHECKPOINTING:
             task.left -= step
             if task.left <= 0:
                 self._exit(task, "stopped", True)
@@ -190,7 +199,7 @@
 
     # ---- commands ------------------------------------------------------------------------
 
-    def answered(self, sent: float, tenure: int, epoch: int, orders: Sequence[Order]) -> bool:
+    def answered(self, sent: float, tenure: int, epoch: int, orders: Sequence[TaskCommand]) -> bool:
         """The response to a report that was sent then; False: dropped, as its token is too low or
         its session is over."""
         if epoch < self.epoch or tenure != self.tenure:
@@ -200,7 +209,7 @@
         self.execute(orders)
         return True
 
-    def direct(self, epoch: int, tenure: int, orders: Sequence[Order]) -> bool:
+    def direct(self, epoch: int, tenure: int, orders: Sequence[TaskCommand]) -> bool:
         """False: nothing was executed."""
         if epoch < self.epoch or tenure != self.tenure:
             return False
@@ -213,9 +222,9 @@
             self.epoch = epoch
             self.changes += 1
 
-    def execute(self, orders: Sequence[Order]) -> None:
+    def execute(self, orders: Sequence[TaskCommand]) -> None:
         for order in orders:
-            name, attempt = order.shard, order.attempt
+            name, attempt = order.task_id, order.attempt
             task = self.tasks.get((name, attempt))
             if order.verb == wire.START:
                 if task is None:
@@ -225,14 +234,14 @@
             elif order.verb == wire.FORGET and task.over:
                 del self.tasks[(name, attempt)]
             elif order.verb == wire.KILL and not task.over:
-                self._kill(task, order.drain_s or 0.0)
+                self._kill(task, order.grace_s or 0.0)
 
     def start(self, name: str, attempt: int) -> None:
         job, _, number = name.rpartition("/")
         spec = self.describe(job)
         task = self.tasks[(name, attempt)] = Task(name, attempt, spec, self.now)
         self.changes += 1
-        if spec is None or not number.isdecimal() or int(number) >= spec.shards:
+        if spec is None or not number.isdecimal() or int(number) >= spec.task_count:
             task.exit("no_such")
         elif name in self.alive:
             task.exit("in_use")
@@ -241,45 +250,52 @@
         else:
             self.alive[name] = task
             self.booked = self.booked.plus(_need(task))
-            task.left = spec.pull_gb / self.sku.fetch_gb_per_s / self.speed
+            task.left = spec.image_gb / self.sku.image_pull_gb_per_s / self.speed
             if _is_gang(task):
                 self.mates.join(task)
             if task.left <= 0:
                 self._advance(task, 0.0)
 
-    def _room(self) -> Amount:
+    def _room(self) -> Resources:
         sku = self.sku
-        return sku.whole.minus(self.booked)
+        return sku.capacity.minus(self.booked)
 
     def _kill(self, task: Task, drain_s: float) -> None:
         assert task.spec is not None
         spec = task.spec
-        saves = spec.snapshot_every_s > 0 and drain_s >= spec.snapshot_cost_s
+        saves = spec.checkpoint_interval_s > 0 and drain_s >= spec.checkpoint_cost_s
         if task.phase == wire.RUNNING and saves:
             whole = self.fate(task.name, spec).seconds
             self.mates.saved[task.name] = max(0.0, whole - task.left)
-            task.left = spec.snapshot_cost_s / self.speed
-            task.phase = wire.FLUSHING
+            task.left = spec.checkpoint_cost_s / self.speed
+            task.phase = wire.CHECKPOINTING
             self.changes += 1
-        elif task.phase != wire.FLUSHING or drain_s <= 0:
+        elif task.phase != wire.CHECKPOINTING or drain_s <= 0:
             self._exit(task, "stopped")
 
-    def report(self) -> Report:
+    def report(self) -> Heartbeat:
         self.serial += 1
-        return Report(
-            self.host, self.address, self.sku.sku, self.zone, self.tenure, self.serial, self.epoch,
+        return Heartbeat(
+            self.host,
+            self.address,
+            self.sku.name,
+            self.zone,
+            self.tenure,
+            self.serial,
+            self.epoch,
             [
-                ShardReport(task.name, task.attempt, task.phase, task.cause, task.stored)
+                TaskStatus(task.name, task.attempt, task.phase, task.cause, task.stored)
                 for task in self.tasks.values()
             ],
-            self.spot, None if self.notice_at is None else max(0.0, self.notice_at - self.now),
-        )  # fmt: skip
+            self.spot,
+            None if self.notice_at is None else max(0.0, self.notice_at - self.now),
+        )
 
 
 def _is_gang(task: Task) -> bool:
-    return task.spec is not None and task.spec.shape == wire.GANG
+    return task.spec is not None and task.spec.kind == wire.GANG
 
 
-def _need(task: Task) -> Amount:
+def _need(task: Task) -> Resources:
     assert task.spec is not None
-    return Amount(task.spec.cores, task.spec.accelerators, task.spec.mem_gb)
+    return Resources(task.spec.cores, task.spec.accelerators, task.spec.mem_gb)
--- a/umberward/protocol/http.py
+++ b/umberward/protocol/http.py
@@ -17,7 +17,7 @@
 
 from umberward.core.log import logger
 from umberward.core.types import Address
-from umberward.protocol.wire import BODY_LIMIT
+from umberward.protocol.wire import MAX_BODY_BYTES
 
 log = logger(__name__)
 
@@ -32,11 +32,11 @@
 READ = 16384
 
 
-class NotSent(Exception):
+class RequestNotSentError(Exception):
     """The request did not reach the other side: it was certainly not executed."""
 
 
-class NoAnswer(Exception):
+class NoResponseError(Exception):
     """No answer came: the request may have been executed, or may be executed later."""
 
 
@@ -241,7 +241,7 @@
                     client, _ = await listener.accept()
                 except OSError as error:
                     # Out of sockets: wait rather than spin, clients are told by the refusal.
-                    log.error("accept_failed", address=self.address, error=error)
+                    log.error("connection_accept_failed", address=self.address, error=error)
                     await curio.sleep(0.05)
                     continue
                 for _ in range(ROOM_TRIES):
@@ -317,7 +317,7 @@
             self._gone(peer)
 
     async def _converse(self, peer: Peer) -> None:
-        conn = h11.Connection(h11.SERVER, max_incomplete_event_size=BODY_LIMIT)
+        conn = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_BODY_BYTES)
         while True:
             peer.deadline = time.monotonic() + IDLE_S
             data = b""
@@ -378,7 +378,7 @@
             elif isinstance(event, h11.Request):
                 head = event
                 for name, value in event.headers:
-                    if name == b"content-length" and int(value) > BODY_LIMIT:
+                    if name == b"content-length" and int(value) > MAX_BODY_BYTES:
                         raise h11.RemoteProtocolError("body too large", error_status_hint=413)
                 if conn.they_are_waiting_for_100_continue:
                     await client.sendall(
@@ -386,7 +386,7 @@
                     )
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > BODY_LIMIT:
+                if len(body) > MAX_BODY_BYTES:
                     raise h11.RemoteProtocolError("body too large", error_status_hint=413)
             elif isinstance(event, h11.EndOfMessage):
                 assert head is not None
@@ -441,12 +441,12 @@
         sock, conn = await self._connection(address, deadline, fresh)
         if still is not None and not still():
             await self._close(sock)
-            raise NotSent(f"{method} {address}: no longer ours to say")
+            raise RequestNotSentError(f"{method} {address}: no longer ours to say")
         try:
             response = await self._exchange(sock, conn, address, method, target, body, deadline)
         except (OSError, curio.TaskTimeout, h11.ProtocolError, EOFError) as error:
             await self._close(sock)
-            raise NoAnswer(f"{method} {address}: {error!r}") from None
+            raise NoResponseError(f"{method} {address}: {error!r}") from None
         except BaseException:
             await self._close(sock)
             raise
@@ -484,7 +484,7 @@
             await curio.timeout_after(wait, sock.connect, tuple(address))
         except (OSError, curio.TaskTimeout) as error:
             await self._close(sock)
-            raise NotSent(f"{address}: {error!r}") from None
+            raise RequestNotSentError(f"{address}: {error!r}") from None
         except BaseException:
             await self._close(sock)
             raise
@@ -507,7 +507,7 @@
             if await curio.ignore_after(wait, freed.wait) is None and freed in self.waiting:
                 self.waiting.remove(freed)
             if time.monotonic() >= deadline and self.sockets.left_to_client <= 0:
-                raise NotSent(f"{address}: no socket to spare")
+                raise RequestNotSentError(f"{address}: no socket to spare")
         self.sockets.sent += 1
 
     def _kept(self, address: Address, which: int) -> tuple[Any, h11.Connection]:
--- a/umberward/protocol/changes.py
+++ b/umberward/protocol/transactions.py
@@ -6,22 +6,22 @@
 
 import msgspec
 
-from umberward.core.types import Key, LeaseId, Stamp
+from umberward.core.types import Key, LeaseId, Version
 from umberward.protocol import wire
 
-URGENT, COMMON, LAZY = 0, 1, 2  # priorities under the limits
+URGENT, NORMAL, BACKGROUND = 0, 1, 2  # priorities under the limits
 
 
-class Got(msgspec.Struct):
+class VersionedValue(msgspec.Struct, rename={"version": "stamp"}):
     """What stands under a key, and the version of it."""
 
     data: Any
-    stamp: Stamp
+    version: Version
 
 
 def put(key: Key, data: Any, lease: LeaseId | None = None) -> dict[str, Any]:
     """With a lease, the key is deleted when the lease ends."""
-    made: dict[str, Any] = {"write": key, "data": wire.builtins(data)}
+    made: dict[str, Any] = {"write": key, "data": wire.to_builtins(data)}
     if lease is not None:
         made["charter"] = lease
     return made
--- a/umberward/protocol/wire.py
+++ b/umberward/protocol/wire.py
@@ -10,28 +10,28 @@
 from umberward.core.types import (
     JOB_PREFIX,
     MAX_TASKS,
-    Amount,
     Attempt,
     JobId,
+    Resources,
     TaskId,
     parse_job_id,
     parse_task_id,
 )
 
-BODY_LIMIT = 64 * 1024
-RENT_LIMIT = 50
-DELETE_LIMIT = 100
-LIST_LIMIT = 500
+MAX_BODY_BYTES = 64 * 1024
+MAX_MACHINES_PER_REQUEST = 50
+MAX_DELETIONS_PER_REQUEST = 100
+MAX_MACHINES_PER_PAGE = 500
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
-Above0 = Annotated[float, msgspec.Meta(gt=0, le=1e9)]
-From0 = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
+Positive = Annotated[float, msgspec.Meta(gt=0, le=1e9)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 
 ARRAY, GANG, SERVICE = "batch", "ensemble", "service"
-RANKS = {"production": 0, "urgent": 1, "normal": 2, "idle": 3}
+PRIORITIES = {"production": 0, "urgent": 1, "normal": 2, "idle": 3}
 
 START, KILL, FORGET = "start", "kill", "forget"
-PULLING, GATHERING, RUNNING, FLUSHING, EXITED = (
+PULLING_IMAGE, WAITING_FOR_GANG, RUNNING, CHECKPOINTING, EXITED = (
     "pulling",
     "gathering",
     "running",
@@ -42,163 +42,246 @@
 BOOTING, FAILED = "booting", "failed"
 
 
-class Spec(msgspec.Struct, omit_defaults=True):
+class JobSpec(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={
+        "job_id": "uid",
+        "job_class": "jobclass",
+        "team": "owner",
+        "kind": "shape",
+        "priority": "rank",
+        "task_count": "shards",
+        "image": "bundle",
+        "image_gb": "pull_gb",
+        "expected_runtime_s": "expect_s",
+        "same_zone": "same_place",
+        "spread": "apart",
+        "spot": "reclaimable",
+        "checkpoint_interval_s": "snapshot_every_s",
+        "checkpoint_cost_s": "snapshot_cost_s",
+        "machine_types": "flavors",
+        "zone": "yard",
+        "deadline_s": "due_s",
+        "dependencies": "waits_on",
+    },
+):
     """A job as its user submits it."""
 
-    uid: Name
-    jobclass: Name
-    owner: Name
-    shape: str
-    rank: str
-    shards: Annotated[int, msgspec.Meta(ge=1, le=MAX_TASKS)]
-    cores: From0
-    accelerators: From0
-    mem_gb: From0
-    bundle: Name
-    pull_gb: From0
-    expect_s: From0
-    same_place: bool
-    apart: bool
-    reclaimable: bool
-    snapshot_every_s: From0
-    snapshot_cost_s: From0
-    flavors: list[Name] | None = None
-    yard: Name | None = None
-    due_s: Above0 | None = None
-    waits_on: list[Name] | None = None  # never in a record: see JobRecord.needs
-
-
-class ShardReport(msgspec.Struct):
-    shard: str
+    job_id: Name
+    job_class: Name
+    team: Name
+    kind: str
+    priority: str
+    task_count: Annotated[int, msgspec.Meta(ge=1, le=MAX_TASKS)]
+    cores: NonNegative
+    accelerators: NonNegative
+    mem_gb: NonNegative
+    image: Name
+    image_gb: NonNegative
+    expected_runtime_s: NonNegative
+    same_zone: bool
+    spread: bool
+    spot: bool
+    checkpoint_interval_s: NonNegative
+    checkpoint_cost_s: NonNegative
+    machine_types: list[Name] | None = None
+    zone: Name | None = None
+    deadline_s: Positive | None = None
+    dependencies: list[Name] | None = None  # never in a record: see JobRecord.needs
+
+
+class TaskStatus(msgspec.Struct, rename={"task_id": "shard", "checkpointed": "stored"}):
+    task_id: str
     attempt: int = msgspec.field(name="try")
     phase: str
     cause: str | None = None
-    stored: bool | None = None
+    checkpointed: bool | None = None
 
 
-class Order(msgspec.Struct, frozen=True, omit_defaults=True):
+class TaskCommand(
+    msgspec.Struct,
+    frozen=True,
+    omit_defaults=True,
+    rename={"task_id": "shard", "grace_s": "drain_s"},
+):
     """What a worker is told to do with one attempt of a task (PROTOCOL, "Workers -> controller
     nodes"). `drain_s`: of a kill, the seconds that it may take to save."""
 
     verb: str
-    shard: str
+    task_id: str
     attempt: int = msgspec.field(name="try")
-    drain_s: float | None = None
+    grace_s: float | None = None
 
     @property
-    def started(self) -> tuple[TaskId, Attempt] | None:
+    def started_attempt(self) -> tuple[TaskId, Attempt] | None:
         """The attempt that it starts; None: it starts none."""
-        task = parse_task_id(self.shard) if self.verb == START else None
+        task = parse_task_id(self.task_id) if self.verb == START else None
         return None if task is None else (task, Attempt(self.attempt))
 
 
-class Report(msgspec.Struct):
-    host: Name
+class Heartbeat(
+    msgspec.Struct,
+    rename={
+        "machine_id": "host",
+        "machine_type": "flavor",
+        "zone": "yard",
+        "incarnation": "tenure",
+        "sequence": "serial",
+        "fencing_token": "epoch",
+        "tasks": "shards",
+        "spot": "reclaimable",
+        "preemption_notice_s": "reclaim_in_s",
+    },
+):
+    machine_id: Name
     address: Name
-    flavor: Name
-    yard: Name
-    tenure: int
-    serial: int
-    epoch: int
-    shards: list[ShardReport]
-    reclaimable: bool = False
-    reclaim_in_s: float | None = None
-
-
-class Head(msgspec.Struct):
+    machine_type: Name
+    zone: Name
+    incarnation: int
+    sequence: int
+    fencing_token: int
+    tasks: list[TaskStatus]
+    spot: bool = False
+    preemption_notice_s: float | None = None
+
+
+class HeartbeatHeader(
+    msgspec.Struct,
+    rename={
+        "machine_id": "host",
+        "incarnation": "tenure",
+        "sequence": "serial",
+        "fencing_token": "epoch",
+        "tasks": "shards",
+        "preemption_notice_s": "reclaim_in_s",
+    },
+):
     """A report of which the tasks, by far the most of it, are not looked at yet."""
 
-    host: Name
-    tenure: int
-    serial: int
-    epoch: int
-    shards: msgspec.Raw
-    reclaim_in_s: float | None = None
-
-
-class Sku(msgspec.Struct):
-    sku: Name
-    cores: From0
-    mem_gb: From0
-    hourly: From0
-    boot_s: From0
-    yards: list[Name]
-    accelerators: From0 = 0.0
-    local_gb: From0 = 0.0
-    fetch_gb_per_s: Above0 = 1.0
-    low_price: From0 | None = None
+    machine_id: Name
+    incarnation: int
+    sequence: int
+    fencing_token: int
+    tasks: msgspec.Raw
+    preemption_notice_s: float | None = None
+
+
+class MachineType(
+    msgspec.Struct,
+    rename={
+        "name": "sku",
+        "hourly_price": "hourly",
+        "zones": "yards",
+        "image_cache_gb": "local_gb",
+        "image_pull_gb_per_s": "fetch_gb_per_s",
+        "spot_price": "low_price",
+    },
+):
+    name: Name
+    cores: NonNegative
+    mem_gb: NonNegative
+    hourly_price: NonNegative
+    boot_s: NonNegative
+    zones: list[Name]
+    accelerators: NonNegative = 0.0
+    image_cache_gb: NonNegative = 0.0
+    image_pull_gb_per_s: Positive = 1.0
+    spot_price: NonNegative | None = None
 
     @property
-    def whole(self) -> Amount:
+    def capacity(self) -> Resources:
         """All that an empty machine has."""
-        return Amount(self.cores, self.accelerators, self.mem_gb)
+        return Resources(self.cores, self.accelerators, self.mem_gb)
 
 
-class Flavors(msgspec.Struct):
-    flavors: list[Sku]
+class MachineTypeList(msgspec.Struct, rename={"machine_types": "flavors"}):
+    machine_types: list[MachineType]
 
 
-class Host(msgspec.Struct):
-    uid: Name
+class CloudMachine(
+    msgspec.Struct,
+    rename={
+        "machine_id": "uid",
+        "machine_type": "flavor",
+        "zone": "yard",
+        "spot": "reclaimable",
+        "age_s": "held_s",
+    },
+):
+    machine_id: Name
     address: str = ""
-    flavor: str = ""
-    yard: str = ""
-    reclaimable: bool = False
+    machine_type: str = ""
+    zone: str = ""
+    spot: bool = False
     phase: str = "running"
-    held_s: float = 0.0
+    age_s: float = 0.0
 
 
-class Hosts(msgspec.Struct):
-    hosts: list[Host]
+class CloudMachinePage(msgspec.Struct, rename={"machines": "hosts"}):
+    machines: list[CloudMachine]
     more: bool = False
 
 
-class Rented(msgspec.Struct):
-    hosts: list[Name]
+class ScaleOutResponse(msgspec.Struct, rename={"machine_ids": "hosts"}):
+    machine_ids: list[Name]
 
 
-class Entry(msgspec.Struct):
-    path: str
+class KeyValue(msgspec.Struct, rename={"key": "path", "version": "stamp", "lease_id": "charter"}):
+    key: str
     data: Any
-    stamp: int
-    charter: int | None = None
+    version: int
+    lease_id: int | None = None
 
 
-class Listing(msgspec.Struct):
-    entries: list[Entry]
-    generation: int
+class KeyValuePage(msgspec.Struct, rename={"revision": "generation"}):
+    entries: list[KeyValue]
+    revision: int
     more: bool = False
 
 
-class Change(msgspec.Struct):
-    write: str | None = None
-    delete: str | None = None
+class KeyChange(
+    msgspec.Struct, rename={"put_key": "write", "deleted_key": "delete", "version": "stamp"}
+):
+    put_key: str | None = None
+    deleted_key: str | None = None
     data: Any = None
-    stamp: int = 0
+    version: int = 0
 
 
-class News(msgspec.Struct):
-    generation: int
-    news: list[Change]
+class WatchResponse(msgspec.Struct, rename={"revision": "generation", "changes": "news"}):
+    revision: int
+    changes: list[KeyChange]
 
 
-class Generation(msgspec.Struct):
-    generation: int
+class CommitResponse(msgspec.Struct, rename={"revision": "generation"}):
+    revision: int
 
 
-class Lease(msgspec.Struct):
-    charter: int
+class LeaseResponse(msgspec.Struct, rename={"lease_id": "charter"}):
+    lease_id: int
 
 
 # Where the records of the state service stand.
-JOBS = "jobs/"
-LIVE = "jobs/live/"
-PAST = "jobs/past/"
-BLOCKS = "blocks/"
-HINTS = "hints/"
-
-
-class JobRecord(msgspec.Struct, omit_defaults=True):
+JOBS_PREFIX = "jobs/"
+LIVE_JOBS_PREFIX = "jobs/live/"
+FINAL_JOBS_PREFIX = "jobs/past/"
+BLOCKS_PREFIX = "blocks/"
+SNAPSHOT_PREFIX = "hints/"
+
+
+class JobRecord(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={
+        "submitted_at": "at",
+        "placed_below": "marked",
+        "done_below": "base",
+        "done_bitmap": "done",
+        "dependencies": "needs",
+        "ready_at": "ready",
+    },
+):
     """What the state service keeps of a job under way.
 
     `marked`: tasks below this number may have been placed by some holder.
@@ -208,67 +291,80 @@
     `ready`: when the last of them was done, from then on. Empty for jobs that wait for none.
     """
 
-    spec: Spec
-    at: float
-    marked: int = 0
-    base: int = 0
-    done: str = "0"
-    needs: str = ""
-    ready: float | None = None
+    spec: JobSpec
+    submitted_at: float
+    placed_below: int = 0
+    done_below: int = 0
+    done_bitmap: str = "0"
+    dependencies: str = ""
+    ready_at: float | None = None
 
 
-class Remains(msgspec.Struct, omit_defaults=True):
+class RemainingTasks(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={"team": "owner", "placed_below": "marked", "done_below": "base", "done_bitmap": "done"},
+):
     """Tasks of a cancelled job that may be on machines until they are told, or their sessions end.
 
     `marked`, `base` and `done` as its JobRecord had them; the rest is what each of them uses.
     """
 
-    owner: str
+    team: str
     cores: float
     mem_gb: float
-    marked: int
+    placed_below: int
     accelerators: float = 0.0
-    base: int = 0
-    done: str = "0"
-
-
-class FinalRecord(msgspec.Struct, omit_defaults=True):
+    done_below: int = 0
+    done_bitmap: str = "0"
+
+
+class FinalJobRecord(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={
+        "done_count": "done",
+        "ended_at": "at",
+        "cancelled_by": "because",
+        "remaining": "remains",
+    },
+):
     """`at`: when it ended, if others waited for it; `because`: the cancelled job before it;
     `remains`: of a cancelled job whose team has a limit, if any of its tasks may have been placed.
     """
 
     phase: str
-    done: int = 0
-    at: float | None = None
-    because: str = ""
-    remains: Remains | None = None
+    done_count: int = 0
+    ended_at: float | None = None
+    cancelled_by: str = ""
+    remaining: RemainingTasks | None = None
 
 
-class LeaderRecord(msgspec.Struct):
-    node: str
+class LeaderRecord(msgspec.Struct, rename={"controller": "node"}):
+    controller: str
     nonce: str
 
 
-class BlockRecord(msgspec.Struct):
+class BlockRecord(msgspec.Struct, rename={"machines": "hosts"}):
     """The machines of one block: id -> [address, type, zone, spot]."""
 
-    hosts: dict[str, tuple[str, str, str, bool]]
+    machines: dict[str, tuple[str, str, str, bool]]
 
 
-class ControllerRecord(msgspec.Struct):
+class ControllerRecord(msgspec.Struct, rename={"controller": "node", "job_hash_range": "jobs"}):
     """What a controller holds. Its fencing token is the revision of the grant."""
 
-    node: str
+    controller: str
     nonce: str
     term: int
-    jobs: tuple[int, int]
+    job_hash_range: tuple[int, int]
 
 
 encode = msgspec.msgpack.Encoder().encode
-builtins = msgspec.to_builtins
+to_builtins = msgspec.to_builtins
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """A body that is not what the protocol says."""
 
 
@@ -280,64 +376,66 @@
     return msgspec.msgpack.Decoder(kind).decode
 
 
-def converted(data: object, kind: type[T]) -> T:
+def convert(data: object, kind: type[T]) -> T:
     """Decoded data as `kind`. Raises Malformed."""
     try:
         return msgspec.convert(data, kind)
     except msgspec.ValidationError as error:
-        raise Malformed(str(error)) from None
+        raise MalformedMessageError(str(error)) from None
 
 
-_spec = decoder(Spec)
-_report = decoder(Report)
-_head = decoder(Head)
+_decode_job_spec = decoder(JobSpec)
+_decode_heartbeat = decoder(Heartbeat)
+_decode_header = decoder(HeartbeatHeader)
 
 
-def decode_spec(body: bytes) -> Spec:
+def decode_job_spec(body: bytes) -> JobSpec:
     """Raises Malformed, with the reason, for anything that must get a 400."""
     try:
-        spec = _spec(body)
+        spec = _decode_job_spec(body)
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError, ValueError) as error:
-        raise Malformed(str(error)) from None
-    if spec.shape not in (ARRAY, GANG, SERVICE):
-        raise Malformed("shape: not one of batch, ensemble, service")
-    if spec.rank not in RANKS:
-        raise Malformed("rank: not one of production, urgent, normal, idle")
+        raise MalformedMessageError(str(error)) from None
+    if spec.kind not in (ARRAY, GANG, SERVICE):
+        raise MalformedMessageError("shape: not one of batch, ensemble, service")
+    if spec.priority not in PRIORITIES:
+        raise MalformedMessageError("rank: not one of production, urgent, normal, idle")
     # The bounds of a field do not catch NaN: it compares false with everything.
-    amounts = (spec.cores, spec.accelerators, spec.mem_gb, spec.pull_gb, spec.expect_s)
-    if any(value != value for value in amounts + (spec.snapshot_every_s, spec.snapshot_cost_s)):
-        raise Malformed("an amount is not a number")
-    if spec.due_s is not None and spec.due_s != spec.due_s:
-        raise Malformed("due_s: not a number")
+    amounts = (spec.cores, spec.accelerators, spec.mem_gb, spec.image_gb, spec.expected_runtime_s)
+    if any(
+        value != value for value in amounts + (spec.checkpoint_interval_s, spec.checkpoint_cost_s)
+    ):
+        raise MalformedMessageError("an amount is not a number")
+    if spec.deadline_s is not None and spec.deadline_s != spec.deadline_s:
+        raise MalformedMessageError("due_s: not a number")
     if spec.cores <= 0 or spec.mem_gb <= 0:
-        raise Malformed("cores and mem_gb must be above 0")
-    if spec.flavors is not None and not spec.flavors:
-        raise Malformed("flavors: an empty list allows nothing")
-    if any(parse_job_id(name) is None for name in spec.waits_on or ()):
-        raise Malformed("waits_on: not a list of job ids")
+        raise MalformedMessageError("cores and mem_gb must be above 0")
+    if spec.machine_types is not None and not spec.machine_types:
+        raise MalformedMessageError("flavors: an empty list allows nothing")
+    if any(parse_job_id(name) is None for name in spec.dependencies or ()):
+        raise MalformedMessageError("waits_on: not a list of job ids")
     return spec
 
 
-def decode_report(body: bytes) -> Report:
+def decode_heartbeat(body: bytes) -> Heartbeat:
     try:
-        return _report(body)
+        return _decode_heartbeat(body)
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError, ValueError) as error:
-        raise Malformed(str(error)) from None
+        raise MalformedMessageError(str(error)) from None
 
 
-def decode_head(body: bytes) -> Head:
+def decode_heartbeat_header(body: bytes) -> HeartbeatHeader:
     try:
-        return _head(body)
+        return _decode_header(body)
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError, ValueError) as error:
-        raise Malformed(str(error)) from None
+        raise MalformedMessageError(str(error)) from None
 
 
-def pack_needs(ids: Iterable[JobId]) -> str:
+def pack_dependencies(ids: Iterable[JobId]) -> str:
     """As short as it goes: hundreds of ids must fit into one record."""
     return " ".join(id.removeprefix(JOB_PREFIX) for id in ids)
 
 
-def unpack_needs(text: str) -> list[JobId]:
+def unpack_dependencies(text: str) -> list[JobId]:
     return [JobId(JOB_PREFIX + digits) for digits in text.split()]
 
 
--- a/umberward/decisions/placement.py
+++ b/umberward/scheduling/best_fit.py
@@ -10,20 +10,20 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from umberward.core.types import Amount, MachineId, ZoneName
+from umberward.core.types import MachineId, Resources, ZoneName
 
 
-class Room(NamedTuple):
-    machine: MachineId
+class MachineRoom(NamedTuple):
+    machine_id: MachineId
     zone: ZoneName
-    free: Amount
+    free: Resources
     order: tuple[float, ...]  # sort key, smallest first
 
 
 def best_fit(
-    need: Amount,
+    need: Resources,
     count: int,
-    rooms: Iterable[Room],
+    rooms: Iterable[MachineRoom],
     distinct: int,
     zone_left: Callable[[ZoneName], int] | None = None,
 ) -> list[MachineId]:
@@ -46,17 +46,17 @@
     while ring and len(chosen) < count:
         turn %= len(ring)
         room = ring[turn]
-        if room.machine not in left:
-            left[room.machine] = need.times_into(room.free)
-        if left[room.machine] <= 0 or zones.get(room.zone, 1) <= 0:
+        if room.machine_id not in left:
+            left[room.machine_id] = need.count_within(room.free)
+        if left[room.machine_id] <= 0 or zones.get(room.zone, 1) <= 0:
             if rest:
                 ring[turn] = rest.pop()
             else:
                 del ring[turn]
             continue
-        left[room.machine] -= 1
+        left[room.machine_id] -= 1
         if zone_left is not None:
             zones[room.zone] -= 1
-        chosen.append(room.machine)
+        chosen.append(room.machine_id)
         turn += 1
     return chosen
--- a/umberward/decisions/lateness.py
+++ b/umberward/scheduling/deadline_triage.py
@@ -14,29 +14,29 @@
 from typing import Any, NamedTuple
 
 from umberward.core.types import Instant, JobId
-from umberward.decisions.cluster import AGED_S, Cluster
-from umberward.decisions.jobs import Job
+from umberward.scheduling.cluster_state import MISSED_GOALS_PRIORITY_S, ClusterState
+from umberward.scheduling.jobs import Job
 
-LOOK_EVERY_S = 0.4
+TRIAGE_INTERVAL_S = 0.4
 
 
-class Wait(NamedTuple):
+class DeadlineJob(NamedTuple):
     """One job: until when its last task should start, and for how long it keeps the machines."""
 
     start_by: float
-    takes: float
-    job: JobId
+    duration_s: float
+    job_id: JobId
 
 
-def put_off(waits: Iterable[Wait], free_at: float) -> set[JobId]:
+def choose_late_jobs(waits: Iterable[DeadlineJob], free_at: float) -> set[JobId]:
     """As few as can be, so that each of the others starts in time. Times in seconds; `free_at`:
     when the machines have done what comes before all of them."""
     chosen: list[tuple[float, JobId]] = []  # a heap, the longest first
     late: set[JobId] = set()
     total = 0.0
     for wait in sorted(waits):
-        heapq.heappush(chosen, (-wait.takes, wait.job))
-        total += wait.takes
+        heapq.heappush(chosen, (-wait.duration_s, wait.job_id))
+        total += wait.duration_s
         if free_at + total > wait.start_by:
             longest, job = heapq.heappop(chosen)
             total += longest
@@ -44,50 +44,50 @@
     return late
 
 
-class Lateness:
-    def __init__(self, cluster: Cluster, now: Instant) -> None:
+class DeadlineTriage:
+    def __init__(self, cluster: ClusterState, now: Instant) -> None:
         self.cluster = cluster
-        self.look_at = now
-        self.late: set[JobId] = set()
+        self.triage_not_before = now
+        self.late_jobs: set[JobId] = set()
 
-    def look(self, jobs: Iterable[Job], now: Instant) -> None:
+    def update(self, jobs: Iterable[Job], now: Instant) -> None:
         """To be called before jobs are brought into the order of service."""
-        if now < self.look_at:
+        if now < self.triage_not_before:
             return
-        self.look_at = Instant(now + LOOK_EVERY_S)
-        self.late = set()
+        self.triage_not_before = Instant(now + TRIAGE_INTERVAL_S)
+        self.late_jobs = set()
         wall = self.cluster.wall()
         groups: dict[Any, list[Job]] = {}
         for job in jobs:
-            if job.spec.due_s is not None and not (job.gang or job.service or job.mistaken):
-                groups.setdefault((job.need.accelerators > 0, job.rank), []).append(job)
+            if job.spec.deadline_s is not None and not (job.gang or job.service or job.faulty):
+                groups.setdefault((job.need.accelerators > 0, job.priority), []).append(job)
         for (accelerated, rank), members in groups.items():
             if len(members) < 2:
                 continue
-            rate = self._rate(accelerated, rank)
+            rate = self._service_rate(accelerated, rank)
             waits = []
             free_at: float = wall
             for job in members:
                 amount = job.need.accelerators if accelerated else job.need.cores
                 runs = self.cluster.estimate(job)
-                work = job.startable() * amount * runs
+                work = job.startable_count() * amount * runs
                 if rate <= 0:
                     continue
-                if wall - job.ready_at > AGED_S:
+                if wall - job.ready_at > MISSED_GOALS_PRIORITY_S:
                     free_at += work / rate  # served first
                     continue
                 # Its last task starts while those that were started last still run: half of a
                 # run before all that work is done, as what runs now is half done on average.
-                start_by = self.cluster.goal(job, wall) + 0.5 * runs
-                waits.append(Wait(start_by, work / rate, job.id))
-            self.late |= put_off(waits, free_at)
+                start_by = self.cluster.service_order(job, wall) + 0.5 * runs
+                waits.append(DeadlineJob(start_by, work / rate, job.id))
+            self.late_jobs |= choose_late_jobs(waits, free_at)
 
-    def _rate(self, accelerated: bool, rank: int) -> float:
+    def _service_rate(self, accelerated: bool, rank: int) -> float:
         """How much such work the machines do at once: what they have of it and what is free."""
         total = 0.0
-        for machine in self.cluster.ready.machines.values():
-            sku = self.cluster.skus.get(machine.type)
-            held = machine.loads().get((accelerated, rank))
+        for machine in self.cluster.schedulable.machines.values():
+            sku = self.cluster.machine_types.get(machine.type)
+            held = machine.load_by_priority().get((accelerated, rank))
             place = 1 if accelerated else 0
             if held is not None:
                 total += held[place]
--- a/umberward/decisions/relays.py
+++ b/umberward/scheduling/heartbeat_forwarding.py
@@ -12,15 +12,19 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-from umberward.core.types import Instant, MachineId, NodeName
+from umberward.core.types import ControllerName, Instant, MachineId
 
-SOON_S = 0.8  # a worker that was sent on and is back so soon was refused or asks for another reason
-BACK_S = 12.0  # one that is back within this time got no answer: 4 s, and 1 s to the next, in turns
-DIRECT_AGAIN_S = 30.0  # so often a worker whose reports are carried is to try for itself
-MOST = 4096  # workers that are remembered
+RETURN_AFTER_MIN_S = (
+    0.8  # a worker that was sent on and is back so soon was refused or asks for another reason
+)
+RETURN_AFTER_MAX_S = (
+    12.0  # one that is back within this time got no answer: 4 s, and 1 s to the next, in turns
+)
+DIRECT_RETRY_S = 30.0  # so often a worker whose reports are carried is to try for itself
+MAX_REMEMBERED_WORKERS = 4096  # workers that are remembered
 
 
-class News:
+class DuplicateFilter:
     """Which reports are new to this controller: copies of earlier ones may come at any time.
 
     The latest of each of the MOST workers that were heard last is remembered, and so long any copy
@@ -30,45 +34,45 @@
     def __init__(self) -> None:
         self.latest: OrderedDict[MachineId, tuple[int, int]] = OrderedDict()
 
-    def told(self, host: MachineId, tenure: int, serial: int) -> bool:
+    def is_new(self, host: MachineId, tenure: int, serial: int) -> bool:
         """Whether this report is newer than any before it; it is remembered if so."""
         known = self.latest.get(host)
         if known is not None and (tenure, serial) <= known:
             return False
         self.latest[host] = (tenure, serial)
         self.latest.move_to_end(host)
-        while len(self.latest) > MOST:
+        while len(self.latest) > MAX_REMEMBERED_WORKERS:
             self.latest.popitem(last=False)
         return True
 
 
-class Sent(NamedTuple):
+class RedirectedWorker(NamedTuple):
     """A worker was sent to the leader at `at`; its reports are carried since `carried`."""
 
-    leader: NodeName
-    at: Instant
-    carried: Instant | None = None
+    leader: ControllerName
+    redirected_at: Instant
+    forwarded_since: Instant | None = None
 
 
-class Relays:
+class HeartbeatForwarding:
     def __init__(self) -> None:
-        self.sent: OrderedDict[MachineId, Sent] = OrderedDict()
+        self.redirected: OrderedDict[MachineId, RedirectedWorker] = OrderedDict()
 
-    def carries(self, host: MachineId, leader: NodeName, now: Instant) -> bool:
+    def should_forward(self, host: MachineId, leader: ControllerName, now: Instant) -> bool:
         """Whether this report is to be carried to the leader; if not, its worker is sent there."""
-        known = self.sent.pop(host, None)
-        made = Sent(leader, now)
+        known = self.redirected.pop(host, None)
+        made = RedirectedWorker(leader, now)
         if known is not None and known.leader == leader:
-            if known.carried is not None:
-                if now - known.carried < DIRECT_AGAIN_S:
+            if known.forwarded_since is not None:
+                if now - known.forwarded_since < DIRECT_RETRY_S:
                     made = known
-            elif SOON_S <= now - known.at <= BACK_S:
-                made = Sent(leader, known.at, now)
-        self.sent[host] = made
-        while len(self.sent) > MOST:
-            self.sent.popitem(last=False)
-        return made.carried is not None
-
-    def failed(self, host: MachineId, leader: NodeName, now: Instant) -> None:
+            elif RETURN_AFTER_MIN_S <= now - known.redirected_at <= RETURN_AFTER_MAX_S:
+                made = RedirectedWorker(leader, known.redirected_at, now)
+        self.redirected[host] = made
+        while len(self.redirected) > MAX_REMEMBERED_WORKERS:
+            self.redirected.popitem(last=False)
+        return made.forwarded_since is not None
+
+    def forward_failed(self, host: MachineId, leader: ControllerName, now: Instant) -> None:
         """The leader could not be reached, or did not take the report."""
-        self.sent[host] = Sent(leader, now)
+        self.redirected[host] = RedirectedWorker(leader, now)
--- a/umberward/decisions/direct_starts.py
+++ b/umberward/scheduling/inflight_commands.py
@@ -16,27 +16,27 @@
 
 from collections.abc import Iterator
 
-from umberward.core.types import Attempt, Epoch, TaskId
+from umberward.core.types import Attempt, FencingToken, TaskId
 
 AttemptKey = tuple[TaskId, Attempt]
 
 
-class _Starts:
+class _AttemptStarts:
     """The direct starts of one attempt that may still be carried out."""
 
-    __slots__ = ("awaited", "given_up_under")
+    __slots__ = ("awaited", "timed_out_token")
 
     def __init__(self) -> None:
         self.awaited = 0  # handed to the sender, without an answer so far
         # The highest token of those whose answer nobody waits for any more; None: there is none.
-        self.given_up_under: Epoch | None = None
+        self.timed_out_token: FencingToken | None = None
 
 
-class DirectStarts:
+class InflightStarts:
     """The record of one machine, for the worker's session of now."""
 
     def __init__(self) -> None:
-        self._starts: dict[AttemptKey, _Starts] = {}
+        self._starts: dict[AttemptKey, _AttemptStarts] = {}
 
     def __iter__(self) -> Iterator[AttemptKey]:
         """The attempts of which a start may still be carried out."""
@@ -45,9 +45,9 @@
     def __len__(self) -> int:
         return len(self._starts)
 
-    def handed(self, task: TaskId, attempt: Attempt) -> None:
+    def sent(self, task: TaskId, attempt: Attempt) -> None:
         """A start was handed to the sender."""
-        self._starts.setdefault((task, attempt), _Starts()).awaited += 1
+        self._starts.setdefault((task, attempt), _AttemptStarts()).awaited += 1
 
     def answered(self, task: TaskId, attempt: Attempt) -> None:
         """One of them was answered, or was certainly not sent."""
@@ -56,24 +56,26 @@
             starts.awaited -= 1
             self._drop_if_over((task, attempt), starts)
 
-    def given_up(self, task: TaskId, attempt: Attempt, token: Epoch, highest_seen: Epoch) -> None:
+    def timed_out(
+        self, task: TaskId, attempt: Attempt, token: FencingToken, highest_seen: FencingToken
+    ) -> None:
         """One of them, sent under `token`, had no answer in time; `highest_seen`: by the worker."""
         starts = self._starts.get((task, attempt))
         if starts is None or not starts.awaited:
             return
         starts.awaited -= 1
         if token >= highest_seen:
-            starts.given_up_under = max(token, starts.given_up_under or token)
+            starts.timed_out_token = max(token, starts.timed_out_token or token)
         self._drop_if_over((task, attempt), starts)
 
-    def token_seen(self, token: Epoch) -> None:
+    def token_seen(self, token: FencingToken) -> None:
         """The worker has seen this token: what was sent under a lower one is void."""
         for key, starts in list(self._starts.items()):
-            if starts.given_up_under is not None and starts.given_up_under < token:
-                starts.given_up_under = None
+            if starts.timed_out_token is not None and starts.timed_out_token < token:
+                starts.timed_out_token = None
                 self._drop_if_over(key, starts)
 
-    def session_over(self) -> None:
+    def incarnation_ended(self) -> None:
         """Commands for an earlier session are refused by the worker."""
         self._starts.clear()
 
@@ -81,13 +83,13 @@
         """Whether a start of this attempt may still be carried out."""
         return (task, attempt) in self._starts
 
-    def valid_under(self, task: TaskId, attempt: Attempt, token: Epoch) -> bool:
+    def valid_under(self, task: TaskId, attempt: Attempt, token: FencingToken) -> bool:
         """Whether a start was given up that a worker would still accept that has seen `token`."""
         starts = self._starts.get((task, attempt))
-        if starts is None or starts.given_up_under is None:
+        if starts is None or starts.timed_out_token is None:
             return False
-        return starts.given_up_under >= token
+        return starts.timed_out_token >= token
 
-    def _drop_if_over(self, key: AttemptKey, starts: _Starts) -> None:
-        if starts.awaited <= 0 and starts.given_up_under is None:
+    def _drop_if_over(self, key: AttemptKey, starts: _AttemptStarts) -> None:
+        if starts.awaited <= 0 and starts.timed_out_token is None:
             del self._starts[key]
--- a/umberward/decisions/invariants.py
+++ b/umberward/scheduling/invariants.py
@@ -13,8 +13,8 @@
 
 from umberward.core.log import logger
 from umberward.core.types import Attempt, TaskId
-from umberward.decisions.fleet import Machine
-from umberward.decisions.jobs import Job, Placement
+from umberward.scheduling.jobs import Job, Placement
+from umberward.scheduling.machines import Machine
 
 log = logger(__name__)
 
@@ -26,7 +26,7 @@
     FORGOTTEN_FOR_GOOD = "forgotten_for_good"  # no start of a forgotten attempt may arrive
 
 
-class Violation(AssertionError):
+class InvariantViolationError(AssertionError):
     """An invariant does not hold; raised in tests only."""
 
 
@@ -38,7 +38,7 @@
 
     def may_hold(self, machine: Machine, job: Job, placement: Placement) -> bool:
         """Whether the placement may be added to the books."""
-        other = job.placed.get(placement.task.number) or machine.held.get(placement.task)
+        other = job.placements.get(placement.task.number) or machine.placements.get(placement.task)
         if other is None:
             return True
         return self._violated(
@@ -50,7 +50,7 @@
         placement."""
         if job is None or job.ended:
             return self._violated(Invariant.STARTED_WHILE_LIVE, placement, known=job is not None)
-        other = job.placed.get(placement.task.number)
+        other = job.placements.get(placement.task.number)
         if other is not placement:
             held_on = None if other is None else other.machine
             return self._violated(Invariant.STARTED_ALONE, placement, held_on=held_on)
@@ -60,23 +60,34 @@
 
     def may_forget(self, machine: Machine, task: TaskId, attempt: Attempt) -> bool:
         """Whether the worker may be told to forget the attempt."""
-        if not machine.direct_starts.may_arrive(task, attempt):
+        if not machine.inflight_starts.may_arrive(task, attempt):
             return True
         return self._refused(
-            Invariant.FORGOTTEN_FOR_GOOD, task=task, attempt=attempt, machine=machine.id,
-            token_seen=machine.epoch, session=machine.tenure,
-        )  # fmt: skip
+            Invariant.FORGOTTEN_FOR_GOOD,
+            task=task,
+            attempt=attempt,
+            machine=machine.id,
+            token_seen=machine.token_seen,
+            session=machine.incarnation,
+        )
 
     def _violated(self, invariant: Invariant, placement: Placement, **evidence: Any) -> bool:
         return self._refused(
-            invariant, task=placement.task, attempt=placement.attempt, machine=placement.machine,
+            invariant,
+            task=placement.task,
+            attempt=placement.attempt,
+            machine=placement.machine,
             **evidence,
-        )  # fmt: skip
+        )
 
     def _refused(self, invariant: Invariant, **evidence: Any) -> bool:
         self.violations[invariant] += 1
         if self.raises:
-            raise Violation(f"{invariant}: {evidence}")
-        log.error("invariant_violated", invariant=invariant.value,
-                  count=self.violations[invariant], **evidence)  # fmt: skip
+            raise InvariantViolationError(f"{invariant}: {evidence}")
+        log.error(
+            "invariant_violated",
+            invariant=invariant.value,
+            count=self.violations[invariant],
+            **evidence,
+        )
         return False
--- /dev/null
+++ b/umberward/scheduling/scheduler.py
@@ -0,0 +1,656 @@
+"""What a holder of machines decides. No I/O: reports and results come in, effects go out.
+
+The rules rest on one question: may a task still be on a machine? A `Placement` stands for "it
+may", from before its start is sent until one of these is known (docs/design.md, "Safety"):
+a newer report under our token does not list it and no start is in flight; the worker's session
+has changed; its lease has run out since the last answer it could have accepted; the cloud has
+deleted the machine.
+"""
+
+from __future__ import annotations
+
+import math
+import random
+from collections import Counter
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
+from typing import Any
+
+from umberward.core.log import logger
+from umberward.core.settings import Settings
+from umberward.core.types import (
+    NO_RESOURCES,
+    Attempt,
+    ControllerName,
+    FencingToken,
+    Instant,
+    JobId,
+    Key,
+    MachineId,
+    MachineOffer,
+    MachineTypeName,
+    Resources,
+    TaskId,
+    TeamName,
+    Version,
+    WallTime,
+    ZoneName,
+)
+from umberward.protocol import wire
+from umberward.protocol.transactions import VersionedValue
+from umberward.protocol.wire import Heartbeat, JobRecord, MachineType
+from umberward.scheduling.cluster_state import ClusterState, DirectCommand, Probe
+from umberward.scheduling.command_results import CommandResults
+from umberward.scheduling.consolidation import Consolidation
+from umberward.scheduling.deadline_triage import DeadlineTriage
+from umberward.scheduling.dependencies import WaitingJobs
+from umberward.scheduling.failure_attribution import FailureAttribution
+from umberward.scheduling.failure_detector import FailureDetector
+from umberward.scheduling.gang_reservation import GangReservations
+from umberward.scheduling.heartbeats import HeartbeatHandler
+from umberward.scheduling.jobs import Job, Placement
+from umberward.scheduling.lease_delegation import Delegation, Delegator
+from umberward.scheduling.machine_selection import choose_machines
+from umberward.scheduling.machines import Machine, machines_with_room
+from umberward.scheduling.preemption import PreemptableWork, Preemption
+from umberward.scheduling.reachability import Reachability
+from umberward.scheduling.spot_policy import AffordableMachines, jobs_limited_to_affordable
+from umberward.scheduling.state_writer import StateWriter, Transaction
+
+log = logger(__name__)
+
+
+UNKNOWN_JOB_GRACE_S = 15.0  # a live job that is not known for so long is taken up
+UNLIMITED = Resources(math.inf, math.inf, math.inf)
+MAX_FAILED_PASS_PAUSE_S = 30.0  # ... of a job whose placing fails, until it is tried again
+
+
+@dataclass
+class SchedulingPass:
+    """What the jobs of one placing pass share."""
+
+    usable: list[Machine]
+    free: dict[MachineId, Resources]
+    roomy: list[Machine]
+    roomy_ids: set[MachineId]  # of the roomy ones
+    unlocated_usage: dict[TeamName, Resources]
+    headroom_machines: set[MachineId]
+    headroom_candidates: set[MachineId]
+    preemptable: PreemptableWork | None
+    # Jobs that wait for cheap machines, and what these are.
+    affordable: dict[JobId, AffordableMachines]
+    # Kinds of jobs for which nothing is left in this pass: thousands of tasks may wait.
+    exhausted: set[Any] = field(default_factory=set)
+
+
+class Scheduler(ClusterState):
+    """The cluster, and all that is decided about it: the one thing that a holder speaks to."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        skus: dict[MachineTypeName, MachineType],
+        epoch: FencingToken,
+        now: Instant,
+        wall: Callable[[], WallTime],
+        rng: random.Random,
+    ) -> None:
+        super().__init__(settings, skus, epoch, now, wall, rng)
+        platform = settings.platform
+        borrowers = {ControllerName(peer.label): ZoneName(peer.site) for peer in platform.peers}
+        self.delegator = Delegator(self.worker_times, borrowers, epoch)
+        self.preemption = Preemption(self, now)
+        self.gang_reservations = GangReservations(self)
+        self.deadline_triage = DeadlineTriage(self, now)
+        self.consolidation = Consolidation(self, self.preemption, now)
+        self.failure_attribution = FailureAttribution(self, now)
+        self.waiting_jobs = WaitingJobs(self)
+        self.writer = StateWriter(self, self.waiting_jobs, platform.cluster.state.strictest(), now)
+        self.reachability = Reachability(self)
+        self.failure_detector = FailureDetector(self, self.delegator, self.reachability)
+        self.heartbeats = HeartbeatHandler(
+            self, self.reachability, self.failure_attribution, self.writer
+        )
+        self.command_results = CommandResults(self, self.reachability, self.heartbeats)
+        self.attempts = 0
+        self.unknown_since: dict[JobId, Instant] = {}  # live, and not known here: since when
+        self.recently_ended: dict[JobId, Instant] = {}  # an older reading may still show them
+        self.locate_until: dict[JobId, Instant] = {}  # until when tasks of theirs may be somewhere
+        self.cancellations_unread = False  # which jobs were cancelled lately could not be read
+
+    # ---- what is said to it: passed on to the part that knows ----------------------------
+
+    def receive_heartbeat(
+        self, head: wire.HeartbeatHeader, body: bytes, now: Instant
+    ) -> list[wire.TaskCommand] | None:
+        return self.heartbeats.receive(head, body, now)
+
+    def command_completed(
+        self, command: DirectCommand, report: Heartbeat | None, unknown: bool, now: Instant
+    ) -> None:
+        self.command_results.command_completed(command, report, unknown, now)
+
+    def probe_completed(self, probe: Probe, report: Heartbeat | None, now: Instant) -> None:
+        self.command_results.probe_completed(probe, report, now)
+
+    def may_keep_session(self, id: MachineId) -> bool:
+        """Whether a leader without its lease may keep the worker's session alive, as far as the
+        starts that were sent there go."""
+        machine = self.machines.get(id)
+        return machine is None or not self.has_unwanted_start(machine)
+
+    def wake(self, now: Instant) -> None:
+        self.failure_detector.detect_pause(now)
+
+    def tick(self, now: Instant) -> None:
+        """Notice what time alone tells. To be called a few times a second."""
+        self.now = now
+        self.failure_detector.tick(now)
+        self.reachability.tick(now)
+        self.failure_attribution.tick(now)
+        self.failure_detector.select_machines_to_delete(now)
+
+    def is_isolated(self, now: Instant) -> bool:
+        return self.failure_detector.is_isolated(now)
+
+    def heard_no_machine(self, now: Instant) -> bool:
+        return self.failure_detector.heard_no_machine(now)
+
+    def delegate(
+        self, borrower: ControllerName, seen: int, idle: bool, now: Instant
+    ) -> Delegation | None:
+        return self.failure_detector.delegate(borrower, seen, idle, now)
+
+    def transaction_committed(self, batch: Transaction, stamp: Version, now: Instant) -> None:
+        """A transaction of ours was carried out."""
+        for job, final in self.writer.transaction_committed(batch, stamp, now):
+            log.info("job_ended", job=job.id, phase=final.phase)
+            self.apply_job_end(job.id, final, final.ended_at or self.wall())
+            self.remove_job(job.id)
+
+    def reconcile_key(self, key: Key, found: VersionedValue | None) -> None:
+        """What the state service has after a conflict or an unknown outcome."""
+        for gone in self.writer.reconcile_key(key, found):
+            self.remove_job(gone)
+
+    # ---- taking over -------------------------------------------------------------------
+
+    def load_block(
+        self, number: int, record: wire.BlockRecord, stamp: Version, now: Instant
+    ) -> None:
+        machines = []
+        for name, (address, type_, zone, spot) in record.machines.items():
+            machine = self.machine(
+                MachineId(name), address, MachineTypeName(type_), ZoneName(zone), spot, now
+            )
+            machines.append(machine)
+            if not machine.heartbeat_seen and not machine.probing:
+                machine.probing = True
+                self.outbox.append(Probe(machine.id, address))
+        self.writer.load_block(number, stamp, machines)
+
+    def finish_loading(self) -> None:
+        self.loaded = True
+        for machine in self.machines.values():
+            if machine.reconciled:
+                # It reported before the jobs were read, so its tasks could not be told: until it
+                # has reported once more, they may run there and must not start elsewhere.
+                machine.reconciled = False
+                machine.availability_changed()
+                machine.unchanged_heartbeat = None
+                machine.probing = True
+                self.outbox.append(Probe(machine.id, machine.address))
+        self.pass_wanted = True
+        log.info(
+            "failover_completed",
+            epoch=self.fencing_token,
+            machines=len(self.machines),
+            jobs=len(self.jobs),
+        )
+
+    def is_live(self, id: JobId) -> bool:
+        """Whether it is live as far as we know."""
+        return id in self.jobs or id in self.waiting_jobs.jobs
+
+    def put_job(self, record: JobRecord, stamp: Version) -> None:
+        """A job's record was read or has come by the watch."""
+        id = JobId(record.spec.job_id)
+        if self.is_live(id):
+            return
+        job = Job(record, stamp, self.value_limit)
+        if record.dependencies and not record.placed_below:
+            # A job that waits for others is in nothing that counts queued work, and cannot start.
+            self.waiting_jobs.add(job, wire.unpack_dependencies(record.dependencies))
+        else:
+            self.admit_job(job)
+        self.waiting_jobs.graph.note_live(id)
+
+    def find_unknown_jobs(self, entries: Iterable[wire.KeyValue], now: Instant) -> list[JobId]:
+        """Records of live jobs as they were read just now; returns the ids of those that nobody
+        here knows of, for the second time in a row, so that no news of them is on its way."""
+        found = []
+        for entry in entries:
+            id = JobId(entry.key[len(wire.LIVE_JOBS_PREFIX) :])
+            if self.is_live(id) or id in self.recently_ended:
+                self.unknown_since.pop(id, None)
+            elif now - self.unknown_since.setdefault(id, now) > UNKNOWN_JOB_GRACE_S:
+                found.append(id)
+        return found
+
+    def adopt_unknown_job(self, record: JobRecord, stamp: Version, now: Instant) -> None:
+        """A job that is live and that we had lost sight of."""
+        id = JobId(record.spec.job_id)
+        if self.unknown_since.pop(id, None) is None or id in self.recently_ended:
+            return
+        log.warning("unknown_job_adopted", job=id, marked=record.placed_below)
+        self.put_job(record, stamp)
+        job = self.jobs.get(id)
+        if job is None:
+            return
+        for machine in self.machines.values():
+            for task, placement in machine.placements.items():
+                if task.job == id:  # started before we lost sight of it
+                    job.placements[task.number] = placement
+                    job.locate_task(task.number)
+        if job.unlocated_tasks:
+            self._requeue_later(job, now)
+
+    def _requeue_later(self, job: Job, now: Instant) -> None:
+        """Its tasks may be on machines, which list them with their next reports. Where none comes,
+        the session is over within this time."""
+        self.locate_until[job.id] = Instant(now + self.delegator.bounds.takeover_s)
+
+    def repair(self, now: Instant) -> None:
+        """What the books have lost is put in order; to be called once in a while."""
+        for id, until in list(self.locate_until.items()):
+            job = self.jobs.get(id)
+            if now > until or (job is None and id not in self.cancelled_jobs):
+                del self.locate_until[id]
+                if job is not None:
+                    job.requeue_unlocated()
+                    self.unplaced[id] = job
+                    self.pass_wanted = True
+        for id, at in list(self.recently_ended.items()):
+            if now - at <= UNKNOWN_JOB_GRACE_S:
+                break
+            del self.recently_ended[id]
+        if not self.all_settled:
+            return
+        for id in [id for id in self.cancelled_jobs if id not in self.locate_until]:
+            del self.cancelled_jobs[id]
+        for job in self.jobs.values():
+            if job.id in self.locate_until:
+                continue
+            lost = job.count_lost_tasks()
+            if lost:
+                log.warning("lost_tasks_found", job=job.id, tasks=lost)
+                job.unlocated_tasks.update(
+                    n for n in range(job.done_below, job.next_fresh_task) if job.is_lost(n)
+                )
+            if job.unlocated_tasks:
+                self._requeue_later(job, now)
+
+    def admit_job(self, job: Job) -> None:
+        """The job's tasks may start from now on."""
+        self.jobs[job.id] = self.unplaced[job.id] = job
+        if job.complete:
+            self.writer.note_completions(job)  # all is done and its end was not written
+        job.prompt = self.is_prompt(job)
+        if not job.placed_below:
+            log.info(
+                "job_ready",
+                job=job.id,
+                jobclass=job.spec.job_class,
+                tasks=job.size,
+                size=round(job.size * max(job.need.cores, job.need.accelerators), 1),
+            )
+        self.standings_outdated = True
+        self.pass_wanted = True
+
+    def apply_job_end(self, id: JobId, final: wire.FinalJobRecord, at: float) -> None:
+        """A job's end was read or committed: only now may those after it start."""
+        for job in self.waiting_jobs.job_ended(id, final.phase, at):
+            log.info("job_dependencies_done", job=job.id)
+            self.admit_job(job)
+
+    def remove_job(self, id: JobId) -> None:
+        """A job's live record is gone: it is done, or was cancelled by some controller."""
+        self.waiting_jobs.job_gone(id)
+        self.recently_ended[id] = self.now
+        job = self.jobs.pop(id, None)
+        self.unplaced.pop(id, None)
+        if job is None:
+            return
+        job.ended = True
+        if job.unlocated_tasks:
+            # They may run on until they are found: they go on counting against the team's limit.
+            self.cancelled_jobs[id] = job
+        self.failure_attribution.forget_job(job, self.now)
+        self.standings_outdated = True
+        for placement in list(job.placements.values()):
+            self.stop(placement, 0.0)
+        self.pass_wanted = True
+
+    def count_remaining(self, id: JobId, remains: wire.RemainingTasks) -> None:
+        """A job was cancelled, and we may never have known it: its tasks may be on machines that
+        we have not heard yet."""
+        if not (self.all_settled or self.is_live(id) or id in self.recently_ended):
+            self.cancelled_jobs.setdefault(id, Job.of_remaining(id, remains))
+
+    def remove_machines(self, ids: Iterable[MachineId], now: Instant) -> None:
+        """The cloud has deleted these machines, or they stopped by themselves."""
+        for id in ids:
+            self.machines_to_delete.discard(id)
+            machine = self.machines.get(id)
+            if machine is None:
+                continue
+            machine.returning = True
+            self.release_all(machine, "machine gone")
+            del self.machines[id]
+            machine.availability_changed()
+            self.deleted_machines[id] = None
+            while len(self.deleted_machines) > 5000:
+                del self.deleted_machines[next(iter(self.deleted_machines))]
+            self.writer.remove_machine(machine)
+        self.pass_wanted = True
+
+    def token_rotated(self, epoch: FencingToken) -> None:
+        self.fencing_token = epoch
+        self.token_rotation.completed(self.now)
+
+    def _unlocated_usage(self) -> dict[TeamName, Resources]:
+        """What tasks may use that a former holder placed and nobody has found yet, be their jobs
+        live or cancelled. For teams with a limit: others need not know."""
+        usage: dict[TeamName, Resources] = {}
+        jobs: Iterable[Job] = (*self.jobs.values(), *self.cancelled_jobs.values())
+        if self.all_settled:
+            found = (self.jobs.get(id) or self.cancelled_jobs.get(id) for id in self.locate_until)
+            jobs = [job for job in found if job is not None]
+        for job in jobs:
+            if job.unlocated_tasks and self.quota.has_limit(job.team):
+                old = usage.get(job.team, NO_RESOURCES)
+                usage[job.team] = old.plus(job.need, len(job.unlocated_tasks))
+        if self.all_settled or not (usage or self.cancellations_unread):
+            return usage
+        # They are on machines that we have not heard under our token, as far as these have room.
+        most = self._unreconciled_capacity()
+        if self.cancellations_unread:
+            return {team: most for team in self.quota.teams if self.quota.has_limit(team)}
+        return {team: used.minimum(most) for team, used in usage.items()}
+
+    def _unreconciled_capacity(self) -> Resources:
+        """All of the machines on which a former holder's tasks may be that we don't know of."""
+        room = NO_RESOURCES
+        for machine in self.machines.values():
+            if not (machine.reconciled or machine.predecessor_expired):
+                sku = self.machine_types.get(machine.type)
+                room = UNLIMITED if sku is None else room.plus(sku.capacity)
+        return room
+
+    def jobs_in_service_order(self, now: Instant) -> list[Job]:
+        """Jobs with tasks to place, in the order in which they are served."""
+        ready: list[Job] = []
+        wall = self.wall()
+        self.jobs_examined += len(self.unplaced)
+        for job in list(self.unplaced.values()):
+            if not job.startable_count():
+                del self.unplaced[job.id]
+            elif job.held_until <= now:
+                ready.append(job)
+        self.deadline_triage.update(ready, now)
+        late = self.deadline_triage.late_jobs
+        ordered: list[tuple[Any, int, Job]] = []
+        for job in ready:
+            served = self.waiting_jobs.service_standing(job)
+            order = (job.faulty, served, job.id in late, self.service_order(job, wall))
+            ordered.append((order, len(ordered), job))
+        ordered.sort()
+        return [job for *_, job in ordered]
+
+    def _update_standings(self) -> None:
+        """Each job's standing: who is served first and who may be stopped for whom.
+
+        A job is guaranteed if it fits its team's guarantee together with the team's earlier
+        unfinished jobs. That only ever changes from no to yes, and only work of a strictly lower
+        standing is stopped: so two jobs never take turns in stopping each other.
+        """
+        # The team's order is that in which its jobs became ready: one that waited for others takes
+        # nothing from those that run. The rank is that of the live jobs that need it, which changes
+        # only when users act.
+        self.standings_outdated = False
+        judged = []  # whose standing depends on the jobs before them
+        for job in self.jobs.values():
+            rank = min(
+                wire.PRIORITIES[job.spec.priority], self.waiting_jobs.demand_on(job.id).priority
+            )
+            if rank == 0 or not self.quota.has_guarantee(job.team):
+                self.set_standing(job, rank, (0 if rank == 0 else 1, rank))
+            if self.quota.has_guarantee(job.team):
+                judged.append((job.ready_at, job.id, rank, job))
+        judged.sort(key=lambda entry: entry[:2])
+        totals: dict[TeamName, Resources] = {}
+        for _, _, rank, job in judged:
+            total = totals.get(job.team, NO_RESOURCES).plus(job.need, job.size)
+            totals[job.team] = total
+            if rank > 0:
+                within = self.quota.fits_guarantee(job.team, total)
+                self.set_standing(job, rank, (0 if within else 1, rank))
+
+    def run_pass(self, now: Instant) -> None:
+        """One pass over the waiting jobs."""
+        self.pass_wanted = False
+        if not self.loaded:
+            return
+        usable, free = self.schedulable_room()
+        unsure = self._unlocated_usage()
+        if self.standings_outdated:
+            self._update_standings()
+        waiting = self.jobs_in_service_order(now)
+        self.headroom.update((job for job in waiting if not job.faulty), now)
+        self.preemption.subtract_reservations(free, now)
+        kept, able = self.headroom.select_machines(self.schedulable.by_offer, free)
+        self.headroom_machines = kept
+        self.gang_reservations.update(waiting, free, now)
+        roomy = machines_with_room(usable, free, waiting)
+        state = SchedulingPass(
+            usable,
+            free,
+            roomy,
+            {m.id for m in roomy},
+            unsure,
+            kept,
+            able,
+            self.preemption.find_preemptable(waiting, usable, now),
+            jobs_limited_to_affordable(
+                self, waiting, {o: len(kind) for o, kind in self.schedulable.by_offer.items()}
+            ),
+        )
+        for job in waiting:
+            try:
+                self._place_job(job, state, now)
+            except Exception:
+                # The others are served all the same, and it is tried again.
+                job.failed_passes += 1
+                job.held_until = now + min(MAX_FAILED_PASS_PAUSE_S, 2.0**job.failed_passes)
+                log.exception("job_not_placed", job=job.id, again_s=job.held_until - now)
+        self.preemption.denied_machines = set()
+        if state.preemptable is not None and self.all_settled:
+            self.preemption.move_replicas(
+                state.headroom_machines,
+                state.headroom_candidates,
+                usable,
+                free,
+                state.preemptable,
+                now,
+            )
+        if self.all_settled:
+            self.consolidation.consolidate(state.headroom_machines, usable, now)
+
+    def _place_job(self, job: Job, state: SchedulingPass, now: Instant) -> None:
+        need = job.need
+        free, stoppable, full = state.free, state.preemptable, state.exhausted
+        count = min(
+            job.startable_count(),
+            self.quota.tasks_within_limit(
+                job.team, need, state.unlocated_usage.get(job.team, NO_RESOURCES)
+            ),
+        )
+        if count <= 0 or (job.gang and (count < job.size or job.placements or job.unlocated_tasks)):
+            return
+        if job.faulty:
+            # One try at a time, in room that happens to be there; nobody gives way for it.
+            if job.placements:
+                return
+            count = job.size if job.gang else 1
+        mine = self.preemption.grant_reserved(job, free)
+        # What was cleared for the job counts as full for all others.
+        open_ = state.roomy
+        if mine:
+            open_ = [m for m in state.usable if m.id in mine or m.id in state.roomy_ids]
+        denied = self.preemption.denied_machines = self.gang_reservations.denied_machines(job)
+        if denied:
+            open_ = [m for m in open_ if m.id not in denied]
+        cheap = state.affordable.get(job.id)
+        room_in = free
+        if cheap is not None:
+            room_in = {
+                m.id: free[m.id]
+                if m.id in state.headroom_machines and cheap.may_use_leftovers
+                else cheap.usable_room(m, free[m.id], self.machine_types[m.type])
+                for m in open_
+            }
+        # Replicas stay long: they take accelerated machines only if nothing else is left.
+        lasting = job.service and need.accelerators <= 0
+        barred = (
+            self.barred_machines(
+                job, state.headroom_candidates if lasting else state.headroom_machines
+            )
+            - mine
+        )
+        kind = (job.placement_class, lasting, bool(barred), bool(denied), cheap is None)
+        chosen: list[MachineId] = []
+        # Replicas wait for what is being cleared for them: it is gone in a moment.
+        coming = 0
+        if lasting:
+            coming = sum(1 for id in mine if id in free and not need.fits(free[id]))
+            if stoppable is not None and self.preemption.needs_cached_image(job):
+                coming += self.preemption.preempt_near_image(
+                    job, count - coming, open_, free, state.headroom_candidates, stoppable, now
+                )
+        if coming < count and (mine or kind not in full):
+            chosen = choose_machines(self, job, count - coming, open_, room_in, barred, prefer=mine)
+            if not chosen and not mine and job.interchangeable:
+                full.add(kind)
+        if len(chosen) + coming < count and stoppable is not None:
+            coming += self.preemption.preempt(
+                job, count - len(chosen) - coming, stoppable, free, mine, now
+            )
+        for step, wider in enumerate((state.headroom_machines - mine, set()) if lasting else ()):
+            if len(chosen) + coming < count and (mine or (kind, step) not in full):
+                chosen = choose_machines(self, job, count - coming, open_, free, wider, prefer=mine)
+                if not chosen and not mine and job.interchangeable:
+                    full.add((kind, step))
+        if job.gang and len(chosen) < job.size:
+            chosen = []
+        used = mine if len(chosen) == count else mine.intersection(chosen)
+        self.preemption.return_unused(used, mine, free)
+        self._start(job, chosen, free, now)
+        if need.accelerators > 0 and chosen:
+            state.headroom_machines, state.headroom_candidates = self.headroom.select_machines(
+                self.schedulable.by_offer, free
+            )
+            self.headroom_machines = state.headroom_machines
+
+    def _start(
+        self, job: Job, chosen: list[MachineId], free: dict[MachineId, Resources], now: Instant
+    ) -> None:
+        if not chosen:
+            return
+        self.attempts += 1
+        attempt = Attempt((self.term_token << 20) + self.attempts)
+        left = [job.take_task() for _ in chosen]
+        pairs: list[tuple[int, MachineId]] = []
+        for id in chosen:
+            machine = self.machines[id]
+            for index in left:
+                task = TaskId(job.id, index)
+                if task not in machine.placements and task not in machine.exited_tasks:
+                    left.remove(index)
+                    pairs.append((index, id))
+                    break
+        if job.gang and left:
+            # One task would be refused where its last attempt is still listed: not without it.
+            left += [index for index, _ in pairs]
+            pairs = []
+        for index in left:
+            job.put_back(index)
+        for index, id in pairs:
+            machine = self.machines[id]
+            task = TaskId(job.id, index)
+            placement = Placement(task, attempt, id, machine.zone, job, now)
+            placement.intent_stored = index < job.placed_below
+            if not self.invariants.may_hold(machine, job, placement):
+                continue
+            self.add_placement(machine, job, placement)
+            free[id] = free[id].minus(job.need)
+            if placement.intent_stored:
+                self.send_start(placement)
+
+    def fleet_summary(self) -> list[dict[str, Any]]:
+        """The machines by offer: how many, how many of them empty, how full; and what waits."""
+        groups: dict[MachineOffer, list[Machine]] = {}
+        for machine in self.machines.values():
+            groups.setdefault(machine.offer, []).append(machine)
+        found: list[dict[str, Any]] = []
+        for offer, machines in sorted(groups.items()):
+            whole = sum(
+                self.machine_types[m.type].cores for m in machines if m.type in self.machine_types
+            )
+            booked = sum(m.allocated.cores for m in machines)
+            held: Counter[str] = Counter()
+            for machine in machines:
+                for placement in machine.placements.values():
+                    job = self.jobs.get(placement.task.job)
+                    held[job.spec.job_class if job is not None else "-"] += 1
+            found.append(
+                {
+                    **offer._asdict(),
+                    "machines": len(machines),
+                    "empty": sum(1 for m in machines if not m.placements),
+                    "not_usable": sum(1 for m in machines if not m.schedulable),
+                    "percent_booked": round(100 * booked / whole) if whole else 0,
+                    "holds": ",".join(f"{name}:{many}" for name, many in sorted(held.items())),
+                }
+            )
+        waits: dict[str, tuple[int, int, float]] = {}
+        for job in self.unplaced.values():
+            tasks = job.startable_count()
+            if tasks:
+                jobs, total, first = waits.get(job.spec.job_class, (0, 0, job.submitted_at))
+                waits[job.spec.job_class] = (jobs + 1, total + tasks, min(first, job.submitted_at))
+        for name, (jobs, total, first) in sorted(waits.items()):
+            oldest = round(self.wall() - first)
+            found.append({"waiting": name, "tasks": total, "jobs": jobs, "oldest_s": oldest})
+        return found
+
+    def inflight_summary(self) -> dict[str, int]:
+        """How many starts may still arrive, and what that has led to in this term."""
+        open_ = [len(machine.inflight_starts) for machine in self.machines.values()]
+        return {
+            "may_arrive": sum(open_),
+            "machines": sum(1 for starts in open_ if starts),
+            "forgets_put_off": self.heartbeats.deferred_forgets,
+            "token_raises": self.token_rotation.count,
+            "violations": sum(self.invariants.violations.values()),
+        }
+
+    def jobs_without_room(self, now: Instant) -> list[tuple[Job, int]]:
+        """Jobs with tasks for which there is no room, in the order of service."""
+        found = []
+        for job in self.jobs_in_service_order(now):
+            count = min(job.startable_count(), self.quota.tasks_within_limit(job.team, job.need))
+            if job.gang and (job.placements or count < job.size):
+                continue
+            if count > 0 and not job.faulty:
+                found.append((job, count))
+        return found
--- a/umberward/decisions/preemption.py
+++ b/umberward/scheduling/victim_selection.py
@@ -4,36 +4,40 @@
 
 from typing import NamedTuple
 
-from umberward.core.types import Amount, Instant
-from umberward.decisions.jobs import Placement
+from umberward.core.types import Instant, Resources
+from umberward.scheduling.jobs import Placement
 
 
-class Plan(NamedTuple):
+class VictimPlan(NamedTuple):
     """Whom to stop on one machine, and the price: low rank first, then little loss."""
 
     cost: tuple[float, float]
     victims: list[Placement]
 
 
-def loss(placement: Placement, now: Instant) -> float:
+def lost_work(placement: Placement, now: Instant) -> float:
     """Core-seconds that are done again if this attempt is stopped at once."""
-    if placement.running_at is None:
+    if placement.running_since is None:
         return 0.0
-    lost = now - placement.running_at
-    if placement.saves_every > 0:
-        lost = min(lost, placement.saves_every / 2)
+    lost = now - placement.running_since
+    if placement.checkpoint_interval_s > 0:
+        lost = min(lost, placement.checkpoint_interval_s / 2)
     return lost * placement.need.cores
 
 
-def plan(need: Amount, free: Amount, victims: list[Placement], now: Instant) -> Plan | None:
+def select_victims(
+    need: Resources, free: Resources, victims: list[Placement], now: Instant
+) -> VictimPlan | None:
     """What of `victims` has to go so that the need finds room; None: all of it is not enough."""
     room = free
     picked: list[Placement] = []
-    for placement in sorted(victims, key=lambda p: (-p.rank, loss(p, now))):
+    for placement in sorted(victims, key=lambda p: (-p.priority, lost_work(p, now))):
         if need.fits(room):
             break
         room = room.plus(placement.need)
         picked.append(placement)
     if not picked or not need.fits(room):
         return None
-    return Plan((-min(p.rank for p in picked), sum(loss(p, now) for p in picked)), picked)
+    return VictimPlan(
+        (-min(p.priority for p in picked), sum(lost_work(p, now) for p in picked)), picked
+    )
--- a/umberward/soak/checker.py
+++ b/umberward/soak/checker.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from umberward.core.settings import Team
+from umberward.core.settings import TeamQuota
 from umberward.protocol import wire
 from umberward.soak import history
 from umberward.soak.history import Answered, Event, MachineUp, Submitted, TaskEnded, TaskStarted
@@ -32,7 +32,7 @@
 class Checker:
     """Takes in events in the order of time."""
 
-    def __init__(self, teams: list[Team], cancel_s: float) -> None:
+    def __init__(self, teams: list[TeamQuota], cancel_s: float) -> None:
         self.teams = {team.name: team for team in teams}
         self.cancel_s = cancel_s
         self.broken: list[Broken] = []
@@ -156,8 +156,9 @@
         job = _job(event.task)
         started = (event.host, event.session, event.task, event.attempt)
         if started in self.attempts:
-            self._break(event.at, "restarted", job, f"{event.task} attempt {event.attempt}"
-                        f" on {event.host}")  # fmt: skip
+            self._break(
+                event.at, "restarted", job, f"{event.task} attempt {event.attempt} on {event.host}"
+            )
         self.attempts.add(started)
         alive = self.running.setdefault(event.task, [])
         for other in alive:
@@ -258,8 +259,12 @@
         asked_after = bool(final) and told_at < event.asked_at
         other_end = bool(final) and event.phase in FINAL and event.phase != final
         if other_end or (asked_after and (event.phase != final or event.status == 201)):
-            self._break(event.at, "went_back", event.job, f"was {final}, is {event.phase}"
-                        f" by {event.controller}")  # fmt: skip
+            self._break(
+                event.at,
+                "went_back",
+                event.job,
+                f"was {final}, is {event.phase} by {event.controller}",
+            )
         if event.phase == wire.CANCELLED and event.job not in self.cancel_asked:
             self._break(event.at, "went_back", event.job, "cancelled by nobody")
         # Of a gang all are done if one is.
--- a/umberward/soak/cluster.py
+++ b/umberward/soak/cluster.py
@@ -12,12 +12,12 @@
 
 import curio
 
-from umberward.core.settings import Team
+from umberward.core.settings import TeamQuota
 from umberward.core.tasks import TaskScope
 from umberward.core.types import Address
 from umberward.local.cloudcore import Capacity, Machine
+from umberward.local.cluster import ClusterPlan as LocalPlan
 from umberward.local.cluster import LocalCluster
-from umberward.local.cluster import Plan as LocalPlan
 from umberward.local.links import Links
 from umberward.local.servers import WorkerServer
 from umberward.local.workercore import Fate, WorkerCore
@@ -25,13 +25,13 @@
 from umberward.protocol.http import (
     Client,
     Handler,
-    NoAnswer,
-    NotSent,
+    NoResponseError,
     Request,
+    RequestNotSentError,
     Response,
     Server,
 )
-from umberward.protocol.wire import Spec
+from umberward.protocol.wire import JobSpec
 from umberward.soak import history, plan
 from umberward.soak.history import Event
 
@@ -47,8 +47,8 @@
 ENDLESS_S = float("inf")
 
 
-def teams(size: plan.Size) -> list[Team]:
-    return [Team("red", cpus_max=CORES_FOR_RED * size.jobs_per_s), Team("blue")]
+def teams(size: plan.Size) -> list[TeamQuota]:
+    return [TeamQuota("red", cpus_max=CORES_FOR_RED * size.jobs_per_s), TeamQuota("blue")]
 
 
 class HarnessError(RuntimeError):
@@ -95,9 +95,13 @@
     """A worker's client: each of its links may fail."""
 
     def __init__(
-        self, client: Client, links: Links, core: SoakWorker, names: dict[Address, str],
+        self,
+        client: Client,
+        links: Links,
+        core: SoakWorker,
+        names: dict[Address, str],
         messages: TaskScope,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`messages` owns what is under way: it may arrive long after the request was given up."""
         self.client = client
         self.links = links
@@ -111,7 +115,7 @@
     ) -> Response:
         """Raises NotSent and NoAnswer as the client does. What is late is sent all the same."""
         answers: list[Response] = []
-        failed: list[NotSent] = []
+        failed: list[RequestNotSentError] = []
         answered_at: list[float] = []  # when the controller had answered
         answered = curio.Event()
 
@@ -120,10 +124,10 @@
                 response = await self.client.request(address, method, target, body, timeout)
                 answered_at.append(self.core.clock())
                 return response
-            except NotSent as error:
+            except RequestNotSentError as error:
                 failed.append(error)
                 await answered.set()
-            except NoAnswer:
+            except NoResponseError:
                 pass
             return None
 
@@ -135,7 +139,7 @@
 
         async def copy(after_s: float) -> None:
             await curio.sleep(after_s)
-            with contextlib.suppress(NotSent, NoAnswer):
+            with contextlib.suppress(RequestNotSentError, NoResponseError):
                 await self.client.request(address, method, target, body, timeout)
 
         await self.messages.spawn(carry)
@@ -146,7 +150,7 @@
         if answers:
             self.core.sent_at = answered_at[0]  # the worker takes it up at once
             return answers[0]
-        raise failed[0] if failed else NoAnswer(f"{method} {address}: no answer")
+        raise failed[0] if failed else NoResponseError(f"{method} {address}: no answer")
 
 
 class SoakCluster(LocalCluster):
@@ -159,17 +163,22 @@
     @staticmethod
     def local_plan(of: plan.Plan) -> LocalPlan:
         return LocalPlan(
-            controllers=plan.CONTROLLERS, teams=teams(of.size), seed=of.seed, graphs=False,
-            speed=BOOTS_FASTER, workers=plan.TIMES, log_level="debug",
+            controllers=plan.CONTROLLERS,
+            teams=teams(of.size),
+            seed=of.seed,
+            graphs=False,
+            speed=BOOTS_FASTER,
+            workers=plan.TIMES,
+            log_level="debug",
             properties={"idle.seconds": "3600", "lease.seconds": "1.5", "silence.seconds": "2"},
-        )  # fmt: skip
+        )
 
     def __init__(self, of: LocalPlan, folder: Path) -> None:
         super().__init__(of, folder)
         self.links = Links(self.rng)
         self.began = time.monotonic()
         self.record = lambda event: None
-        self.specs: dict[str, Spec] = {}  # of all jobs that users have sent
+        self.specs: dict[str, JobSpec] = {}  # of all jobs that users have sent
         self.runs: dict[str, float] = {}  # how long a task of the job runs, in seconds
         self.killed: set[int] = set()  # controllers that the soak has ended
         self.takeovers = 0
@@ -184,9 +193,11 @@
             server.handler = self._linked(self.names[number], STATE, server.handler)
         self.cloud.server.handler = self._linked("keeper-*", CLOUD, self.cloud.server.handler)
         self.cloud.core.capacity = {
-            Capacity(sku.sku, zone, spot): RENTABLE
-            for sku in of.machines for zone in sku.yards for spot in (True, False)
-        }  # fmt: skip
+            Capacity(sku.name, zone, spot): RENTABLE
+            for sku in of.machines
+            for zone in sku.zones
+            for spot in (True, False)
+        }
 
     def _addresses(self, count: int) -> list[Address]:
         """On hosts of the loopback that this process alone uses: a port of 127.0.0.1 may be taken
@@ -220,7 +231,7 @@
                 return await self.client.request(
                     there, request.method, _target(request), request.body, CARRIED_S
                 )
-            except (NotSent, NoAnswer):
+            except (RequestNotSentError, NoResponseError):
                 return await _silence()
 
         return self._linked(src, dst, forward)
@@ -244,7 +255,7 @@
         for number in range(count):
             now = time.monotonic()
             sku = skus[WORKER_TYPES[number % len(WORKER_TYPES)]]
-            zone = sku.yards[number % len(sku.yards)]
+            zone = sku.zones[number % len(sku.zones)]
             machine = Machine(f"m-{number:06d}", sku, zone, False, now, now)
             machine.up = True
             self.cloud.core.machines[machine.id] = machine
@@ -253,9 +264,16 @@
     def _worker(self, machine: Machine, now: float) -> WorkerServer:
         core: Any = self._core(machine, now)
         core.record, core.clock = self.record, self.now
-        self.record(history.MachineUp(
-            self.now(), machine.id, machine.sku.sku, machine.zone, machine.spot, machine.sku.cores
-        ))  # fmt: skip
+        self.record(
+            history.MachineUp(
+                self.now(),
+                machine.id,
+                machine.sku.name,
+                machine.zone,
+                machine.spot,
+                machine.sku.cores,
+            )
+        )
         names = {address: name for name, address in self.nodes.items()}
         client: Any = LinkedClient(self.client, self.links, core, names, self.group)
         worker = WorkerServer(core, self.nodes, self.workers_said.report_s, client, self.rng)
@@ -300,13 +318,13 @@
             core.tick(time.monotonic())  # its lease may be over, before it hears anything
         self.record(history.MachineStill(self.now(), host, still))
 
-    def describe(self, job: str) -> Spec | None:
+    def describe(self, job: str) -> JobSpec | None:
         return self.specs.get(job)
 
-    def _fate(self, host: str, name: str, spec: Spec) -> Fate:
-        if spec.shape == wire.SERVICE:
+    def _fate(self, host: str, name: str, spec: JobSpec) -> Fate:
+        if spec.kind == wire.SERVICE:
             return Fate(ENDLESS_S)
-        return Fate(self.runs[spec.uid])
+        return Fate(self.runs[spec.job_id])
 
     def _end(self) -> None:
         self.killed.update(range(len(self.children)))
@@ -335,11 +353,11 @@
     def look(self) -> None:
         """Note who leads. Raises HarnessError if a part of the soak has failed."""
         found = self.state.core.keys.get("leader")
-        if found is not None and self.token != found.stamp:
-            self.token = found.stamp
+        if found is not None and self.token != found.version:
+            self.token = found.version
             self.takeovers += 1
             name = str(found.data["node"])
-            self.record(history.LeaderChanged(self.now(), name, found.stamp))
+            self.record(history.LeaderChanged(self.now(), name, found.version))
         for host, (_, task) in list(self.workers.items()):
             if task.terminated and host in self.workers:
                 raise HarnessError(f"the worker of {host} has ended: {task.exception!r}")
--- a/umberward/soak/faults.py
+++ b/umberward/soak/faults.py
@@ -118,9 +118,10 @@
             Kind.REPORTS_COPIED: lambda h: [LinkFault(h, ANY, COPIED, "/hello", *COPIES_S, 0.3)],
             Kind.MACHINES_CUT: lambda h: [LinkFault(ANY, h, HELD), LinkFault(h, ANY, HELD)],
             Kind.LEADER_CUT_FROM_WORKERS: lambda h: [
-                LinkFault(leader, h, LOST), LinkFault(h, leader, LOST)
+                LinkFault(leader, h, LOST),
+                LinkFault(h, leader, LOST),
             ],
-        }  # fmt: skip
+        }
         if kind in each:
             return [fault for host in hosts for fault in each[kind](host)]
         apart = [LinkFault(leader, ANY, LOST), LinkFault(ANY, leader, LOST)]
--- a/umberward/soak/plan.py
+++ b/umberward/soak/plan.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from umberward.core.settings import Workers
+from umberward.core.settings import WorkerTimes
 
 # Times are shorter than in a deployment, so that more leases end within a run.
-TIMES = Workers(report_s=0.5, lease_s=4.0, gang_wait_s=8.0, gang_peer_s=2.0, cancel_s=11.0)
+TIMES = WorkerTimes(report_s=0.5, lease_s=4.0, gang_wait_s=8.0, gang_peer_s=2.0, cancel_s=11.0)
 CONTROLLERS = 3
 OVERLAP = 3  # at most so many faults begin together
 FIRST_S = 3.0  # before the first fault
--- a/umberward/soak/runner.py
+++ b/umberward/soak/runner.py
@@ -131,17 +131,23 @@
         used = resource.getrusage(resource.RUSAGE_CHILDREN)
         kinds = [fault.kind.value for fault in self.of.faults]
         return Result(
-            seed=self.of.seed, workers=self.of.size.workers,
+            seed=self.of.seed,
+            workers=self.of.size.workers,
             faults={kind: kinds.count(kind) for kind in sorted(set(kinds))},
-            jobs=len(self.checker.jobs), starts=self.checker.starts,
-            cancellations=len(self.checker.cancel_asked), kills=self.kills,
-            takeovers=cluster.takeovers, late_in_flight=self.checker.late_in_flight,
-            late_sent_after=self.checker.late_sent_after, unfinished=self.unfinished,
+            jobs=len(self.checker.jobs),
+            starts=self.checker.starts,
+            cancellations=len(self.checker.cancel_asked),
+            kills=self.kills,
+            takeovers=cluster.takeovers,
+            late_in_flight=self.checker.late_in_flight,
+            late_sent_after=self.checker.late_sent_after,
+            unfinished=self.unfinished,
             broken=self.checker.broken,
             processor_s=round(used.ru_utime + used.ru_stime, 1),
-            memory_mb=round(used.ru_maxrss / KB, 1), seconds=round(seconds, 1),
+            memory_mb=round(used.ru_maxrss / KB, 1),
+            seconds=round(seconds, 1),
             timeline=self._timeline(cluster, folder) if self.checker.broken else [],
-        )  # fmt: skip
+        )
 
     def _timeline(self, cluster: SoakCluster, folder: Path) -> list[str]:
         """What was seen of the first broken job, with the faults and leaders, and what the
--- a/umberward/soak/users.py
+++ b/umberward/soak/users.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from umberward.protocol import wire
-from umberward.protocol.http import Client, NoAnswer, NotSent
+from umberward.protocol.http import Client, NoResponseError, RequestNotSentError
 from umberward.soak import history
 from umberward.soak.cluster import SoakCluster
 
@@ -118,7 +118,7 @@
             status = response.status
             if status in (200, 201):
                 phase = msgspec.msgpack.decode(response.body)["phase"]
-        except (NotSent, NoAnswer):
+        except (RequestNotSentError, NoResponseError):
             pass
         answered = history.Answered(self.cluster.now(), kind, job, name, asked_at, status, phase)
         self.cluster.record(answered)
@@ -133,13 +133,27 @@
         self.count += 1
         shape = rng.choices((wire.ARRAY, wire.GANG, wire.SERVICE), (6, 2, 2))[0]
         spec: dict[str, Any] = {
-            "uid": f"req-{self.count:06d}", "jobclass": shape, "owner": rng.choice(("red", "blue")),
-            "shape": shape, "rank": "normal", "shards": rng.randint(1, 3), "cores": 1.0,
-            "accelerators": 0.0, "mem_gb": 1.0, "bundle": f"img-{rng.randint(1, 5)}",
-            "pull_gb": rng.choice((0.0, 0.5, 2.0)), "flavors": None, "yard": None,
-            "same_place": False, "apart": False, "reclaimable": rng.random() < 0.5,
-            "expect_s": 5.0, "snapshot_every_s": 0.0, "snapshot_cost_s": 0.0, "due_s": None,
-        }  # fmt: skip
+            "uid": f"req-{self.count:06d}",
+            "jobclass": shape,
+            "owner": rng.choice(("red", "blue")),
+            "shape": shape,
+            "rank": "normal",
+            "shards": rng.randint(1, 3),
+            "cores": 1.0,
+            "accelerators": 0.0,
+            "mem_gb": 1.0,
+            "bundle": f"img-{rng.randint(1, 5)}",
+            "pull_gb": rng.choice((0.0, 0.5, 2.0)),
+            "flavors": None,
+            "yard": None,
+            "same_place": False,
+            "apart": False,
+            "reclaimable": rng.random() < 0.5,
+            "expect_s": 5.0,
+            "snapshot_every_s": 0.0,
+            "snapshot_cost_s": 0.0,
+            "due_s": None,
+        }
         if shape == wire.ARRAY:
             spec["shards"] = rng.choice((1, 1, 2, 6, max(4, len(self.cluster.workers) // 10)))
         # Work of high rank stops work of lower rank all the time.
@@ -167,9 +181,20 @@
 
     def _known(self, spec: dict[str, Any], why: str) -> None:
         job = spec["uid"]
-        self.cluster.specs[job] = wire.converted(spec, wire.Spec)
+        self.cluster.specs[job] = wire.convert(spec, wire.JobSpec)
         self.cluster.runs[job] = self.rng.choice(RUNS_S)
-        self.cluster.record(history.Submitted(
-            self.cluster.now(), job, spec["owner"], spec["shape"], spec["shards"], spec["cores"],
-            spec["yard"], spec["same_place"], spec["apart"], spec["reclaimable"], why,
-        ))  # fmt: skip
+        self.cluster.record(
+            history.Submitted(
+                self.cluster.now(),
+                job,
+                spec["owner"],
+                spec["shape"],
+                spec["shards"],
+                spec["cores"],
+                spec["yard"],
+                spec["same_place"],
+                spec["apart"],
+                spec["reclaimable"],
+                why,
+            )
+        )
