--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -91,7 +91,7 @@
     async def none(_: Server) -> bool:
         return False
 
-    monkeypatch.setattr(Server, "_make_room", none)
-    monkeypatch.setattr(http, "ROOM_TRIES", 1)
+    monkeypatch.setattr(Server, "_evict", none)
+    monkeypatch.setattr(http.server, "SOCKET_POLLS", 1)
     played = Played()
     assert curio.run(played.play) < 2 * MACHINES
--- /dev/null
+++ b/umberward/protocol/http/__init__.py
@@ -0,0 +1,26 @@
+"""HTTP/1.1 with h11 over curio: a server, and a client that keeps connections.
+
+Both are bound by a budget of open sockets, which a server and a client of one process may share.
+"""
+
+from umberward.protocol.http.client import Client
+from umberward.protocol.http.messages import (
+    Handler,
+    NoResponseError,
+    Request,
+    RequestNotSentError,
+    Response,
+)
+from umberward.protocol.http.server import Server
+from umberward.protocol.http.socket_budget import Sockets
+
+__all__ = [
+    "Client",
+    "Handler",
+    "NoResponseError",
+    "Request",
+    "RequestNotSentError",
+    "Response",
+    "Server",
+    "Sockets",
+]
