--- a/tools/measure_graphs.py
+++ b/tools/measure_graphs.py
@@ -10,6 +10,7 @@
 
 import random
 import time
+from http import HTTPStatus
 from typing import NamedTuple
 
 import click
@@ -41,6 +42,7 @@
     cpu_s: float
 
     def line(self) -> str:
+        """All figures, on one line for people."""
         p50, p99 = (self.waits_ms.get_value_at_percentile(part) for part in (50, 99))
         return (
             f"{self.way}: {self.tasks} tasks in {self.seconds:.1f} s,"
@@ -68,8 +70,9 @@
 
 
 async def measure(file: File, way: str, machines: int) -> Run:
-    sku = MachineType("large", 32.0, 128.0, 1.6, 2.0, ["a", "b"], image_cache_gb=50.0)
-    async with LocalCluster.running(ClusterPlan(machines=[sku])) as cluster:
+    """Send the tasks as one graph, or each as a job, and wait until all are done."""
+    machine_type = MachineType("large", 32.0, 128.0, 1.6, 2.0, ["a", "b"], image_cache_gb=50.0)
+    async with LocalCluster.running(ClusterPlan(machines=[machine_type])) as cluster:
         # A free cluster: an array that needs the room is done before the clock starts.
         warm = example.job(WARM_UP_JOB, ARRAY, 32 * machines, expect_s=1.0)
         await example.ask(cluster, "POST", "/v1/jobs", wire.encode(warm))
@@ -79,7 +82,7 @@
         began = time.monotonic()
         if way == "graph":
             response = await example.send_graph(cluster, "graph-1", file)
-            assert response.status == 201, response
+            assert response.status == HTTPStatus.CREATED, response
             places = [job_id(GraphId("graph-1"), kind) + f"/{n}" for kind, n in shape.place]
         else:
             places = await _as_jobs(cluster, file, shape)
--- a/tools/regress/__main__.py
+++ b/tools/regress/__main__.py
@@ -295,7 +295,7 @@
     return rows
 
 
-def _judge(found: list[Entry], chosen: list[Entry], incomplete: bool = False) -> None:
+def _judge(found: list[Entry], chosen: list[Entry], *, incomplete: bool = False) -> None:
     rows: list[Row] = []
     for entry in chosen:
         earlier = [other for other in found if other.at[0] < entry.at[0]]
--- a/tools/regress/entries.py
+++ b/tools/regress/entries.py
@@ -19,6 +19,8 @@
 
 
 class Day(msgspec.Struct):
+    """One day of a run."""
+
     name: str
     score: float | None = None
     rules: dict[str, Any] = {}  # the rules that were broken
@@ -42,13 +44,22 @@
 
     @property
     def over(self) -> bool:
+        """Whether the run came to its end."""
         return len(self.at) > 1 and bool(self.at[1]) and self.error is None
 
     @property
     def full(self) -> bool:
+        """Whether it scored all standard days of the deployment."""
         return self.cmd == "score" and self.over and "--quick" not in self.argv
 
 
+class Part(NamedTuple):
+    """A class or a team, and the share of its jobs that was served."""
+
+    who: str
+    share: float
+
+
 class Row(NamedTuple):
     """One day now, against the last full score of its deployment."""
 
@@ -58,7 +69,7 @@
     now: float | None
     processor_s: float | None
     wrong: str  # what speaks against landing; empty: nothing
-    least: Any = None  # who was served least, if that is known
+    least: Part | None = None  # who was served least, if that is known
 
 
 def read(folder: Path) -> list[Entry]:
@@ -73,6 +84,7 @@
 
 
 def last_full(entries: Iterable[Entry], site: str) -> Entry | None:
+    """The newest full score of the deployment, if there is any."""
     found = [entry for entry in entries if entry.full and entry.site == site]
     return found[-1] if found else None
 
--- a/tools/regress/largest.py
+++ b/tools/regress/largest.py
@@ -13,6 +13,7 @@
 from typing import NamedTuple
 
 BEGIN_S = 240.0
+FAILED_SHARE = 0.5  # of the largest jobs of a class; less than that served speaks against landing
 PART = 0.1
 
 _EVENT = re.compile(r": (job_ready|job_began|job_ended|cancelled_by_user) (.*)")
@@ -45,27 +46,29 @@
         if found is None:
             continue
         fields = dict(_FIELD.findall(found[2]))
-        id = fields.get("job", "")
+        job = fields.get("job", "")
         if found[1] == "job_ready":
-            sizes.setdefault(fields["jobclass"], {})[id] = float(fields["size"])
+            sizes.setdefault(fields["jobclass"], {})[job] = float(fields["size"])
         elif found[1] == "job_began":
-            began[id] = min(began.get(id, math.inf), float(fields["waited_s"]))
+            began[job] = min(began.get(job, math.inf), float(fields["waited_s"]))
         elif found[1] == "cancelled_by_user":
-            cancelled.add(id)
+            cancelled.add(job)
         elif fields.get("phase") == "done":
-            done.add(id)
-            began.setdefault(id, 0.0)  # its beginning fell between two leaders
+            done.add(job)
+            began.setdefault(job, 0.0)  # its beginning fell between two leaders
     for name, jobs in sizes.items():
-        lost = [id for id in jobs if id not in began and id not in done and id not in cancelled]
-        known = sum(1 for id in jobs if id in cancelled)
+        lost = [
+            job for job in jobs if job not in began and job not in done and job not in cancelled
+        ]
+        known = sum(1 for job in jobs if job in cancelled)
         unlogged = (users_cancelled or {}).get(name, 0) - known
         if len(lost) <= unlogged:
             cancelled.update(lost)
         # One that began may have been cancelled later in the same way: then all that is neither
         # done nor known to be cancelled is within what the bench counts as cancelled.
-        open_ = [id for id in jobs if id not in done and id not in cancelled]
-        if any(id in done for id in jobs) and len(open_) <= unlogged:
-            excused.update(open_)
+        unfinished = [job for job in jobs if job not in done and job not in cancelled]
+        if any(job in done for job in jobs) and len(unfinished) <= unlogged:
+            excused.update(unfinished)
     return [
         _judge(name, jobs, began, done, cancelled, excused) for name, jobs in sorted(sizes.items())
     ]
@@ -79,15 +82,15 @@
     cancelled: set[str],
     excused: set[str],
 ) -> Largest:
-    order = sorted(sizes, key=lambda id: (-sizes[id], id))
+    order = sorted(sizes, key=lambda job: (-sizes[job], job))
     chosen = order[: max(1, round(PART * len(order)))]
-    asked = [id for id in chosen if id not in cancelled]
+    asked = [job for job in chosen if job not in cancelled]
     # Services never end: what began is served.
-    ends = any(id in done for id in sizes)
-    served = [id for id in asked if id in (done if ends else began)]
-    asked_to_end = [id for id in asked if id in served or id not in excused]
+    ends = any(job in done for job in sizes)
+    served = [job for job in asked if job in (done if ends else began)]
+    asked_to_end = [job for job in asked if job in served or job not in excused]
     share = len(served) / len(asked_to_end) if asked_to_end else 1.0
-    longest = max((began.get(id, math.inf) for id in asked), default=0.0)
+    longest = max((began.get(job, math.inf) for job in asked), default=0.0)
     return Largest(name, len(chosen), share, longest)
 
 
@@ -95,7 +98,7 @@
     """What speaks against landing; empty: nothing."""
     wrong = []
     for one in found:
-        if one.share < 0.5:
+        if one.share < FAILED_SHARE:
             wrong.append(f"failed: {one.share:.2f} of the largest of {one.name} served")
         if one.longest_s > BEGIN_S:
             wrong.append(f"one of the largest of {one.name} began after {one.longest_s:.0f} s")
--- a/tools/regress/meetings.py
+++ b/tools/regress/meetings.py
@@ -74,10 +74,10 @@
     ),
     "alone": Meeting(lambda t: [_alone(0.0, t.cancel_s, from_peers=True, mode="hold")], 0.6),
     "back-and-forth": Meeting(
-        lambda t: [_ends(0.0), _ends(1.5), _ends(3.0), _ends(8.0, 5), _ends(9.0)]
+        lambda _: [_ends(0.0), _ends(1.5), _ends(3.0), _ends(8.0, 5), _ends(9.0)]
     ),
     "late-writes": Meeting(
-        lambda t: [_at(0.0, "late_writes", share=0.4, for_s=60.0), _ends(15.0), _ends(32.0)], 0.5
+        lambda _: [_at(0.0, "late_writes", share=0.4, for_s=60.0), _ends(15.0), _ends(32.0)], 0.5
     ),
     "late-reports": Meeting(
         lambda t: [
@@ -91,7 +91,7 @@
         lambda t: [_alone(0.0, 20.0), _at(6.0, "state_outage", for_s=t.cancel_s + 8.0)], 0.7, True
     ),
     "written-in-the-last-moment": Meeting(
-        lambda t: [
+        lambda _: [
             _at(0.0, "late_writes", share=0.5, for_s=20.0),
             _at(6.0, "state_outage", for_s=15.0),
             _ends(18.0, 5),
@@ -99,10 +99,10 @@
         0.5,
     ),
     "close-looks": Meeting(
-        lambda t: [_at(0.0, "close_looks", for_s=70.0), _ends(20.0), _ends(45.0)], 0.6
+        lambda _: [_at(0.0, "close_looks", for_s=70.0), _ends(20.0), _ends(45.0)], 0.6
     ),
     "answer-lost": Meeting(
-        lambda t: [
+        lambda _: [
             _at(0.0, "late_writes", share=0.4, for_s=60.0, at_once=True),
             _at(0.0, "close_looks", for_s=60.0),
             _ends(18.0),
@@ -137,7 +137,7 @@
         ]
     ),
     "handing-over": Meeting(
-        lambda t: [
+        lambda _: [
             _ends(0.0),
             *(_at(round(0.7 * n, 1), "cancel_now", count=6) for n in range(8)),
             _at(20.0, "cancel_now", count=10),
@@ -165,15 +165,15 @@
         ]
     ),
     "small-jobs": Meeting(
-        lambda t: [_ends(30.0), _at(60.0, "late_writes", share=0.2, for_s=20.0)],
+        lambda _: [_ends(30.0), _at(60.0, "late_writes", share=0.2, for_s=20.0)],
         0.25,
         variant="small-jobs",
     ),
     "cancelled-at-end": Meeting(
-        lambda t: [_at(0.0, "cancel_at_end", share=0.5, for_s=60.0), _ends(30.0)], 0.0
+        lambda _: [_at(0.0, "cancel_at_end", share=0.5, for_s=60.0), _ends(30.0)], 0.0
     ),
     "odd-requests": Meeting(
-        lambda t: [
+        lambda _: [
             _at(0.0, "odd_requests", for_s=70.0),
             _ends(15.0),
             _at(30.0, "late_writes", share=0.3, for_s=20.0),
@@ -218,7 +218,7 @@
         ]
     ),
     "ten-leaders": Meeting(
-        lambda t: [
+        lambda _: [
             *(_ends(12.0 * n) for n in range(10)),
             _at(50.0, "state_outage", for_s=20.0),
             _at(30.0, "cancel_now", count=10),
--- a/tools/regress/served.py
+++ b/tools/regress/served.py
@@ -4,11 +4,10 @@
 
 import re
 from pathlib import Path
-from typing import NamedTuple
 
 import msgspec
 
-from tools.regress.entries import Day, Spent
+from tools.regress.entries import Day, Part, Spent
 
 FAILED_PART = 0.5  # a day on which any class or team gets less counts for nothing
 NEAR_PART = 0.6  # ... and below this it is marked
@@ -17,11 +16,6 @@
 _AIM = re.compile(r"(?:wait|finished|deadline) (\S+) .*?: ([0-9.]+) ")
 
 
-class Part(NamedTuple):
-    who: str
-    share: float
-
-
 class JobClass(msgspec.Struct):
     """Jobs of one class in a report of the bench."""
 
@@ -33,11 +27,15 @@
 
 
 class Team(msgspec.Struct):
+    """Jobs of one team in a report of the bench."""
+
     jobs: int
     started: int
 
 
 class Broken(msgspec.Struct):
+    """How often each rule was broken, by its name."""
+
     by_kind: dict[str, int] = {}
 
 
@@ -51,10 +49,12 @@
 
     @property
     def broken(self) -> bool:
+        """Whether any rule was."""
         return bool(self.rules_broken.by_kind)
 
     @property
     def processor_s(self) -> float:
+        """Processor time of all controllers' own code."""
         return sum(self.spent.processes)
 
     def least(self) -> Part | None:
--- a/tools/regress/sites.py
+++ b/tools/regress/sites.py
@@ -121,6 +121,7 @@
 
 
 def read(site: Path) -> dict[str, Any]:
+    """A site file as it stands."""
     return tomllib.loads(site.read_text())
 
 
@@ -131,7 +132,7 @@
     return path
 
 
-def days(site: Path, rough: bool) -> list[str]:
+def days(site: Path, *, rough: bool) -> list[str]:
     """The names of the standard days; `rough`: of those that are marked as the two roughest."""
     found = read(site)["day"]
     return [day["name"] for day in found if day.get("light") or not rough]
