--- a/umberward/core/tasks.py
+++ b/umberward/core/tasks.py
@@ -1,8 +1,9 @@
 """Structured concurrency: background tasks with an owner that ends them.
 
-A curio task that nobody owns is cancelled only while the kernel shuts down. The kernel cancels the
-tasks of one moment, one after the other; whatever another task starts meanwhile is left over, and
-the shutdown fails. A task of a `TaskScope` ends with its scope, while the kernel still runs.
+A curio task without an owner is cancelled only while the kernel shuts down. The kernel lists the
+tasks that exist at that moment and cancels one after the other; a task that is started meanwhile is
+not in the list, and the shutdown fails. A task of a `TaskScope` ends with its scope, while the
+kernel still runs.
 """
 
 from __future__ import annotations
@@ -23,18 +24,24 @@
     """
 
     def __init__(self) -> None:
+        """Create an open scope without tasks."""
         self._group = curio.TaskGroup(wait=None)
 
-    async def spawn(self, function: Callable[..., Awaitable[Any]], *args: Any) -> curio.Task:
+    async def spawn(self, function: Callable[..., Awaitable[Any]], *args: object) -> curio.Task:
+        """Start `function(*args)` as a task of this scope.
+
+        Raises RuntimeError if the scope is closed.
+        """
         # curio's groups keep a finished task until it is joined, unless it is a daemon.
         return await self._group.spawn(function, *args, daemon=True)
 
     async def close(self) -> None:
-        """Cancel all tasks and wait for their ends, even if the caller is cancelled meanwhile."""
+        """Cancel all tasks and wait until they have ended, even if the caller is cancelled."""
         async with curio.disable_cancellation():
             await self._group.join()
 
     async def __aenter__(self) -> TaskScope:
+        """Return the scope, which is open already."""
         return self
 
     async def __aexit__(
@@ -43,4 +50,5 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
+        """Close the scope, whether or not the block has raised."""
         await self.close()
