--- a/tests/world.py
+++ b/tests/world.py
@@ -31,7 +31,7 @@
     Version,
     WallTime,
 )
-from umberward.leader import failover_snapshot, leader_loop
+from umberward.leader import command_sender, failover_snapshot, live_job_sweeper
 from umberward.local import statecore
 from umberward.local.statecore import StateCore
 from umberward.local.workercore import Fate, Task, WorkerCore
@@ -557,7 +557,7 @@
     def _sweep(self, scheduler: Scheduler, now: Instant) -> None:
         if now < self.sweep_at or self.store.mode == "down" or not scheduler.loaded:
             return
-        self.sweep_at = now + leader_loop.SWEEP_INTERVAL_S
+        self.sweep_at = now + live_job_sweeper.SWEEP_INTERVAL_S
         entries = self.store.core.entries(LIVE_JOBS_PREFIX, "").entries
         for id in scheduler.find_unknown_jobs(entries, now):
             job_records.apply_unknown_job(
@@ -614,7 +614,7 @@
                 self.now,
             )
             worker = self.workers.get(command.machine)
-            gives_up_at = now + leader_loop.COMMAND_TIMEOUT_S
+            gives_up_at = now + command_sender.COMMAND_TIMEOUT_S
             if worker is not None and worker.holding:
                 worker.held.append(HeldCommand(command, scheduler, gives_up_at))
                 return
--- a/umberward/control/controller.py
+++ b/umberward/control/controller.py
@@ -32,11 +32,11 @@
 from umberward.leader import failover_snapshot
 from umberward.leader.failover_snapshot import FailoverSnapshot
 from umberward.leader.leader_election import LeaderElection
-from umberward.leader.leader_loop import (
+from umberward.leader.leader_loop import LeaderLoop
+from umberward.leader.messages import (
     DelegationRequested,
     HeartbeatReceived,
     JobsCancelledByPeer,
-    LeaderLoop,
 )
 from umberward.protocol import transactions, wire
 from umberward.protocol.http import Client, Request, Response, Server, Sockets
--- /dev/null
+++ b/umberward/leader/command_sender.py
@@ -0,0 +1,150 @@
+"""Sends direct commands and probes to workers, and reports their results to the leader loop."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from http import HTTPStatus
+
+from umberward.core.log import logger
+from umberward.core.rate_limited_log import RateLimitedLog
+from umberward.core.types import Instant, MachineId, parse_address
+from umberward.leader.clock import monotonic_now
+from umberward.leader.leader_context import LeaderContext
+from umberward.leader.messages import CommandCompleted, ProbeCompleted
+from umberward.protocol import wire
+from umberward.protocol.http import Client, NoResponseError, RequestNotSentError
+from umberward.scheduling.cluster_state import DirectCommand, Probe
+from umberward.scheduling.command_queue import CommandQueue
+
+log = logger(__name__)
+bounded_log = RateLimitedLog(log)
+
+COMMAND_TIMEOUT_S = 2.0
+PROBE_TIMEOUT_S = 1.0
+LOGGED_COMMANDS = 4  # task commands of one direct command that a log line names
+
+# A worker answers a direct command with a heartbeat if it has executed it (200), and if it has
+# refused it because of the fencing token or the incarnation (409).
+HEARTBEAT_STATUSES = (HTTPStatus.OK, HTTPStatus.CONFLICT)
+# After these it is certain what was executed: a malformed command (400) is executed in no part.
+KNOWN_OUTCOME_STATUSES = (*HEARTBEAT_STATUSES, HTTPStatus.BAD_REQUEST)
+
+
+class CommandSender:
+    """Carries out the scheduler's outbox. At most one direct command is in flight per machine."""
+
+    def __init__(
+        self,
+        context: LeaderContext,
+        client: Client,
+        spawn: Callable[..., Awaitable[object]],
+    ) -> None:
+        """`spawn(function, *args)` starts a task that ends with the leadership."""
+        self.context = context
+        self.client = client
+        self.spawn = spawn
+        self.queue = CommandQueue(context.scheduler, self.may_start)
+
+    def may_start(self) -> bool:
+        """Whether a task start may be decided or sent at this moment."""
+        return self.context.election.may_start(self.context.scheduler.jobs_read_at)
+
+    def job_read_age_s(self, now: Instant) -> float | None:
+        """Seconds since the request of the latest successful read of the jobs; None: no read."""
+        read_at = self.context.scheduler.jobs_read_at
+        return None if read_at is None else round(now - read_at, 2)
+
+    async def send_outbox(self) -> None:
+        """Empty the scheduler's outbox: start sending what is in it, or queue it."""
+        scheduler = self.context.scheduler
+        outbox, scheduler.outbox = scheduler.outbox, []
+        for item in outbox:
+            if isinstance(item, Probe):
+                await self.spawn(self._send_probe, item)
+            else:
+                await self._spawn_command(self.queue.submit(item))
+
+    async def command_completed(self, machine: MachineId) -> None:
+        """Send the machine's next command, if one waits: the one in flight has completed."""
+        await self._spawn_command(self.queue.completed(machine))
+
+    async def _spawn_command(self, command: DirectCommand | None) -> None:
+        if command is not None:
+            await self.spawn(self._send_command, command)
+
+    async def _send_command(self, command: DirectCommand) -> None:
+        heartbeat = None
+        outcome_unknown = False
+        body = {
+            "epoch": command.fencing_token,
+            "tenure": command.incarnation,
+            "orders": command.commands,
+        }
+        sent_at = monotonic_now()
+        log.debug(
+            "command_sent",
+            machine=command.machine,
+            epoch=command.fencing_token,
+            session=command.incarnation,
+            orders=_describe_commands(command.commands),
+            jobs_read_s=self.job_read_age_s(sent_at),
+        )
+        try:
+            response = await self.client.request(
+                parse_address(command.address),
+                "POST",
+                "/do",
+                wire.encode(body),
+                COMMAND_TIMEOUT_S,
+                still=self._send_condition(command),
+            )
+            if response.status in HEARTBEAT_STATUSES:
+                heartbeat = wire.decode_heartbeat(response.body)
+            outcome_unknown = response.status not in KNOWN_OUTCOME_STATUSES
+        except RequestNotSentError:
+            pass  # so nothing was executed
+        except (NoResponseError, wire.MalformedMessageError, ValueError) as error:
+            bounded_log.info(
+                "command_timed_out",
+                machine=command.machine,
+                epoch=command.fencing_token,
+                session=command.incarnation,
+                after_s=round(monotonic_now() - sent_at, 1),
+                orders=_describe_commands(command.commands),
+                error=type(error).__name__,
+            )
+            outcome_unknown = True
+        await self.context.mailbox.tell(CommandCompleted(command, heartbeat, outcome_unknown))
+
+    def _send_condition(self, command: DirectCommand) -> Callable[[], bool]:
+        """What must hold at the moment of sending.
+
+        Without the lease, or long after the latest read of the jobs, nothing may be started; tasks
+        that run already may still be kept alive and stopped.
+        """
+        if any(order.verb == wire.START for order in command.commands):
+            return self.may_start
+        return self.context.election.may_keep_alive
+
+    async def _send_probe(self, probe: Probe) -> None:
+        heartbeat = None
+        try:
+            response = await self.client.request(
+                parse_address(probe.address), "GET", "/status", b"", PROBE_TIMEOUT_S
+            )
+            if response.status == HTTPStatus.OK:
+                heartbeat = wire.decode_heartbeat(response.body)
+        except (RequestNotSentError, NoResponseError, wire.MalformedMessageError, ValueError):
+            pass  # the probe is unanswered, which is all that the scheduler needs to know
+        await self.context.mailbox.tell(ProbeCompleted(probe, heartbeat))
+
+
+def _describe_commands(commands: list[wire.TaskCommand]) -> str:
+    """The verb, task and attempt of the first few commands, for a log line."""
+    described = [
+        f"{command.verb}:{command.task_id}#{command.attempt}"
+        for command in commands[:LOGGED_COMMANDS]
+    ]
+    if len(commands) > LOGGED_COMMANDS:
+        described.append(f"+{len(commands) - LOGGED_COMMANDS}")
+    return ",".join(described)
--- /dev/null
+++ b/umberward/leader/final_record_lookup.py
@@ -0,0 +1,57 @@
+"""Looks up how jobs ended that other jobs depend on."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import curio
+
+from umberward.clients import state_client
+from umberward.core.log import logger
+from umberward.core.types import JobId, Key
+from umberward.leader.leader_context import LeaderContext
+from umberward.leader.messages import JobEnded
+from umberward.protocol import wire
+from umberward.protocol.wire import FINAL_JOBS_PREFIX, FinalJobRecord
+
+log = logger(__name__)
+
+FINAL_LOOKUP_INTERVAL_S = 0.2
+
+
+class FinalRecordLookup:
+    """Finds the final records of jobs that are not live and whose end the watch has not shown."""
+
+    def __init__(
+        self, context: LeaderContext, known_final: Callable[[JobId], FinalJobRecord | None]
+    ) -> None:
+        """`known_final(job_id)`: the final record if this controller has a copy of it."""
+        self.context = context
+        self.known_final = known_final
+
+    async def run(self) -> None:
+        """Look up all unresolved dependencies a few times a second, until cancelled."""
+        while True:
+            await curio.sleep(FINAL_LOOKUP_INTERVAL_S)
+            if not self.context.scheduler.loaded:
+                continue
+            for job_id in list(self.context.scheduler.waiting_jobs.graph.unresolved_ids):
+                try:
+                    await self._look_up(job_id)
+                except (
+                    state_client.StateUnavailableError,
+                    state_client.UnknownOutcomeError,
+                ) as error:
+                    log.debug("final_record_lookup_failed", job=job_id, error=error)
+                    break
+
+    async def _look_up(self, job_id: JobId) -> None:
+        """Tell the leader loop the final record, if there is one."""
+        final = self.known_final(job_id)
+        if final is not None:
+            await self.context.mailbox.tell(JobEnded(job_id, wire.to_builtins(final)))
+            return
+        stored = await self.context.store.get(Key(FINAL_JOBS_PREFIX + job_id))
+        if stored is not None:
+            await self.context.mailbox.tell(JobEnded(job_id, stored.data))
+        # Else the job's record is just being moved, and the watch will show it.
--- /dev/null
+++ b/umberward/leader/leader_context.py
@@ -0,0 +1,31 @@
+"""What the tasks of one leadership share."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass
+
+from umberward.clients.state_client import StateClient
+from umberward.core.actor import Actor
+from umberward.leader.leader_election import LeaderElection
+from umberward.leader.messages import LeaderMessage
+from umberward.scheduling.scheduler import Scheduler
+
+
+@dataclass(frozen=True, slots=True)
+class LeaderContext:
+    """The objects that nearly every task of the leader loop works with.
+
+    Tasks read the scheduler directly, and change it through messages to `mailbox`, unless a comment
+    there says why not.
+    """
+
+    election: LeaderElection
+    store: StateClient
+    scheduler: Scheduler
+    mailbox: Actor[LeaderMessage]  # the leader loop
+    rng: random.Random
+
+    def is_loaded_leader(self) -> bool:
+        """Whether the jobs have been loaded and the lease holds."""
+        return self.scheduler.loaded and self.election.is_leader()
--- /dev/null
+++ b/umberward/leader/transaction_writer.py
@@ -0,0 +1,99 @@
+"""Commits the scheduler's transactions to the state service."""
+
+from __future__ import annotations
+
+import curio
+
+from umberward.clients import state_client
+from umberward.core.log import logger
+from umberward.core.types import Version
+from umberward.leader.clock import monotonic_now
+from umberward.leader.leader_context import LeaderContext
+from umberward.leader.messages import TransactionCompleted
+from umberward.protocol import transactions
+from umberward.scheduling.state_writer import Transaction
+
+log = logger(__name__)
+
+MAX_WAIT_S = 0.5  # how often it is looked for due writes without a request
+# A write that was refused for what it contains would be refused again.
+REFUSED_WRITE_PAUSE_S = 2.0
+MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.05, 0.15
+# How long a transaction may wait for the write budget. What is not urgent does not wait there:
+# urgent writes may come meanwhile.
+URGENT_PATIENCE_S = 2.0
+ORDINARY_PATIENCE_S = 0.0
+
+
+class TransactionWriter:
+    """Commits one transaction at a time, each on the condition that this controller leads.
+
+    The scheduler is told of the results directly and not by messages: it must know them before it
+    composes the next transaction.
+    """
+
+    def __init__(self, context: LeaderContext) -> None:
+        """Create a writer that writes nothing until `run` is called."""
+        self.context = context
+        self._requested = curio.Event()
+
+    async def request_write(self) -> None:
+        """Wake the writer if the scheduler has something to write."""
+        if self.context.scheduler.writer.has_work(monotonic_now()):
+            await self._requested.set()
+
+    async def run(self) -> None:
+        """Write whatever is due, until cancelled."""
+        while True:
+            await curio.ignore_after(MAX_WAIT_S, self._requested.wait)
+            self._requested.clear()
+            while self.context.election.is_leader():
+                transaction = self.context.scheduler.writer.next_transaction(monotonic_now())
+                if transaction is None:
+                    break
+                if not await self._commit(transaction):
+                    await curio.sleep(
+                        self.context.rng.uniform(MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S)
+                    )
+                await self.context.mailbox.tell(TransactionCompleted())
+
+    async def _commit(self, transaction: Transaction) -> bool:
+        """Commit the transaction; returns whether it is known to be committed."""
+        conditions = [self.context.election.leadership_condition(), *transaction.conditions]
+        urgent = transaction.priority == transactions.URGENT
+        try:
+            revision = await self.context.store.commit(
+                conditions,
+                transaction.writes,
+                priority=transaction.priority,
+                patience=URGENT_PATIENCE_S if urgent else ORDINARY_PATIENCE_S,
+            )
+        except state_client.ValueTooLargeError:
+            await curio.sleep(REFUSED_WRITE_PAUSE_S)
+            return False
+        except state_client.StateUnavailableError as error:
+            log.debug("commit_failed", error=error)
+            return False
+        except (
+            state_client.CompareAndSwapError,
+            state_client.UnknownOutcomeError,
+            state_client.LeaseExpiredError,
+        ):
+            await self._reconcile(transaction)
+            return False
+        self.context.scheduler.transaction_committed(
+            transaction, Version(revision), monotonic_now()
+        )
+        return True
+
+    async def _reconcile(self, transaction: Transaction) -> None:
+        """Read each key of the transaction again: its value decides, whoever has written it."""
+        for key, _ in transaction.conditions:
+            if not self.context.election.is_leader():
+                return
+            try:
+                found = await self.context.store.get(key, transactions.URGENT)
+            except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
+                log.debug("read_failed", key=key, error=error)
+                return
+            self.context.scheduler.reconcile_key(key, found)
