--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -232,11 +232,11 @@
         return Response(200, b"what the leader says")
 
     async def hello(after: float) -> Response:
-        known = node.forwarding.redirected.get(MachineId("i-7"))
+        known = node.heartbeat_api.forwarding.redirected.get(MachineId("i-7"))
         if known is not None:
             moved = known._replace(redirected_at=Instant(known.redirected_at - after))
-            node.forwarding.redirected[MachineId("i-7")] = moved
-        return await node._serve_heartbeat(Request("POST", "/hello", "", report()))
+            node.heartbeat_api.forwarding.redirected[MachineId("i-7")] = moved
+        return await node.heartbeat_api.serve(Request("POST", "/hello", "", report()))
 
     async def play() -> None:
         first = await hello(0.0)
@@ -254,7 +254,7 @@
         assert (carried.status, carried.body) == (200, b"what the leader says")
         assert (await hello(0.0)).status == 200
         # A late copy of an earlier report is neither carried nor sent anywhere.
-        copy = await node._serve_heartbeat(Request("POST", "/hello", "", said[1]))
+        copy = await node.heartbeat_api.serve(Request("POST", "/hello", "", said[1]))
         assert copy.status == 421 and msgspec.msgpack.decode(copy.body) == {}
         await running.cancel()
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -361,11 +361,11 @@
     def _serving(self) -> Iterator[str]:
         """A controller's address for users, with the world's state service behind it."""
         node = Controller(self.world.settings)
-        node.job_api = self.world.users
+        node.router.job_api = self.world.users
         over = threading.Event()
 
         async def serve() -> None:
-            server = Server(Address("127.0.0.1", 29391), node._serve, 8)
+            server = Server(Address("127.0.0.1", 29391), node.router.serve, 8)
             running = [
                 await curio.spawn(part, daemon=True) for part in (server.run, self.world.mirror.run)
             ]
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -64,7 +64,7 @@
 def _ask(node: Controller, method: str, path: str) -> int:
     async def ask() -> int:
         began = time.monotonic()
-        response = await node._serve(Request(method, path, "", b""))
+        response = await node.router.serve(Request(method, path, "", b""))
         assert time.monotonic() - began < 0.5, "not at once"
         return response.status
 
--- /dev/null
+++ b/umberward/control/heartbeat_api.py
@@ -0,0 +1,152 @@
+"""Answers the heartbeats of workers, at whichever controller they arrive.
+
+PROTOCOL, "Workers -> controller nodes", defines the request. A controller that does not lead
+redirects the worker to the leader, or forwards the heartbeat to a leader that the worker cannot
+reach.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from typing import Protocol
+
+import msgspec
+
+from umberward.control.peer_link import PeerLink
+from umberward.control.responses import error_response
+from umberward.core.types import ControllerName, Instant, MachineId
+from umberward.leader.leader_election import LeaderElection
+from umberward.leader.leader_loop import LeaderLoop
+from umberward.protocol import wire
+from umberward.protocol.http import Peer, Request, Response
+from umberward.scheduling.heartbeat_forwarding import DuplicateFilter, HeartbeatForwarding
+
+
+class LocalLeader(Protocol):
+    """This controller's own leadership, as far as heartbeats need it."""
+
+    @property
+    def leader_loop(self) -> LeaderLoop | None:
+        """The leader's event loop; None while this controller does not lead."""
+
+    def apply_heartbeat(
+        self, header: wire.HeartbeatHeader, body: bytes
+    ) -> Awaitable[list[wire.TaskCommand] | None]:
+        """The commands for the worker; None if leadership ends before they are known."""
+
+
+class HeartbeatResponse(
+    msgspec.Struct, rename={"fencing_token": "epoch", "commands": "orders"}, frozen=True
+):
+    """Body of an answer that keeps the worker's session alive."""
+
+    fencing_token: int
+    commands: list[wire.TaskCommand]
+
+
+class RedirectResponse(msgspec.Struct, rename={"leader": "steward"}, frozen=True):
+    """Body of an answer that sends the worker to the leader."""
+
+    leader: ControllerName
+
+
+class HeartbeatApi:
+    """Serves heartbeats that workers send and those that other controllers forward."""
+
+    def __init__(
+        self,
+        local_leader: LocalLeader,
+        election: LeaderElection,
+        peers: PeerLink,
+        name_connection: Callable[[Peer, str], Awaitable[None]],
+        clock: Callable[[], float],
+    ) -> None:
+        """Create the handler of one controller.
+
+        `name_connection` tells the HTTP server which machine is at the other end of a connection.
+        `clock` is the steady clock, in seconds.
+        """
+        self.local_leader = local_leader
+        self.election = election
+        self.peers = peers
+        self.name_connection = name_connection
+        self.clock = clock
+        self.forwarding = HeartbeatForwarding()
+        self.duplicates = DuplicateFilter()
+
+    async def serve(self, request: Request) -> Response:
+        """Answer a heartbeat that its worker has sent to this controller."""
+        try:
+            header = wire.decode_heartbeat_header(request.body)
+        except wire.MalformedMessageError as error:
+            return error_response(400, str(error))
+        machine_id = MachineId(header.machine_id)
+        is_new = self.duplicates.is_new(machine_id, header.incarnation, header.sequence)
+        if is_new:
+            # A late copy shows neither where the worker is connected nor that it sends heartbeats
+            # to this controller.
+            if request.origin is not None:
+                await self.name_connection(request.origin, header.machine_id)
+            self.peers.note_heartbeat()
+        response = await self._answer_as_leader(header, request.body)
+        if response is not None:
+            return response
+        if self.local_leader.leader_loop is None and self.peers.may_answer_worker(
+            header.machine_id, header.fencing_token
+        ):
+            # The leader and the state service are out of reach: the zone is partitioned, or worse.
+            return _keep_session(header.fencing_token, [])
+        leader = self.peers.leader_for(header.fencing_token) if is_new else None
+        if leader is None:
+            return _no_leader()
+        return await self._forward_or_redirect(machine_id, leader, request.body)
+
+    async def serve_forwarded(self, body: bytes) -> Response:
+        """Answer a heartbeat that another controller has forwarded to this one."""
+        try:
+            header = wire.decode_heartbeat_header(body)
+        except wire.MalformedMessageError as error:
+            return error_response(400, str(error))
+        return await self._answer_as_leader(header, body) or _no_leader()
+
+    async def _forward_or_redirect(
+        self, machine_id: MachineId, leader: ControllerName, body: bytes
+    ) -> Response:
+        """The leader's own answer for a worker that cannot reach it, else a redirect."""
+        now = Instant(self.clock())
+        if self.forwarding.should_forward(machine_id, leader, now):
+            response = await self.peers.forward_heartbeat(leader, body)
+            if response is not None:
+                return response
+            self.forwarding.forward_failed(machine_id, leader, now)
+        return Response(421, wire.encode(RedirectResponse(leader)))
+
+    async def _answer_as_leader(self, header: wire.HeartbeatHeader, body: bytes) -> Response | None:
+        """The answer of a controller that leads, or led and may keep sessions alive; else None."""
+        leader_loop = self.local_leader.leader_loop
+        if leader_loop is None:
+            return None
+        scheduler = leader_loop.scheduler
+        if not self.election.may_answer(scheduler.jobs_read_at):
+            return None
+        commands = await self.local_leader.apply_heartbeat(header, body)
+        # Leadership may have ended while the heartbeat waited for its turn.
+        if commands is None or not self.election.may_answer(scheduler.jobs_read_at):
+            return None
+        if not self.election.is_leader():
+            if not scheduler.may_keep_session(MachineId(header.machine_id)):
+                return None
+            # Without a valid lease nothing may be started; what runs already goes on.
+            commands = [command for command in commands if command.verb == wire.KILL]
+        elif not self.election.may_start(scheduler.jobs_read_at):
+            commands = [command for command in commands if command.verb != wire.START]
+        return _keep_session(scheduler.fencing_token, commands)
+
+
+def _keep_session(fencing_token: int, commands: list[wire.TaskCommand]) -> Response:
+    return Response(200, wire.encode(HeartbeatResponse(fencing_token, commands)))
+
+
+def _no_leader() -> Response:
+    """Tells the worker to try another controller."""
+    return Response(421, wire.encode({}))
--- /dev/null
+++ b/umberward/control/machine_types.py
@@ -0,0 +1,101 @@
+"""Loads the catalogue of machine types that a controller needs before it can accept jobs."""
+
+from __future__ import annotations
+
+import random
+
+import curio
+
+from umberward.clients import state_client
+from umberward.clients.cloud_client import CloudClient, CloudUnavailableError
+from umberward.clients.state_client import StateClient
+from umberward.core.log import logger
+from umberward.core.types import Key, MachineTypeName, Version
+from umberward.protocol import transactions, wire
+from umberward.protocol.wire import MachineType, MachineTypeList
+
+log = logger(__name__)
+
+MACHINE_TYPES_KEY = Key("flavors")
+MIN_RETRY_PAUSE_S = 0.5
+MAX_RETRY_PAUSE_S = 1.5
+FINISHED_PAUSE_S = 3600.0
+
+
+class MachineTypeLoader:
+    """Fills the controller's mapping of machine types, which its other parts share.
+
+    The list that an earlier controller has stored is preferred to the cloud's, because it can be
+    read while the cloud is down. The list never changes once it is loaded.
+    """
+
+    def __init__(
+        self,
+        store: StateClient,
+        cloud: CloudClient,
+        machine_types: dict[MachineTypeName, MachineType],
+        max_record_bytes: int,
+        rng: random.Random,
+    ) -> None:
+        """Create a loader that adds to `machine_types`.
+
+        `max_record_bytes` is the largest value that the state service accepts.
+        """
+        self.store = store
+        self.cloud = cloud
+        self.machine_types = machine_types
+        self.max_record_bytes = max_record_bytes
+        self.rng = rng
+
+    async def run(self) -> None:
+        """Load the machine types, retrying until there are any. Does not return.
+
+        The controller restarts a part that ends, so this one stays idle when its work is done.
+        """
+        while not self.machine_types:
+            if await self._load_stored():
+                break
+            await self._load_from_cloud()
+        while True:
+            await curio.sleep(FINISHED_PAUSE_S)
+
+    async def _load_stored(self) -> bool:
+        """Load the list in the state service; return whether one was found."""
+        try:
+            stored = await self.store.get(MACHINE_TYPES_KEY)
+            if stored is None:
+                return False
+            record = wire.convert(stored.data, MachineTypeList)
+        except (
+            state_client.StateUnavailableError,
+            state_client.UnknownOutcomeError,
+            wire.MalformedMessageError,
+        ) as error:
+            log.debug("stored_machine_types_not_read", error=error)
+            return False
+        for machine_type in record.machine_types:
+            self.machine_types[MachineTypeName(machine_type.name)] = machine_type
+        return True
+
+    async def _load_from_cloud(self) -> None:
+        """Load the cloud's list and store it for other controllers; pause if either fails."""
+        try:
+            self.machine_types.update(await self.cloud.machine_types())
+            await self._store()
+        except (
+            CloudUnavailableError,
+            state_client.StateUnavailableError,
+            state_client.UnknownOutcomeError,
+            state_client.CompareAndSwapError,
+        ) as error:
+            log.debug("machine_types_not_available", error=error)
+            await curio.sleep(self.rng.uniform(MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S))
+
+    async def _store(self) -> None:
+        """Store the list unless another controller has stored one or it is too large."""
+        record = MachineTypeList(list(self.machine_types.values()))
+        if wire.json_size(record) < self.max_record_bytes:
+            await self.store.commit(
+                [(MACHINE_TYPES_KEY, Version(0))],
+                [transactions.put(MACHINE_TYPES_KEY, record)],
+            )
--- /dev/null
+++ b/umberward/control/readiness.py
@@ -0,0 +1,66 @@
+"""Whether this controller can serve users: its readiness and its contact with the state service."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sized
+
+from umberward.control.job_state_cache import JobStateCache
+from umberward.control.peer_link import STATE_CONTACT_TIMEOUT_S, PeerLink
+from umberward.core.log import logger
+from umberward.leader.leader_election import LeaderElection
+
+log = logger(__name__)
+
+
+class Readiness:
+    """Answers the readiness probe of a load balancer."""
+
+    def __init__(
+        self,
+        election: LeaderElection,
+        job_states: JobStateCache,
+        peers: PeerLink,
+        machine_types: Sized,
+        clock: Callable[[], float],
+    ) -> None:
+        """Create a probe over the parts of one controller.
+
+        `clock` is the steady clock, in seconds, that the other parts read as well.
+        """
+        self.election = election
+        self.job_states = job_states
+        self.peers = peers
+        self.machine_types = machine_types
+        self.clock = clock
+        self.isolation_logged = False
+
+    def is_ready(self) -> bool:
+        """Whether users should be sent to this controller.
+
+        It is not ready while it has no machine types, or while it lacks the state service and other
+        controllers do not. In an outage of the state service all controllers lack it: they stay
+        ready, and each tells its users of the outage.
+        """
+        if not self.machine_types:
+            return False
+        contact_age_s = self.clock() - self.election.renewed_at
+        has_contact = contact_age_s < STATE_CONTACT_TIMEOUT_S
+        is_isolated = not has_contact and self.peers.is_isolated()
+        self._log_isolation(is_isolated, contact_age_s)
+        if has_contact:
+            return True
+        return not (is_isolated or self.peers.others_have_contact())
+
+    def _log_isolation(self, is_isolated: bool, contact_age_s: float) -> None:  # noqa: FBT001 - a value that is logged, not a mode
+        if is_isolated == self.isolation_logged:
+            return
+        self.isolation_logged = is_isolated
+        log.warning(
+            "controller_isolated" if is_isolated else "controller_not_isolated",
+            without_state_s=round(contact_age_s, 1),
+        )
+
+    def is_state_reachable(self) -> bool:
+        """Whether the state service has answered this controller within the contact timeout."""
+        last_contact_at = max(self.election.renewed_at, self.job_states.read_at)
+        return self.clock() - last_contact_at < STATE_CONTACT_TIMEOUT_S
