--- a/tests/guards.py
+++ b/tests/guards.py
@@ -196,7 +196,8 @@
     """Every job is taken for one that was submitted."""
 
     async def known(self: JobApi, id: Any, urgent: bool = True) -> Any:
-        return job_api._state_response(id or JobId("req-0"), "pending", 0)
+        state = job_api.JobStateResponse(job_id=id or JobId("req-0"), phase="pending", done_count=0)
+        return job_api.state_response(state)
 
     patch.setattr(JobApi, "_known_response", known)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -449,7 +449,9 @@
 
     def _other_controller(self) -> None:
         self.mirror = JobStateCache(self.settings, self.store, lambda: self.now)  # type: ignore[arg-type]
-        self.users = JobApi(self.settings, self.store, self.mirror, SKUS, self.users.wall)  # type: ignore[arg-type]
+        self.users = JobApi(
+            self.settings, self.store, self.mirror, SKUS, self.users.admission.wall_clock
+        )  # type: ignore[arg-type]
 
     def poll_elsewhere(self, id: str) -> Response:
         """At a controller that was started just now."""
--- a/umberward/control/controller.py
+++ b/umberward/control/controller.py
@@ -12,7 +12,8 @@
 from umberward.clients.cloud_client import CloudClient
 from umberward.clients.state_client import StateClient
 from umberward.control.heartbeat_api import HeartbeatApi
-from umberward.control.job_api import JobApi
+from umberward.control.job_admission import max_value_bytes
+from umberward.control.job_api import JobApi, JobApiHooks
 from umberward.control.job_state_cache import JobStateCache
 from umberward.control.machine_types import MachineTypeLoader
 from umberward.control.peer_link import PeerLink
@@ -98,7 +99,7 @@
             self.store,
             self.cloud,
             self.machine_types,
-            self.router.job_api.value_limit,
+            max_value_bytes(cluster.state),
             self.rng,
         )
         self.server = Server(settings.listen, self.router.serve, shared_sockets, self.client)
@@ -113,8 +114,7 @@
             self.job_states,
             self.machine_types,
             _wall_clock,
-            readiness.is_state_reachable,
-            self.peers.announce,
+            JobApiHooks(readiness.is_state_reachable, self.peers.announce),
         )
         return RequestRouter(self.heartbeat_api, job_api, self._create_graph_api(), readiness)
 
--- /dev/null
+++ b/umberward/control/job_admission.py
@@ -0,0 +1,212 @@
+"""Whether a submitted job can be accepted, as far as this can be told without any request."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Mapping
+from typing import NamedTuple
+
+import msgspec
+
+from umberward.control.errors import ControllerError
+from umberward.control.job_state_cache import LiveJobState
+from umberward.core.settings import Settings, StateLimits
+from umberward.core.types import (
+    JobId,
+    MachineTypeName,
+    Resources,
+    TeamName,
+    WallTime,
+    parse_job_id,
+)
+from umberward.graphs.model import graph_of
+from umberward.protocol import wire
+from umberward.protocol.wire import FinalJobRecord, JobRecord, JobSpec, MachineType
+from umberward.scheduling.quota import Quota
+
+BYTES_PER_KB = 1024
+COMPLETIONS_RESERVE_BYTES = 512  # of a record are left for what is stored once the job runs
+RECORD_SPARE_BYTES = 64
+SUBMITTED_AT_DIGITS = 3  # decimal places of the second in which a job was submitted
+
+
+class JobRejectedError(ControllerError):
+    """The job is well-formed but can never run."""
+
+
+class UnknownTeamError(JobRejectedError):
+    """The settings have no such team."""
+
+    def __init__(self, team: str) -> None:
+        """Name the team that the job belongs to."""
+        super().__init__(f"owner: no team {team}")
+
+
+class NoFittingMachineTypeError(JobRejectedError):
+    """One task needs more than any machine type offers that the job allows."""
+
+    def __init__(self) -> None:
+        """Create the error."""
+        super().__init__("a task fits no allowed machine type")
+
+
+class QuotaExceededError(JobRejectedError):
+    """The tasks that must run at once need more than the team may ever use."""
+
+    def __init__(self) -> None:
+        """Create the error."""
+        super().__init__("the job needs more than the team's maximum")
+
+
+class SelfDependencyError(JobRejectedError):
+    """The job depends on itself."""
+
+    def __init__(self) -> None:
+        """Create the error."""
+        super().__init__("waits_on: the job itself")
+
+
+class UnknownDependencyError(JobRejectedError):
+    """The job depends on one that no controller has accepted."""
+
+    def __init__(self, dependency: JobId) -> None:
+        """Name the dependency."""
+        super().__init__(f"waits_on: {dependency} was never accepted")
+
+
+class ServiceDependencyError(JobRejectedError):
+    """The job depends on a service, which never ends by itself."""
+
+    def __init__(self, dependency: JobId) -> None:
+        """Name the dependency."""
+        super().__init__(f"waits_on: {dependency} is a service")
+
+
+class InvalidSubmissionError(wire.MalformedMessageError):
+    """The body decodes but is no valid submission."""
+
+
+class Submission(NamedTuple):
+    """A decoded submission: the record to store, and the jobs that it names as dependencies."""
+
+    job_id: JobId
+    record: JobRecord
+    dependencies: list[JobId]
+
+    @property
+    def spec(self) -> JobSpec:
+        """The job's description."""
+        return self.record.spec
+
+
+class DependencyOutcome(NamedTuple):
+    """What the states of a job's dependencies mean for it.
+
+    `unfinished` are those that it still waits for. `cancelled` is the first cancelled one; with it
+    the job is cancelled as well.
+    """
+
+    unfinished: list[JobId]
+    cancelled: JobId | None = None
+
+
+class JobAdmission:
+    """Decodes submissions and checks them against machine types and quotas."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        machine_types: Mapping[MachineTypeName, MachineType],
+        wall_clock: Callable[[], WallTime],
+    ) -> None:
+        """Create the checks; `machine_types` may be filled later."""
+        cluster = settings.platform.cluster
+        self.machine_types = machine_types
+        self.wall_clock = wall_clock
+        self.quota = Quota(cluster.teams)
+        self.max_record_bytes = max_value_bytes(cluster.state)
+        self.graphs_enabled = settings.operator.graphs_enabled
+
+    def decode(self, body: bytes) -> Submission:
+        """Decode a request's body. Raises MalformedMessageError with the reason for a 400."""
+        spec = wire.decode_job_spec(body)
+        job_id = parse_job_id(spec.job_id)
+        if job_id is None:
+            reason = "uid: not a job id"
+            raise InvalidSubmissionError(reason)
+        if self.graphs_enabled and graph_of(job_id) is not None:
+            reason = "uid: such ids are those of task graphs"
+            raise InvalidSubmissionError(reason)
+        return self._build_submission(job_id, spec)
+
+    def _build_submission(self, job_id: JobId, spec: JobSpec) -> Submission:
+        """Build the record to store. Raises InvalidSubmissionError if it would be too long."""
+        dependencies = list(dict.fromkeys(map(JobId, spec.dependencies or ())))
+        spec.dependencies = None
+        record = JobRecord(spec, round(self.wall_clock(), SUBMITTED_AT_DIGITS))
+        # Completed tasks are recorded beside the description; the dependencies only until the job
+        # starts, so their space is free again by then.
+        if wire.json_size(record) > self.max_record_bytes - COMPLETIONS_RESERVE_BYTES:
+            reason = "the description is too long"
+            raise InvalidSubmissionError(reason)
+        record.dependencies = wire.pack_dependencies(dependencies)
+        if wire.json_size(record) > self.max_record_bytes - RECORD_SPARE_BYTES:
+            reason = "waits_on: too many jobs for one record"
+            raise InvalidSubmissionError(reason)
+        return Submission(job_id, record, dependencies)
+
+    def check_feasible(self, spec: JobSpec) -> None:
+        """Raise JobRejectedError for a job that can never run."""
+        team = TeamName(spec.team)
+        if team not in self.quota.teams:
+            raise UnknownTeamError(spec.team)
+        need = Resources(spec.cores, spec.accelerators, spec.mem_gb)
+        if not any(need.fits(offer.capacity) for offer in self._allowed_machine_types(spec)):
+            raise NoFittingMachineTypeError
+        # An array may run task after task; gangs and services need all tasks at once.
+        tasks_at_once = 1 if spec.kind == wire.ARRAY else spec.task_count
+        if self.quota.exceeds_limit(team, need, tasks_at_once):
+            raise QuotaExceededError
+
+    def _allowed_machine_types(self, spec: JobSpec) -> Iterable[MachineType]:
+        for name, machine_type in self.machine_types.items():
+            if spec.machine_types is not None and name not in spec.machine_types:
+                continue
+            if spec.zone is None or spec.zone in machine_type.zones:
+                yield machine_type
+
+
+def max_value_bytes(limits: StateLimits) -> int:
+    """Size in bytes of the largest value that the state service accepts."""
+    return int(limits.strictest().value_kb * BYTES_PER_KB)
+
+
+def resolve_dependencies(
+    states: Mapping[JobId, LiveJobState | FinalJobRecord | None],
+) -> DependencyOutcome:
+    """Judge the states of a job's dependencies, in the order in which the job names them.
+
+    None is the state of a job that no controller has accepted. Raises JobRejectedError for a
+    dependency that may not be named.
+    """
+    unfinished = []
+    cancelled: JobId | None = None
+    for dependency, state in states.items():
+        if state is None:
+            raise UnknownDependencyError(dependency)
+        if isinstance(state, FinalJobRecord):
+            if state.phase != wire.DONE:
+                cancelled = cancelled or dependency
+        elif state.service:
+            raise ServiceDependencyError(dependency)
+        else:
+            unfinished.append(dependency)
+    return DependencyOutcome(unfinished, cancelled)
+
+
+def job_id_in(body: bytes) -> JobId | None:
+    """The job id in a submission that is otherwise malformed; None if there is no valid one."""
+    try:
+        data = msgspec.msgpack.decode(body)
+    except (msgspec.DecodeError, RecursionError, ValueError):
+        return None
+    return parse_job_id(data.get("uid")) if isinstance(data, dict) else None
--- a/umberward/control/job_api.py
+++ b/umberward/control/job_api.py
@@ -1,251 +1,277 @@
-"""What users ask of any controller: submit, poll, cancel. No answer is older than the question."""
+"""What users request of any controller: to submit, poll or cancel a job.
+
+Each answer is at least as recent as its request: it is given from records that never change, or
+from what the state service held after the request arrived.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
-from typing import Any
+from collections.abc import Callable
+from dataclasses import dataclass
 
 import msgspec
 
 from umberward.clients import state_client
 from umberward.clients.state_client import StateClient
+from umberward.control.errors import ControllerError
+from umberward.control.job_admission import (
+    JobAdmission,
+    JobRejectedError,
+    SelfDependencyError,
+    Submission,
+    job_id_in,
+    resolve_dependencies,
+)
+from umberward.control.job_responses import (
+    JobStateResponse,
+    final_response,
+    rejection_response,
+    state_response,
+)
 from umberward.control.job_state_cache import JobStateCache, LiveJobState
+from umberward.control.stored_jobs import done_task_count, final_key, live_key
 from umberward.core.log import logger
 from umberward.core.settings import Settings
-from umberward.core.types import (
-    JobId,
-    Key,
-    MachineTypeName,
-    Resources,
-    TeamName,
-    Version,
-    WallTime,
-    parse_job_id,
-)
-from umberward.graphs.model import graph_of
+from umberward.core.types import JobId, MachineTypeName, TeamName, Version, WallTime
 from umberward.protocol import transactions, wire
 from umberward.protocol.http import Response
 from umberward.protocol.wire import (
     CANCELLED,
-    FINAL_JOBS_PREFIX,
-    LIVE_JOBS_PREFIX,
     FinalJobRecord,
     JobRecord,
-    JobSpec,
     MachineType,
     RemainingTasks,
 )
-from umberward.scheduling.quota import Quota
 
 log = logger(__name__)
 
-SUBMIT_BUDGET_WAIT_S = 0.4  # how long a submission may wait for its turn under the limits
-COMPLETIONS_RESERVE_BYTES = 512  # of a record are left for what is stored once the job runs
-RECORD_SPARE_BYTES = 64
+SUBMIT_BUDGET_WAIT_S = 0.4  # how long a submission may wait for the state service's rate budget
+MAX_SUBMIT_ATTEMPTS = 2
+MAX_CANCEL_ATTEMPTS = 4
 RETRY_AFTER_S = 1.0
 OUTAGE_RETRY_AFTER_S = 2.0
+STATE_UNREACHABLE = "the state service is out of our reach"
+NO_RECORD = Version(0)  # the version of a key that does not exist
+
+
+class JobChangedError(ControllerError):
+    """The job's record changed, or may have changed, between its reading and the write."""
 
 
-class JobRejectedError(Exception):
-    """The job can never run."""
+@dataclass(frozen=True)
+class JobApiHooks:
+    """How the job API is connected with other parts of the controller.
+
+    `state_reachable`: whether the state service can be reached at all; if not, each request that
+    needs it is refused at once. `on_cancelled` is called with each job that a user is told is
+    cancelled.
+    """
+
+    state_reachable: Callable[[], bool] = lambda: True
+    on_cancelled: Callable[[JobId], None] = lambda _: None
+
+
+NO_HOOKS = JobApiHooks()
 
 
 class JobApi:
+    """Serves the job requests of users at one controller."""
+
     def __init__(
         self,
         settings: Settings,
         store: StateClient,
-        mirror: JobStateCache,
-        skus: dict[MachineTypeName, MachineType],
-        wall: Callable[[], WallTime],
-        reached: Callable[[], bool] = lambda: True,
-        confirmed: Callable[[JobId], None] = lambda id: None,
+        job_states: JobStateCache,
+        machine_types: dict[MachineTypeName, MachineType],
+        wall_clock: Callable[[], WallTime],
+        hooks: JobApiHooks = NO_HOOKS,
     ) -> None:
-        """`reached`: whether the state service can be asked at all; else all but what is known for
-        good is refused at once. `confirmed` is told of each cancellation that a user is told of."""
-        self.on_cancelled = confirmed
-        self.state_reachable = reached
+        """Create the API; `machine_types` may be filled later, until then submissions must wait."""
         self.store = store
-        self.job_states = mirror
-        self.machine_types = skus
-        self.wall = wall
-        cluster = settings.platform.cluster
-        self.quota = Quota(cluster.teams)
-        self.value_limit = int(cluster.state.strictest().value_kb * 1024)
-        self.graphs_enabled = settings.operator.graphs_enabled
+        self.job_states = job_states
+        self.machine_types = machine_types
+        self.hooks = hooks
+        self.admission = JobAdmission(settings, machine_types, wall_clock)
 
-    # ---- requests ----------------------------------------------------------------------
+    # ---- submit ------------------------------------------------------------------------
 
     async def submit(self, body: bytes) -> Response:
+        """Accept the job in a MessagePack body, or repeat the state of a job already accepted.
+
+        Responds 201 for an accepted job, 200 for a repeated one, 400 or 422 with a reason for one
+        that is malformed or can never run, and 429 or 503 if the user should try again later.
+        """
         try:
             return await self._submit(body)
         except state_client.RateBudgetError as error:
             log.info("submission_not_taken", error="our part of the writes is used up")
-            return Response(429, retry_after=max(RETRY_AFTER_S, error.wait_s))
+            return _rate_limited(error)
         except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
             log.info("submission_not_taken", error=error)
             return Response(503, retry_after=OUTAGE_RETRY_AFTER_S)
 
     async def _submit(self, body: bytes) -> Response:
         try:
-            spec = wire.decode_job_spec(body)
-            id = parse_job_id(spec.job_id)
-            if id is None:
-                raise wire.MalformedMessageError("uid: not a job id")
-            if self.graphs_enabled and graph_of(id) is not None:
-                raise wire.MalformedMessageError("uid: such ids are those of task graphs")
-            record, names = self._build_record(spec)
+            submission = self.admission.decode(body)
         except wire.MalformedMessageError as error:
             # The repeat of an accepted job gets its state, whatever its body says.
-            return await self._known_response(_job_id_of(body)) or _rejection(400, str(error))
-        final = self.job_states.finals.get(id)
+            known = await self._known_response(job_id_in(body))
+            return known or rejection_response(400, str(error))
+        final = self.job_states.finals.get(submission.job_id)
         if final is not None:
-            return _final_response(id, final)
+            return final_response(submission.job_id, final)
         self._require_state()
         if not self.machine_types:
-            return Response(503, retry_after=RETRY_AFTER_S)
+            return _try_again()
         try:
-            self.check_feasible(spec)
+            self.admission.check_feasible(submission.spec)
+            if submission.job_id in submission.dependencies:
+                raise SelfDependencyError  # answered like an infeasible job
         except JobRejectedError as error:
-            return await self._known_response(id) or _rejection(422, str(error))
-        past: FinalJobRecord | None = None
-        if id in names:
-            return await self._known_response(id) or _rejection(422, "waits_on: the job itself")
-        if names:
-            found = await self.job_states.states([id, *names])
-            if found.pop(id) is not None:
-                # Known already: it gets its state, whatever became of those that it names.
-                return await self._known_response(id) or Response(503, retry_after=RETRY_AFTER_S)
-            try:
-                past = self._record_dependencies(record, found)
-            except JobRejectedError as error:
-                return _rejection(422, str(error))
-        write = transactions.put(Key(LIVE_JOBS_PREFIX + id), record)
-        if past is not None:
-            write = transactions.put(Key(FINAL_JOBS_PREFIX + id), past)
-        conditions = [
-            (Key(LIVE_JOBS_PREFIX + id), Version(0)),
-            (Key(FINAL_JOBS_PREFIX + id), Version(0)),
-        ]
-        for last in (False, True):
+            known = await self._known_response(submission.job_id)
+            return known or rejection_response(422, str(error))
+        if submission.dependencies:
+            return await self._submit_dependent(submission)
+        return await self._store_submission(submission.job_id, submission.record)
+
+    async def _submit_dependent(self, submission: Submission) -> Response:
+        """Submit a job with dependencies, all of which must have been accepted before."""
+        job_id, record, dependencies = submission
+        states = await self.job_states.states([job_id, *dependencies])
+        if states.pop(job_id) is not None:
+            # Accepted before: it gets its state, whatever became of its dependencies.
+            return await self._known_response(job_id) or _try_again()
+        try:
+            outcome = resolve_dependencies(states)
+        except JobRejectedError as error:
+            return rejection_response(422, str(error))
+        if outcome.cancelled is not None:
+            final = FinalJobRecord(CANCELLED, cancelled_by=outcome.cancelled)
+            return await self._store_submission(job_id, final)
+        record.dependencies = wire.pack_dependencies(outcome.unfinished)
+        return await self._store_submission(job_id, record)
+
+    async def _store_submission(
+        self, job_id: JobId, record: JobRecord | FinalJobRecord
+    ) -> Response:
+        """Store the first record of a job, unless it has one already."""
+        key = final_key(job_id) if isinstance(record, FinalJobRecord) else live_key(job_id)
+        conditions = [(live_key(job_id), NO_RECORD), (final_key(job_id), NO_RECORD)]
+        writes = [transactions.put(key, record)]
+        for attempt in range(1, MAX_SUBMIT_ATTEMPTS + 1):
             try:
-                await self.store.commit(conditions, [write], patience=SUBMIT_BUDGET_WAIT_S)
-                log.debug("accepted", job=id)
-                if past is not None:
-                    self.job_states.keep_final(id, past)
-                    return _final_response(id, past, status=201)
-                return _state_response(id, wire.PENDING, 0, status=201)
+                await self.store.commit(conditions, writes, patience=SUBMIT_BUDGET_WAIT_S)
             except (state_client.CompareAndSwapError, state_client.UnknownOutcomeError):
-                # Known already, or the outcome is unknown: what can be read decides.
-                known = await self._known_response(id)
+                # Accepted before, or the outcome is unknown: what can be read decides.
+                known = await self._known_response(job_id)
                 if known is not None:
                     return known
             except state_client.RateBudgetError:
-                raise
+                raise  # its wait is told to the user
             except state_client.StateUnavailableError:
-                if last:
+                if attempt == MAX_SUBMIT_ATTEMPTS:
                     raise
-        return Response(503, retry_after=RETRY_AFTER_S)
+            else:
+                return self._accepted_response(job_id, record)
+        return _try_again()
+
+    def _accepted_response(self, job_id: JobId, record: JobRecord | FinalJobRecord) -> Response:
+        log.debug("accepted", job=job_id)
+        if isinstance(record, FinalJobRecord):
+            self.job_states.keep_final(job_id, record)
+            return final_response(job_id, record, status=201)
+        state = JobStateResponse(job_id=job_id, phase=wire.PENDING, done_count=0)
+        return state_response(state, status=201)
 
-    async def poll(self, id: JobId) -> Response:
+    # ---- poll --------------------------------------------------------------------------
+
+    async def poll(self, job_id: JobId) -> Response:
+        """Respond 200 with the job's state, 404 if no controller has accepted it, or 503."""
         try:
-            final = self.job_states.finals.get(id)
+            final = self.job_states.finals.get(job_id)
             if final is not None:
-                return _final_response(id, final)
+                return final_response(job_id, final)
             self._require_state()
-            return await self._known_response(id, urgent=False) or Response(404)
+            return await self._known_response(job_id, urgent=False) or Response(404)
         except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
-            log.debug("poll_not_answered", job=id, error=error)
-            return Response(503, retry_after=RETRY_AFTER_S)
+            log.debug("poll_not_answered", job=job_id, error=error)
+            return _try_again()
+
+    # ---- cancel ------------------------------------------------------------------------
+
+    async def cancel(self, job_id: JobId) -> Response:
+        """Cancel a job that has not ended, and respond with its state.
 
-    async def cancel(self, id: JobId) -> Response:
+        Responds 404 if no controller has accepted the job, 429 or 503 if it is not cancelled yet.
+        """
         try:
             self._require_state()
-            for _ in range(4):
-                response = await self._cancel(id)
-                if response is not None:
-                    final = self.job_states.finals.get(id)
-                    if final is not None and final.phase == CANCELLED:
-                        log.info("cancelled_by_user", job=id)  # also if that was only read
-                        self.on_cancelled(id)
-                    return response
+            for _ in range(MAX_CANCEL_ATTEMPTS):
+                try:
+                    response = await self._try_cancel(job_id)
+                except JobChangedError:
+                    continue
+                self._report_cancellation(job_id)
+                return response
         except state_client.RateBudgetError as error:
-            return Response(429, retry_after=max(RETRY_AFTER_S, error.wait_s))
+            return _rate_limited(error)
         except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
-            log.info("cancellation_not_taken", job=id, error=error)
-        return Response(503, retry_after=RETRY_AFTER_S)
+            log.info("cancellation_not_taken", job=job_id, error=error)
+        return _try_again()
 
-    async def _cancel(self, id: JobId) -> Response | None:
-        live = await self.store.get(Key(LIVE_JOBS_PREFIX + id))
+    async def _try_cancel(self, job_id: JobId) -> Response:
+        """Cancel the job as it is stored now. Raises JobChangedError to be tried again."""
+        live = await self.store.get(live_key(job_id))
         if live is None:
-            # It moves from live to past at once: if it is known, it is over.
-            known = await self.job_states.state(id, urgent=True)
-            if known is None:
+            # One transaction replaces the live record by the final one: a known job has ended.
+            state = await self.job_states.state(job_id, urgent=True)
+            if state is None:
                 return Response(404)
-            if isinstance(known, FinalJobRecord):
-                return _final_response(id, known)
-            return None
-        try:
-            record = wire.convert(live.data, JobRecord)
-            done = record.done_below + int(record.done_bitmap, 16).bit_count()
-            past = FinalJobRecord(CANCELLED, done, remaining=self._remaining_tasks(record, done))
-        except (wire.MalformedMessageError, ValueError) as error:
-            log.error("record_malformed", job=id, error=error)
-            past = FinalJobRecord(CANCELLED)
-        writes = [
-            transactions.put(Key(FINAL_JOBS_PREFIX + id), past),
-            transactions.delete(Key(LIVE_JOBS_PREFIX + id)),
-        ]
+            if isinstance(state, FinalJobRecord):
+                return final_response(job_id, state)
+            raise JobChangedError(job_id)
+        final = self._cancelled_record(job_id, live.data)
         try:
             await self.store.commit(
-                [(Key(LIVE_JOBS_PREFIX + id), live.version)], writes, priority=transactions.URGENT
+                [(live_key(job_id), live.version)],
+                [
+                    transactions.put(final_key(job_id), final),
+                    transactions.delete(live_key(job_id)),
+                ],
+                priority=transactions.URGENT,
             )
         except (state_client.CompareAndSwapError, state_client.UnknownOutcomeError):
-            return None  # read again what became of it
-        self.job_states.keep_final(id, past)
-        return _state_response(id, CANCELLED, past.done_count)
-
-    # ---- parts -------------------------------------------------------------------------
-
-    def _require_state(self) -> None:
-        if not self.state_reachable():
-            raise state_client.StateUnavailableError("the state service is out of our reach")
+            raise JobChangedError(job_id) from None
+        self.job_states.keep_final(job_id, final)
+        return final_response(job_id, final)
+
+    def _report_cancellation(self, job_id: JobId) -> None:
+        """Report that the user is told of a cancellation, also of one that was only read."""
+        final = self.job_states.finals.get(job_id)
+        if final is not None and final.phase == CANCELLED:
+            log.info("cancelled_by_user", job=job_id)
+            self.hooks.on_cancelled(job_id)
+
+    def _cancelled_record(self, job_id: JobId, stored: object) -> FinalJobRecord:
+        """The final record of a job with this live record, which is cancelled now."""
+        try:
+            record = wire.convert(stored, JobRecord)
+            done_count = done_task_count(record)
+        except (wire.MalformedMessageError, ValueError) as error:
+            log.error("record_malformed", job=job_id, error=error)  # noqa: TRY400 - a fault of the record, not of the code
+            return FinalJobRecord(CANCELLED)
+        remaining = self._remaining_tasks(record, done_count)
+        return FinalJobRecord(CANCELLED, done_count, remaining=remaining)
 
-    async def _known_response(self, id: JobId | None, urgent: bool = True) -> Response | None:
-        known = None if id is None else await self.job_states.state(id, urgent)
-        if id is None or known is None:
-            return None
-        return self._answer(id, known)
-
-    def _answer(self, id: JobId, known: LiveJobState | FinalJobRecord) -> Response:
-        if isinstance(known, FinalJobRecord):
-            return _final_response(id, known)
-        phase = wire.RUNNING if known.placed_below else wire.PENDING
-        return _state_response(
-            id,
-            phase,
-            known.done_count,
-            max(0, known.placed_below - known.done_count),
-            waits_on=self.job_states.dependencies_of(id),
-        )
+    def _remaining_tasks(self, record: JobRecord, done_count: int) -> RemainingTasks | None:
+        """The tasks that may still run, which count against the limit of their team.
 
-    def _build_record(self, spec: JobSpec) -> tuple[JobRecord, list[JobId]]:
-        """What would be stored, and the jobs that it names. Raises Malformed if it is too long."""
-        names = list(dict.fromkeys(map(JobId, spec.dependencies or ())))
-        spec.dependencies = None
-        record = JobRecord(spec, round(self.wall(), 3))
-        # Completions are stored with the description; what it waits for only until it starts.
-        if wire.json_size(record) > self.value_limit - COMPLETIONS_RESERVE_BYTES:
-            raise wire.MalformedMessageError("the description is too long")
-        record.dependencies = wire.pack_dependencies(names)
-        if wire.json_size(record) > self.value_limit - RECORD_SPARE_BYTES:
-            raise wire.MalformedMessageError("waits_on: too many jobs for one record")
-        return record, names
-
-    def _remaining_tasks(self, record: JobRecord, done: int) -> RemainingTasks | None:
-        """What a leader that never reads the live record has to count against the team's limit."""
+        A leader that never reads the live record needs them. None if there are none, or the team
+        has no limit.
+        """
         spec = record.spec
-        if record.placed_below <= done or not self.quota.has_limit(TeamName(spec.team)):
+        has_limit = self.admission.quota.has_limit(TeamName(spec.team))
+        if record.placed_below <= done_count or not has_limit:
             return None
         return RemainingTasks(
             spec.team,
@@ -257,81 +283,45 @@
             record.done_bitmap,
         )
 
-    @staticmethod
-    def _record_dependencies(
-        record: JobRecord, found: dict[JobId, LiveJobState | FinalJobRecord | None]
-    ) -> FinalJobRecord | None:
-        """Note in the record what is not done yet; or the end of a job that can never run.
+    # ---- states ------------------------------------------------------------------------
+
+    def _require_state(self) -> None:
+        """Raise StateUnavailableError at once while the state service is known to be away."""
+        if not self.hooks.state_reachable():
+            raise state_client.StateUnavailableError(STATE_UNREACHABLE)
+
+    async def _known_response(
+        self, job_id: JobId | None, *, urgent: bool = True
+    ) -> Response | None:
+        """The state of an accepted job; None if no controller has accepted it, or there is no id.
 
-        Raises Refused for what may not be named.
+        A response that is not urgent may wait to be read together with others.
         """
-        waits = []
-        cancelled = None
-        for name, known in found.items():
-            if known is None:
-                raise JobRejectedError(f"waits_on: {name} was never accepted")
-            if isinstance(known, FinalJobRecord):
-                if known.phase != wire.DONE:
-                    cancelled = cancelled or name
-            elif known.service:
-                raise JobRejectedError(f"waits_on: {name} is a service")
-            else:
-                waits.append(name)
-        if cancelled is not None:
-            return FinalJobRecord(CANCELLED, cancelled_by=cancelled)
-        record.dependencies = wire.pack_dependencies(waits)
-        return None
-
-    def check_feasible(self, spec: JobSpec) -> None:
-        """Raises Refused for a job that can never run."""
-        team = TeamName(spec.team)
-        if team not in self.quota.teams:
-            raise JobRejectedError(f"owner: no team {spec.team}")
-        need = Resources(spec.cores, spec.accelerators, spec.mem_gb)
-        for name, sku in self.machine_types.items():
-            if spec.machine_types is not None and name not in spec.machine_types:
-                continue
-            if spec.zone is not None and spec.zone not in sku.zones:
-                continue
-            if need.fits(sku.capacity):
-                break
-        else:
-            raise JobRejectedError("a task fits no allowed machine type")
-        if self.quota.exceeds_limit(team, need, 1 if spec.kind == wire.ARRAY else spec.task_count):
-            raise JobRejectedError("the job needs more than the team's maximum")
-
-
-def _job_id_of(body: bytes) -> JobId | None:
-    try:
-        data = msgspec.msgpack.decode(body)
-    except (msgspec.DecodeError, RecursionError, ValueError):
-        return None
-    return parse_job_id(data.get("uid")) if isinstance(data, dict) else None
-
-
-def _state_response(
-    id: JobId,
-    phase: str,
-    done: int,
-    running: int = 0,
-    status: int = 200,
-    waits_on: Sequence[JobId] = (),
-    because: str = "",
-) -> Response:
-    body: dict[str, Any] = {"uid": id, "phase": phase, "done": done, "running": running}
-    if waits_on:
-        body["waits_on"] = waits_on
-    if because:
-        body["because"] = because
-    return Response(status, wire.encode(body))
-
-
-def _final_response(id: JobId, final: FinalJobRecord, status: int = 200) -> Response:
-    return _state_response(
-        id, final.phase, final.done_count, status=status, because=final.cancelled_by
-    )
-
-
-def _rejection(status: int, text: str) -> Response:
-    log.info("submission_refused", status=status, error=text)
-    return Response(status, wire.encode({"error": text}))
+        if job_id is None:
+            return None
+        state = await self.job_states.state(job_id, urgent=urgent)
+        if state is None:
+            return None
+        if isinstance(state, FinalJobRecord):
+            return final_response(job_id, state)
+        return self._live_response(job_id, state)
+
+    def _live_response(self, job_id: JobId, state: LiveJobState) -> Response:
+        return state_response(
+            JobStateResponse(
+                job_id=job_id,
+                phase=wire.RUNNING if state.placed_below else wire.PENDING,
+                done_count=state.done_count,
+                running_count=max(0, state.placed_below - state.done_count),
+                dependencies=self.job_states.dependencies_of(job_id) or msgspec.UNSET,
+            )
+        )
+
+
+def _try_again() -> Response:
+    return Response(503, retry_after=RETRY_AFTER_S)
+
+
+def _rate_limited(error: state_client.RateBudgetError) -> Response:
+    """Ask the user to wait until this controller's share of the write rate allows the request."""
+    return Response(429, retry_after=max(RETRY_AFTER_S, error.wait_s))
--- /dev/null
+++ b/umberward/control/job_responses.py
@@ -0,0 +1,62 @@
+"""HTTP responses about one job, to its user."""
+
+from __future__ import annotations
+
+import msgspec
+
+from umberward.control.responses import error_response
+from umberward.core.log import logger
+from umberward.core.types import JobId
+from umberward.protocol import wire
+from umberward.protocol.http import Response
+from umberward.protocol.wire import FinalJobRecord
+
+log = logger(__name__)
+
+
+class JobStateResponse(
+    msgspec.Struct,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "job_id": "uid",
+        "done_count": "done",
+        "running_count": "running",
+        "dependencies": "waits_on",
+        "cancelled_by": "because",
+    },
+):
+    """Body of each answer about a job's state.
+
+    `dependencies` lists the jobs it still waits for; `cancelled_by` is the job that it depended on
+    and that was cancelled. Both are left out if there is none.
+    """
+
+    job_id: JobId
+    phase: str
+    done_count: int
+    running_count: int = 0
+    dependencies: list[JobId] | msgspec.UnsetType = msgspec.UNSET
+    cancelled_by: str | msgspec.UnsetType = msgspec.UNSET
+
+
+def state_response(state: JobStateResponse, status: int = 200) -> Response:
+    """The state of a job, with the HTTP status."""
+    return Response(status, wire.encode(state))
+
+
+def final_response(job_id: JobId, final: FinalJobRecord, status: int = 200) -> Response:
+    """The state of a job that has ended, with the HTTP status."""
+    state = JobStateResponse(
+        job_id=job_id,
+        phase=final.phase,
+        done_count=final.done_count,
+        cancelled_by=final.cancelled_by or msgspec.UNSET,
+    )
+    return state_response(state, status)
+
+
+def rejection_response(status: int, reason: str) -> Response:
+    """Tell the user why a submission is rejected, and log the reason."""
+    log.info("submission_refused", status=status, error=reason)
+    return error_response(status, reason)
