--- a/tests/guards.py
+++ b/tests/guards.py
@@ -40,6 +40,7 @@
 from umberward.scheduling.inflight_commands import InflightStarts
 from umberward.scheduling.jobs import Job
 from umberward.scheduling.lease_delegation import Delegate, Delegator, LeaseBounds
+from umberward.scheduling.machine_blocks import MachineBlocks
 from umberward.scheduling.machines import Machine
 from umberward.scheduling.quota import Quota
 from umberward.scheduling.reachability import Reachability
@@ -208,7 +209,7 @@
             job.placed_below = record.placed_below
             self.send_stored_starts(job)
         for number, hosts in batch.blocks:
-            self.block_written(number, set(hosts))  # type: ignore[arg-type]
+            self.machine_blocks.record_stored(number, set(hosts))  # type: ignore[arg-type]
         return []
 
     patch.setattr(StateWriter, "transaction_committed", job_marked)
@@ -347,13 +348,13 @@
 
 def part_in_order(patch: pytest.MonkeyPatch) -> None:
     """A block that machines leave is written like any other."""
-    whole = StateWriter._split_block
+    whole = MachineBlocks.split
 
-    def part(self: StateWriter, number: int) -> None:
+    def part(self: MachineBlocks, number: int) -> None:
         whole(self, number)
         self.machines_moving_out.clear()
 
-    patch.setattr(StateWriter, "_split_block", part)
+    patch.setattr(MachineBlocks, "split", part)
 
 
 def rarer_passes(patch: pytest.MonkeyPatch) -> None:
--- a/umberward/scheduling/jobs.py
+++ b/umberward/scheduling/jobs.py
@@ -5,7 +5,7 @@
 import bisect
 import math
 from collections.abc import Iterable, Mapping
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, Protocol
 
 from umberward.core.types import (
     Attempt,
@@ -31,6 +31,14 @@
 )
 
 
+class StoredProgressRecord(Protocol):
+    """What the stored records of all kinds of jobs have in common, see `wire.JobRecord`."""
+
+    placed_below: int
+    done_below: int
+    done_bitmap: str
+
+
 class DependentDemand(NamedTuple):
     """What the jobs after a job ask of it."""
 
@@ -345,7 +353,7 @@
             self.put_back(index)
         self.unlocated_tasks.clear()
 
-    def build_record(self, marked: int) -> Any:
+    def build_record(self, marked: int) -> StoredProgressRecord | None:
         """What to store, with `marked`, `base` and `done` as a JobRecord has them; None: it does
         not fit, as its holder had room for a wider bitmap."""
         bits = self.encode_done_bitmap()
@@ -356,7 +364,7 @@
             self.spec, self.submitted_at, marked, self.done_below, bits, ready_at=ready
         )
 
-    def parse_record(self, data: Any) -> Any:
+    def parse_record(self, data: Any) -> StoredProgressRecord:
         """A record of this job as it was read. Raises wire.Malformed."""
         return wire.convert(data, JobRecord)
 
--- /dev/null
+++ b/umberward/scheduling/machine_blocks.py
@@ -0,0 +1,164 @@
+"""The leader's blocks of machines, as they are and as the state service has them. No I/O.
+
+A new leader learns from the stored blocks which machines may run tasks of its predecessors. One
+record holds the machines of a whole block, so that a fleet that changes costs few writes.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+
+from umberward.core.types import MachineId, Version
+from umberward.protocol import wire
+from umberward.scheduling.cluster_state import ClusterState
+from umberward.scheduling.machines import Machine
+
+MIN_MACHINES_PER_BLOCK = 4
+MAX_MACHINES_PER_BLOCK = 32
+VALUE_BYTES_PER_MACHINE = 120  # of a stored value's limit, a generous estimate
+
+
+@dataclass(slots=True)
+class MachineBlock:
+    """The machines that belong to one block, and the version under which it was last stored.
+
+    Version 0: the state service has no such block.
+    """
+
+    version: Version = Version(0)  # noqa: RUF009 - a NewType of an immutable int
+    machine_ids: set[MachineId] = field(default_factory=set)
+
+
+class MachineBlocks:
+    """Assigns machines to blocks and keeps account of the blocks that are to be written."""
+
+    def __init__(self, cluster: ClusterState) -> None:
+        """`cluster.value_limit` (bytes) decides how many machines a new block takes."""
+        self.block_size = max(
+            MIN_MACHINES_PER_BLOCK,
+            min(MAX_MACHINES_PER_BLOCK, cluster.value_limit // VALUE_BYTES_PER_MACHINE),
+        )
+        self.machines_moving_out: dict[int, set[MachineId]] = {}  # by the block that they leave
+        self._cluster = cluster
+        self._blocks: dict[int, MachineBlock] = {}
+        self._changed_numbers: set[int] = set()
+        self._pending_numbers: dict[MachineId, int] = {}  # assigned, and not stored there yet
+
+    def __contains__(self, number: int) -> bool:
+        """Whether there is a block of this number."""
+        return number in self._blocks
+
+    @property
+    def changed(self) -> bool:
+        """Whether any block differs from what is stored of it."""
+        return bool(self._changed_numbers)
+
+    def load(self, number: int, version: Version, machines: Iterable[Machine]) -> None:
+        """Take over a block as a new leader reads it from the state service."""
+        machine_ids = set()
+        for machine in machines:
+            if machine.block in (None, number):
+                machine.block = number
+                machine.availability_changed()
+                machine_ids.add(machine.id)
+            else:
+                # The machine had moved to another block, and the predecessor ended before it
+                # wrote the block that the machine left.
+                self._changed_numbers.add(number)
+        self._blocks[number] = MachineBlock(version, machine_ids)
+
+    def assign(self, machine: Machine) -> None:
+        """Choose the first block with room for a machine, unless one is chosen already."""
+        if machine.id in self._pending_numbers:
+            return
+        number = 0
+        while not self._accepts_machine(number):
+            number += 1
+        self._blocks[number].machine_ids.add(machine.id)
+        self._pending_numbers[machine.id] = number
+        self._changed_numbers.add(number)
+
+    def remove(self, machine: Machine) -> None:
+        """Take a machine that no longer exists out of its blocks."""
+        if machine.block is not None:
+            self._remove_from_block(machine.id, machine.block)
+        pending_number = self._pending_numbers.pop(machine.id, None)
+        if pending_number is not None:
+            # A block that still names the machine would count as changed after every write.
+            self._remove_from_block(machine.id, pending_number)
+
+    def split(self, number: int) -> None:
+        """Move a part of a block's machines to others, as its record exceeds the value limit.
+
+        This happens to a block that was stored under wider limits. A machine must be stored in
+        some block at any time, as a new leader would not wait for the tasks of any other; so the
+        old block is written only together with the new ones or after them.
+        """
+        machine_ids = self._blocks[number].machine_ids
+        leaving = sorted(machine_ids)[min(self.block_size, len(machine_ids) // 2) :]
+        machine_ids.difference_update(leaving)
+        self.machines_moving_out.setdefault(number, set()).update(leaving)
+        for machine_id in leaving:
+            machine = self._cluster.machines.get(machine_id)
+            if machine is not None:
+                self.assign(machine)
+
+    def changed_in_write_order(self) -> list[int]:
+        """The blocks to write; those that machines leave come after those that they move to."""
+        return sorted(
+            self._changed_numbers,
+            key=lambda number: (number in self.machines_moving_out, number),
+        )
+
+    def destinations(self, number: int) -> set[int]:
+        """The blocks that must be stored no later than this one, as its machines move there."""
+        return {
+            self._pending_numbers[machine_id]
+            for machine_id in self.machines_moving_out.get(number, ())
+            if machine_id in self._pending_numbers
+        }
+
+    def version(self, number: int) -> Version:
+        """The version under which the block was last stored; 0: it is not stored."""
+        return self._blocks[number].version
+
+    def build_record(self, number: int) -> wire.BlockRecord:
+        """The block as it should be stored."""
+        return wire.BlockRecord(
+            {
+                str(machine_id): (
+                    machine.address,
+                    str(machine.type),
+                    str(machine.zone),
+                    machine.spot,
+                )
+                for machine_id in sorted(self._blocks[number].machine_ids)
+                if (machine := self._cluster.machines.get(machine_id)) is not None
+            }
+        )
+
+    def set_version(self, number: int, version: Version) -> None:
+        """Record the version that the state service has of a block."""
+        self._blocks[number].version = version
+
+    def record_stored(self, number: int, stored_ids: set[MachineId]) -> None:
+        """The state service has the block with these machines."""
+        machine_ids = self._blocks[number].machine_ids
+        if stored_ids == machine_ids:
+            self._changed_numbers.discard(number)
+            self.machines_moving_out.pop(number, None)
+        for machine_id in stored_ids & machine_ids:
+            self._pending_numbers.pop(machine_id, None)
+            machine = self._cluster.machines.get(machine_id)
+            if machine is not None:
+                machine.block = number
+                machine.availability_changed()
+
+    def _accepts_machine(self, number: int) -> bool:
+        block = self._blocks.setdefault(number, MachineBlock())
+        return len(block.machine_ids) < self.block_size and number not in self.machines_moving_out
+
+    def _remove_from_block(self, machine_id: MachineId, number: int) -> None:
+        self._changed_numbers.add(number)
+        self._blocks[number].machine_ids.discard(machine_id)
--- /dev/null
+++ b/umberward/scheduling/state_transaction.py
@@ -0,0 +1,130 @@
+"""Compare-and-swap transactions of the leader for the state service. No I/O.
+
+A `TransactionBuilder` collects the changes within the service's limits; the finished `Transaction`
+also says what the leader records in its own memory once the transaction is committed.
+"""
+
+from __future__ import annotations
+
+from typing import Any, NamedTuple
+
+from umberward.core.types import Key, Version
+from umberward.protocol import transactions, wire
+from umberward.protocol.wire import BLOCKS_PREFIX, FINAL_JOBS_PREFIX
+from umberward.scheduling.jobs import Job, StoredProgressRecord
+
+MAX_COUNTED_BYTES = 48 * 1024  # below the 64 KiB that the service takes as one request
+FINAL_RECORD_CHANGES = 2  # the final record is put and the live record is deleted
+
+
+class BlockWrite(NamedTuple):
+    """A machine block as a transaction writes it: id -> (address, type, zone, spot)."""
+
+    number: int
+    machines: dict[str, tuple[str, str, str, bool]]
+
+
+class JobRecordWrite(NamedTuple):
+    """A live job's record as a transaction writes it."""
+
+    job: Job
+    record: StoredProgressRecord
+
+
+class FinalRecordWrite(NamedTuple):
+    """The final record with which a transaction replaces a job's live record."""
+
+    job: Job
+    record: wire.FinalJobRecord
+
+
+class Transaction(NamedTuple):
+    """One transaction, and what to record in memory when it is committed.
+
+    `priority` is one of the priorities of `umberward.protocol.transactions`.
+    """
+
+    conditions: list[tuple[Key, Version]]
+    writes: list[dict[str, Any]]
+    priority: int
+    job_records: list[JobRecordWrite]
+    final_records: list[FinalRecordWrite]
+    blocks: list[BlockWrite]
+
+
+class TransactionBuilder:
+    """Collects the changes of one transaction, at most `max_changes` of them."""
+
+    def __init__(self, max_changes: int) -> None:
+        """Start with no changes and the priority URGENT."""
+        self.priority: int = transactions.URGENT
+        self._max_changes = max_changes
+        self._counted_bytes = 0
+        self._conditions: list[tuple[Key, Version]] = []
+        self._writes: list[dict[str, Any]] = []
+        self._job_records: list[JobRecordWrite] = []
+        self._final_records: list[FinalRecordWrite] = []
+        self._blocks: list[BlockWrite] = []
+
+    @property
+    def empty(self) -> bool:
+        """Whether the transaction has no changes yet."""
+        return not self._writes
+
+    @property
+    def block_numbers(self) -> set[int]:
+        """The numbers of the blocks that this transaction writes."""
+        return {block.number for block in self._blocks}
+
+    def has_changes_left(self, change_count: int) -> bool:
+        """Whether the limit on changes leaves room for `change_count` more."""
+        return len(self._writes) + change_count <= self._max_changes
+
+    def has_room(self, change_count: int) -> bool:
+        """Whether both the limit on changes and the counted size leave room for more."""
+        return self.has_changes_left(change_count) and self._counted_bytes <= MAX_COUNTED_BYTES
+
+    def add_block(self, number: int, version: Version, record: wire.BlockRecord) -> None:
+        """Write a machine block if its stored version is still `version`."""
+        key = Key(f"{BLOCKS_PREFIX}{number}")
+        self._conditions.append((key, version))
+        self._writes.append(transactions.put(key, record))
+        self._blocks.append(BlockWrite(number, record.machines))
+        self._count_last_write()
+
+    def add_final_record(self, job: Job, record: wire.FinalJobRecord) -> None:
+        """Replace the live record of a job that has ended by its final record."""
+        self._writes.append(transactions.put(Key(FINAL_JOBS_PREFIX + job.id), record))
+        self._writes.append(transactions.delete(job.record_key))
+        self._final_records.append(FinalRecordWrite(job, record))
+        self._conditions.append((job.record_key, job.version))
+        self._count_last_write()
+
+    def add_job_record(
+        self, job: Job, record: StoredProgressRecord, companions: list[dict[str, Any]]
+    ) -> None:
+        """Write a live job's record together with its `companions` (Job.companion_writes)."""
+        self._writes.append(transactions.put(job.record_key, record))
+        self._writes.extend(companions)
+        self._job_records.append(JobRecordWrite(job, record))
+        for condition in job.conditions:
+            if condition not in self._conditions:
+                self._conditions.append(condition)
+        self._conditions.append((job.record_key, job.version))
+        self._count_last_write()
+
+    def build(self) -> Transaction | None:
+        """The transaction; None if it would change nothing."""
+        if self.empty:
+            return None
+        return Transaction(
+            self._conditions,
+            self._writes,
+            self.priority,
+            self._job_records,
+            self._final_records,
+            self._blocks,
+        )
+
+    def _count_last_write(self) -> None:
+        self._counted_bytes += wire.json_size(self._writes[-1])
