--- a/umberward/clients/cloud_client.py
+++ b/umberward/clients/cloud_client.py
@@ -1,13 +1,25 @@
-"""Client of the cloud, within its request limit."""
+"""Client of the cloud's machine API, within its request limit.
+
+PROTOCOL, "Controller nodes -> cloud". Only the leader calls it for changes: the parameter `still`
+is asked right before a request is sent, and the request is dropped if it returns False.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 
-from umberward.clients.state_client import RateBudget, RateBudgetError
+from umberward.clients.errors import (
+    CloudStatusError,
+    CloudUnavailableError,
+    NoCapacityError,
+    RateBudgetError,
+)
+from umberward.clients.rate_budget import RateBudget
 from umberward.core.types import Address, MachineId, MachineTypeName, ScaleOutRequest
 from umberward.protocol import wire
 from umberward.protocol.http import Client, NoResponseError, RequestNotSentError, Response
+from umberward.protocol.transactions import URGENT
 from umberward.protocol.wire import (
     CloudMachine,
     CloudMachinePage,
@@ -16,64 +28,43 @@
     ScaleOutResponse,
 )
 
-REQUEST_TIMEOUT_S = 5.0
-
+__all__ = ["CloudClient", "CloudUnavailableError", "NoCapacityError"]
 
-class CloudUnavailableError(Exception):
-    """The call was not executed, or only a reading one failed."""
+USABLE_SHARE = 0.9  # of the cloud's request limit
+REQUEST_TIMEOUT_S = 5.0
+BUDGET_WAIT_S = 5.0
 
 
-class NoCapacityError(Exception):
-    pass
+class CloudClient:
+    """Rents, deletes and lists machines.
 
+    All operations raise CloudUnavailableError if the request was not executed, or if it failed and
+    repeating it does no harm.
+    """
 
-class CloudClient:
-    def __init__(self, address: Address, rps: float, client: Client) -> None:
+    def __init__(self, address: Address, max_requests_per_s: float, client: Client) -> None:
+        """`max_requests_per_s`: the cloud's limit for the leader's requests."""
         self.address = address
         self.client = client
-        self.budget = RateBudget(rps * 0.9)
-        self._flavors = wire.decoder(MachineTypeList)
-        self._hosts = wire.decoder(CloudMachinePage)
-        self._rented = wire.decoder(ScaleOutResponse)
-
-    async def _call(
-        self,
-        method: str,
-        target: str,
-        body: object = None,
-        still: Callable[[], bool] | None = None,
-    ) -> Response:
-        """Raises CloudTrouble or NoAnswer."""
-        try:
-            await self.budget.take(1, 0, 5.0)
-        except RateBudgetError as error:
-            raise CloudUnavailableError(str(error)) from None
-        data = b"" if body is None else wire.encode(body)
-        try:
-            response = await self.client.request(
-                self.address, method, target, data, REQUEST_TIMEOUT_S, still=still
-            )
-        except RequestNotSentError as error:
-            raise CloudUnavailableError(str(error)) from None
-        if response.status == 429 or (response.status == 503 and b"capacity" not in response.body):
-            raise CloudUnavailableError(f"{method} {target}: {response.status}")
-        return response
+        self.budget = RateBudget(max_requests_per_s * USABLE_SHARE)
+        self._decode_machine_types = wire.decoder(MachineTypeList)
+        self._decode_machines = wire.decoder(CloudMachinePage)
+        self._decode_scale_out = wire.decoder(ScaleOutResponse)
 
     async def machine_types(self) -> dict[MachineTypeName, MachineType]:
-        try:
-            response = await self._call("GET", "/flavors")
-        except NoResponseError as error:
-            raise CloudUnavailableError(str(error)) from None
-        if response.status != 200:
-            raise CloudUnavailableError(f"flavors: {response.status}")
-        return {
-            MachineTypeName(sku.name): sku for sku in self._flavors(response.body).machine_types
-        }
+        """The machine types on offer, with their current prices."""
+        response = await self._send_repeatable("GET", "/flavors", "flavors")
+        offered = self._decode_machine_types(response.body).machine_types
+        return {MachineTypeName(machine_type.name): machine_type for machine_type in offered}
 
     async def scale_out(
         self, rental: ScaleOutRequest, still: Callable[[], bool]
     ) -> list[MachineId]:
-        """Raises NoCapacity, CloudTrouble, or NoAnswer if it may have been carried out."""
+        """Rent machines; returns those that were rented, which may be fewer than requested.
+
+        Raises NoCapacityError if there are none, and NoResponseError if the request may have been
+        executed: the same request can then be repeated, and rents nothing twice.
+        """
         body = {
             "claim": rental.request_id,
             "flavor": rental.offer.type,
@@ -81,35 +72,76 @@
             "reclaimable": rental.offer.spot,
             "how_many": rental.machine_count,
         }
-        response = await self._call("POST", "/hosts", body, still)
-        if response.status == 503:
+        response = await self._send("POST", "/hosts", body, still)
+        if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
             raise NoCapacityError
-        if response.status != 200:
-            raise CloudUnavailableError(f"rent: {response.status}")
-        return [MachineId(name) for name in self._rented(response.body).machine_ids]
+        if response.status != HTTPStatus.OK:
+            raise CloudStatusError("rent", response.status)
+        return [MachineId(name) for name in self._decode_scale_out(response.body).machine_ids]
 
-    async def terminate(self, ids: list[MachineId], still: Callable[[], bool]) -> None:
-        """Returns only if the machines are surely gone."""
-        try:
-            response = await self._call("POST", "/hosts/delete", {"hosts": ids}, still)
-        except NoResponseError as error:
-            raise CloudUnavailableError(str(error)) from None
-        if response.status != 200:
-            raise CloudUnavailableError(f"delete: {response.status}")
+    async def terminate(self, machine_ids: list[MachineId], still: Callable[[], bool]) -> None:
+        """Delete machines; when this returns, they and all tasks on them are gone for certain."""
+        await self._send_repeatable(
+            "POST", "/hosts/delete", "delete", body={"hosts": machine_ids}, still=still
+        )
 
     async def list_machines(self) -> list[CloudMachine]:
-        found: list[CloudMachine] = []
+        """All machines that the cloud lists; the list lags, see `cloud.list_lag_s`."""
+        machines: list[CloudMachine] = []
         while True:
             target = f"/hosts?most={wire.MAX_MACHINES_PER_PAGE}"
-            if found:
-                target += f"&from={found[-1].machine_id}"
-            try:
-                response = await self._call("GET", target)
-            except NoResponseError as error:
-                raise CloudUnavailableError(str(error)) from None
-            if response.status != 200:
-                raise CloudUnavailableError(f"list: {response.status}")
-            page = self._hosts(response.body)
-            found += page.machines
+            if machines:
+                target += f"&from={machines[-1].machine_id}"
+            response = await self._send_repeatable("GET", target, "list")
+            page = self._decode_machines(response.body)
+            machines += page.machines
             if not page.more or not page.machines:
-                return found
+                return machines
+
+    async def _send_repeatable(
+        self,
+        method: str,
+        target: str,
+        operation: str,
+        *,
+        body: object = None,
+        still: Callable[[], bool] | None = None,
+    ) -> Response:
+        """The successful response to a request that may be executed any number of times.
+
+        `operation` is its name in error messages. Only CloudUnavailableError is raised.
+        """
+        try:
+            response = await self._send(method, target, body, still)
+        except NoResponseError as error:
+            raise CloudUnavailableError(str(error)) from None
+        if response.status != HTTPStatus.OK:
+            raise CloudStatusError(operation, response.status)
+        return response
+
+    async def _send(
+        self, method: str, target: str, body: object, still: Callable[[], bool] | None
+    ) -> Response:
+        """The response to a request. Raises CloudUnavailableError or NoResponseError."""
+        try:
+            await self.budget.take(1, URGENT, BUDGET_WAIT_S)
+        except RateBudgetError as error:
+            raise CloudUnavailableError(str(error)) from None
+        data = b"" if body is None else wire.encode(body)
+        try:
+            response = await self.client.request(
+                self.address, method, target, data, REQUEST_TIMEOUT_S, still=still
+            )
+        except RequestNotSentError as error:
+            raise CloudUnavailableError(str(error)) from None
+        if _refused(response):
+            operation = f"{method} {target}"
+            raise CloudStatusError(operation, response.status)
+        return response
+
+
+def _refused(response: Response) -> bool:
+    """Whether the cloud did not even look at the request: too many of them, or an outage."""
+    if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
+        return b"capacity" not in response.body
+    return response.status == HTTPStatus.TOO_MANY_REQUESTS
--- a/umberward/clients/state_client.py
+++ b/umberward/clients/state_client.py
@@ -1,286 +1,332 @@
-"""Client of the state service, within this controller's part of its request limits."""
+"""Client of the state service, within this controller's share of its rate limits.
+
+The operations are compare-and-swap transactions, reads, watches and leases (PROTOCOL, "Controller
+nodes -> state service"). Every request takes from a budget first, so that the controllers together
+stay below the service's limits.
+"""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Iterable
-from typing import Any
+from dataclasses import dataclass
+from http import HTTPStatus
+from typing import Any, NamedTuple
 from urllib.parse import quote
 
-import curio
-
+from umberward.clients.errors import (
+    CompareAndSwapError,
+    LeaseExpiredError,
+    RateBudgetError,
+    RateLimitedError,
+    RevisionCompactedError,
+    StateUnavailableError,
+    UnexpectedStatusError,
+    UnknownOutcomeError,
+    ValueTooLargeError,
+)
+from umberward.clients.rate_budget import RateBudget
 from umberward.core.log import logger
 from umberward.core.settings import StateLimits
 from umberward.core.types import Address, Key, LeaseId, Revision, Version
 from umberward.protocol import wire
 from umberward.protocol.http import Client, NoResponseError, RequestNotSentError, Response
-from umberward.protocol.transactions import NORMAL, URGENT, VersionedValue
+from umberward.protocol.transactions import NORMAL, URGENT, Priority, VersionedValue
+
+__all__ = [
+    "CompareAndSwapError",
+    "LeaseExpiredError",
+    "ListResult",
+    "RateBudget",
+    "RateBudgetError",
+    "RateLimitedError",
+    "RevisionCompactedError",
+    "StateClient",
+    "StateUnavailableError",
+    "UnexpectedStatusError",
+    "UnknownOutcomeError",
+    "ValueTooLargeError",
+    "WatchResult",
+]
 
 log = logger(__name__)
 
-# Parts of the state service's limits. A little stays free: clocks and bursts differ.
+# Shares of the state service's limits. A little stays unused: clocks and bursts differ.
 USABLE_SHARE = 0.98
 LEADER_REQUEST_SHARE = 0.38
 LEADER_WRITE_SHARE = 0.58
-# Submissions come in bursts, and rarely at all controllers at once: so the others' writes may use
-# so much of the second's worth that the state service allows, though their rate is lower. If they
-# do all at once, it refuses some, and they are tried again.
+# Submissions come in bursts, and rarely at all controllers at once. So a follower may use this
+# share of one second's writes in a burst, although its rate is lower. If all followers do so at
+# once, the state service refuses some of the requests, which are then repeated.
 FOLLOWER_WRITE_BURST_SHARE = 0.4
 CHANGE_RATE_HEADROOM = 2.0
 
+READ_TIMEOUT_S = 1.5
+LIST_TIMEOUT_S = 3.0
+COMMIT_TIMEOUT_S = 2.0
+LEASE_TIMEOUT_S = 1.0
+WATCH_GRACE_S = 2.0  # beyond the time for which the service may delay its response
+READ_BUDGET_WAIT_S = 0.5
+REQUEST_BUDGET_WAIT_S = 1.0
+LEASE_RENEWAL_BUDGET_WAIT_S = 0.3
+LIST_PAGE_SIZE = 200
+MS_PER_S = 1000
+LOGGED_BODY_BYTES = 300
+ERROR_BODY_BYTES = 200
 
-class StateUnavailableError(Exception):
-    """The request was certainly not executed."""
-
-
-class RateBudgetError(StateUnavailableError):
-    """Our own part of the limits is used up for `wait` seconds."""
-
-    def __init__(self, wait: float) -> None:
-        super().__init__(f"over budget for {wait:.2f} s")
-        self.wait_s = wait
-
-
-class RateLimitedError(StateUnavailableError):
-    """Above the state service's rate: not executed, and fine in a moment."""
-
-
-class ValueTooLargeError(StateUnavailableError):
-    """The state service takes no value or transaction of that size: asking again is no use."""
-
-
-class UnknownOutcomeError(Exception):
-    """The request may have been executed, or may be executed later."""
-
-
-class CompareAndSwapError(Exception):
-    """A condition failed."""
-
-
-class LeaseExpiredError(Exception):
-    """The lease is over."""
 
+class ListResult(NamedTuple):
+    """All entries under a prefix, and a revision from which a watch misses no change of them."""
 
-class RevisionCompactedError(Exception):
-    """The service no longer keeps the changes asked for."""
+    entries: list[wire.KeyValue]
+    revision: Revision
 
 
-class RateBudget:
-    """A token bucket, of one second's worth if nothing else is said. Lower priorities leave some
-    for the higher ones."""
+class WatchResult(NamedTuple):
+    """Changes after the requested revision, and the revision to watch from next."""
 
-    RESERVE = (0.0, 0.15, 0.4)
+    changes: list[wire.KeyChange]
+    revision: Revision
 
-    def __init__(self, rate: float) -> None:
-        self.rate = rate
-        self.burst = rate
-        self.tokens = rate
-        self.filled_at = time.monotonic()
 
-    def set_rate(self, rate: float, depth: float = 0.0) -> None:
-        self._fill()
-        self.rate = rate
-        self.burst = max(rate, depth)
+@dataclass(frozen=True, slots=True)
+class _Request:
+    """One HTTP request, with its limits in seconds of this process's steady clock."""
 
-    def _fill(self) -> None:
-        now = time.monotonic()
-        self.tokens = min(self.burst, self.tokens + (now - self.filled_at) * self.rate)
-        self.filled_at = now
+    method: str
+    target: str
+    body: object = None  # None: an empty body
+    timeout_s: float = COMMIT_TIMEOUT_S
+    priority: Priority = NORMAL
+    budget_wait_s: float = REQUEST_BUDGET_WAIT_S
 
-    def wait_time(self, count: int, priority: int) -> float:
-        """Seconds until `count` may be taken; 0: now."""
-        self._fill()
-        need = min(count, self.rate) + self.RESERVE[priority] * self.rate
-        # Never ask for more than the bucket can hold.
-        need = min(need, self.rate)
-        return max(0.0, (need - self.tokens) / self.rate)
 
-    def drain(self) -> None:
-        """Others have used up what there was."""
-        self._fill()
-        self.tokens = min(self.tokens, 0.0)
-
-    async def take(self, count: int, priority: int, patience: float) -> None:
-        deadline = time.monotonic() + patience
-        while True:
-            wait = self.wait_time(count, priority)
-            if wait <= 0:
-                self.tokens -= count
-                return
-            if time.monotonic() + wait > deadline:
-                raise RateBudgetError(wait)
-            await curio.sleep(wait + 0.001)
+class StateClient:
+    """Operations on the state service.
 
+    All of them raise StateUnavailableError if the request was certainly not executed, and
+    UnknownOutcomeError if that cannot be known; further errors are named at each. `patience` is
+    the time in seconds that a request may wait for the rate budget.
+    """
 
-class StateClient:
-    def __init__(self, address: Address, limits: StateLimits, size: int, client: Client) -> None:
+    def __init__(
+        self, address: Address, limits: StateLimits, controller_count: int, client: Client
+    ) -> None:
+        """`limits` hold for all `controller_count` controllers together; start as a follower."""
         self.address = address
         self.limits = limits
-        self.strictest_limits = limits.strictest()  # comes into force without notice
-        later = limits.next.write_rps if limits.next is not None else None
-        self.max_write_rps = max(limits.write_rps, later or 0.0)
+        self.strictest_limits = limits.strictest()  # these come into force without notice
+        next_write_rps = limits.next.write_rps if limits.next is not None else None
+        self.max_write_rps = max(limits.write_rps, next_write_rps or 0.0)
         self.leading = False
         self.client = client
-        self.follower_count = max(1, size - 1)
+        self.follower_count = max(1, controller_count - 1)
         self.request_budget = RateBudget(limits.rps * LEADER_REQUEST_SHARE)
         self.write_budget = RateBudget(limits.write_rps * LEADER_WRITE_SHARE)
         self.set_role(leading=False)
-        self._entry = wire.decoder(wire.KeyValue)
-        self._listing = wire.decoder(wire.KeyValuePage)
-        self._news = wire.decoder(wire.WatchResponse)
-        self._generation = wire.decoder(wire.CommitResponse)
-        self._lease = wire.decoder(wire.LeaseResponse)
-
-    def set_role(self, leading: bool) -> None:
-        """The leader writes most; the parts of all controllers together stay below the limits."""
+        self._decode_entry = wire.decoder(wire.KeyValue)
+        self._decode_page = wire.decoder(wire.KeyValuePage)
+        self._decode_watch = wire.decoder(wire.WatchResponse)
+        self._decode_commit = wire.decoder(wire.CommitResponse)
+        self._decode_lease = wire.decoder(wire.LeaseResponse)
+
+    def set_role(self, *, leading: bool) -> None:
+        """Set the budgets for a leader or a follower.
+
+        The leader writes most. The shares of all controllers together stay below the limits.
+        """
         self.leading = leading
-        calls, writes = LEADER_REQUEST_SHARE, LEADER_WRITE_SHARE
+        request_share, write_share = LEADER_REQUEST_SHARE, LEADER_WRITE_SHARE
+        min_write_burst = 0.0
         if not leading:
-            calls, writes = (
-                (USABLE_SHARE - calls) / self.follower_count,
-                (USABLE_SHARE - writes) / self.follower_count,
-            )
-        self.request_budget.set_rate(self.limits.rps * calls)
-        burst = 0.0 if leading else FOLLOWER_WRITE_BURST_SHARE * self.limits.write_rps
-        self.write_budget.set_rate(self.limits.write_rps * writes, burst)
+            request_share = (USABLE_SHARE - request_share) / self.follower_count
+            write_share = (USABLE_SHARE - write_share) / self.follower_count
+            min_write_burst = FOLLOWER_WRITE_BURST_SHARE * self.limits.write_rps
+        self.request_budget.set_rate(self.limits.rps * request_share)
+        self.write_budget.set_rate(self.limits.write_rps * write_share, min_write_burst)
 
     @property
     def max_changes_per_s(self) -> float:
-        """How many times a second the revision may grow, with room to spare: writes, bursts of
-        them, and the keys of leases that end."""
+        """An upper bound of the revision's growth per second.
+
+        It has room for writes, bursts of them, and keys that are deleted when their leases end.
+        """
         return CHANGE_RATE_HEADROOM * self.max_write_rps
 
-    async def _call(
-        self,
-        method: str,
-        target: str,
-        body: Any = None,
-        timeout: float = 2.0,
-        priority: int = NORMAL,
-        patience: float = 1.0,
-    ) -> Response:
-        await self.request_budget.take(1, priority, patience)
-        data = b"" if body is None else wire.encode(body)
-        try:
-            response = await self.client.request(self.address, method, target, data, timeout)
-        except RequestNotSentError as error:
-            raise StateUnavailableError(str(error)) from None
-        except NoResponseError as error:
-            raise UnknownOutcomeError(str(error)) from None
-        if response.status == 429 and self.limits is not self.strictest_limits:
-            # It may have lowered its limits; if not, we have room to spare with the lower ones.
-            log.info(
-                "state_limits_lowered", reason="the state service refused a request for its rate"
-            )
-            self.limits = self.strictest_limits
-            self.set_role(self.leading)
-        if response.status == 429:
-            raise RateLimitedError(f"{method} {target}: 429")
-        if response.status == 503:
-            raise StateUnavailableError(f"{method} {target}: {response.status}")
-        return response
+    # ---- reads -------------------------------------------------------------------------
 
     async def get(
-        self, key: Key, priority: int = NORMAL, timeout: float = 1.5, patience: float = 0.5
+        self,
+        key: Key,
+        priority: Priority = NORMAL,
+        timeout: float = READ_TIMEOUT_S,
+        patience: float = READ_BUDGET_WAIT_S,
     ) -> VersionedValue | None:
-        response = await self._call("GET", f"/kv/{key}", None, timeout, priority, patience)
-        if response.status == 404:
+        """The value of a key; None: there is no such key."""
+        response = await self._send(
+            _Request("GET", f"/kv/{key}", None, timeout, priority, patience)
+        )
+        if response.status == HTTPStatus.NOT_FOUND:
             return None
-        if response.status != 200:
-            raise StateUnavailableError(f"get {key}: {response.status}")
-        entry = self._entry(response.body)
+        _require_ok(response, f"get {key}")
+        entry = self._decode_entry(response.body)
         return VersionedValue(entry.data, Version(entry.version))
 
     async def list_page(
-        self, prefix: str, last: str = "", most: int = 200, priority: int = URGENT
+        self,
+        prefix: str,
+        last: str = "",
+        most: int = LIST_PAGE_SIZE,
+        priority: Priority = URGENT,
     ) -> wire.KeyValuePage:
-        """So many entries behind the key `last`."""
+        """At most `most` entries with keys under `prefix` and behind the key `last`."""
         target = f"/kv?prefix={quote(prefix)}&most={most}"
         if last:
             target += f"&from={quote(last)}"
-        response = await self._call("GET", target, timeout=3.0, priority=priority)
-        if response.status != 200:
-            raise StateUnavailableError(f"list {prefix}: {response.status}")
-        return self._listing(response.body)  # type: ignore[no-any-return]
-
-    async def list_all(self, prefix: str) -> tuple[list[wire.KeyValue], Revision]:
-        """All entries, and a revision from which a watch misses no change of them."""
-        found: list[wire.KeyValue] = []
-        last = ""
-        revision: Revision | None = None
-        while True:
-            page = await self.list_page(prefix, last)
-            # The first page's revision: changes behind the pages already read come by the watch.
-            if revision is None:
-                revision = Revision(page.revision)
-            found += page.entries
-            if not page.more or not page.entries:
-                return found, revision
-            last = page.entries[-1].key
+        response = await self._send(
+            _Request("GET", target, timeout_s=LIST_TIMEOUT_S, priority=priority)
+        )
+        _require_ok(response, f"list {prefix}")
+        return self._decode_page(response.body)
+
+    async def list_all(self, prefix: str) -> ListResult:
+        """All entries with keys under `prefix`."""
+        page = await self.list_page(prefix)
+        # The first page's revision: a watch from there on also reports what changes in pages
+        # while later ones are read.
+        revision = Revision(page.revision)
+        entries = list(page.entries)
+        while page.more and page.entries:
+            page = await self.list_page(prefix, page.entries[-1].key)
+            entries += page.entries
+        return ListResult(entries, revision)
+
+    async def watch(
+        self, prefix: str, after: Revision, hold_s: float, grace_s: float = WATCH_GRACE_S
+    ) -> WatchResult:
+        """The changes under `prefix` after the revision `after`.
+
+        If there are none, the service delays its response by up to `hold_s` seconds. Raises
+        RevisionCompactedError if it no longer has these changes.
+        """
+        target = f"/watch?prefix={quote(prefix)}&from={after}&hold_ms={round(hold_s * MS_PER_S)}"
+        response = await self._send(
+            _Request("GET", target, timeout_s=hold_s + grace_s, priority=URGENT)
+        )
+        if response.status == HTTPStatus.GONE:
+            raise RevisionCompactedError
+        _require_ok(response, "watch")
+        answer = self._decode_watch(response.body)
+        return WatchResult(answer.changes, Revision(answer.revision))
+
+    # ---- transactions ------------------------------------------------------------------
 
     async def commit(
         self,
         conditions: Iterable[tuple[Key, Version]],
         writes: list[dict[str, Any]],
-        priority: int = NORMAL,
-        patience: float = 1.0,
-        timeout: float = 2.0,
+        priority: Priority = NORMAL,
+        patience: float = REQUEST_BUDGET_WAIT_S,
+        timeout: float = COMMIT_TIMEOUT_S,
     ) -> Revision:
-        """Raises Conflict, NoLease, Unavailable or Unknown."""
-        body = {"if": [{"path": key, "stamp": stamp} for key, stamp in conditions]}
+        """Execute `writes` if every key still has the version in `conditions` (0: no such key).
+
+        Returns the revision, which is the new version of the written keys. Raises
+        CompareAndSwapError if a condition failed, LeaseExpiredError if a write names a lease that
+        has ended, and ValueTooLargeError if the service accepts no transaction of that size.
+        """
+        body: dict[str, Any] = {
+            "if": [{"path": key, "stamp": version} for key, version in conditions]
+        }
         if writes:
             body["writes"] = writes
         deadline = time.monotonic() + patience
         while True:
-            left = max(0.0, deadline - time.monotonic())
+            left_s = max(0.0, deadline - time.monotonic())
             if writes:
-                await self.write_budget.take(len(writes), priority, left)
+                await self.write_budget.take(len(writes), priority, left_s)
             try:
-                response = await self._call("POST", "/commit", body, timeout, priority, left)
+                response = await self._send(
+                    _Request("POST", "/commit", body, timeout, priority, left_s)
+                )
                 break
             except RateLimitedError:
-                # All controllers together were too fast: we pause too, and ask again.
+                # The controllers together were too fast: this one pauses, too, and repeats it.
                 self.write_budget.drain()
                 if time.monotonic() >= deadline:
                     raise
-        if response.status == 200:
-            return Revision(self._generation(response.body).revision)
-        if response.status == 409:
-            raise CompareAndSwapError(repr(response.body[:200]))
-        if response.status == 400 and b"no such lease" in response.body:
+        return self._committed_revision(response)
+
+    def _committed_revision(self, response: Response) -> Revision:
+        if response.status == HTTPStatus.OK:
+            return Revision(self._decode_commit(response.body).revision)
+        if response.status == HTTPStatus.CONFLICT:
+            raise CompareAndSwapError(repr(response.body[:ERROR_BODY_BYTES]))
+        if response.status == HTTPStatus.BAD_REQUEST and b"no such lease" in response.body:
             raise LeaseExpiredError
-        log.error("commit_refused", status=response.status, body=repr(response.body[:300]))
-        if response.status == 400:
-            raise ValueTooLargeError("commit: 400")
-        raise StateUnavailableError(f"commit: {response.status}")
+        log.error(
+            "commit_refused",
+            status=response.status,
+            body=repr(response.body[:LOGGED_BODY_BYTES]),
+        )
+        if response.status == HTTPStatus.BAD_REQUEST:
+            raise ValueTooLargeError
+        raise UnexpectedStatusError("commit", response.status)
+
+    # ---- leases ------------------------------------------------------------------------
 
     async def grant_lease(self, ttl_s: float) -> LeaseId:
-        response = await self._call(
-            "POST", "/leases", {"ttl_ms": round(ttl_s * 1000)}, 1.0, priority=URGENT
-        )
-        if response.status != 200:
-            raise StateUnavailableError(f"lease: {response.status}")
-        return LeaseId(self._lease(response.body).lease_id)
+        """A new lease that ends `ttl_s` seconds after its last renewal, by the service's clock."""
+        body = {"ttl_ms": round(ttl_s * MS_PER_S)}
+        response = await self._send(_Request("POST", "/leases", body, LEASE_TIMEOUT_S, URGENT))
+        _require_ok(response, "lease")
+        return LeaseId(self._decode_lease(response.body).lease_id)
 
     async def renew_lease(self, lease: LeaseId, timeout: float) -> None:
+        """Renew a lease. Raises LeaseExpiredError if it has ended already."""
         target = f"/leases/{lease}/extend"
-        response = await self._call("POST", target, {}, timeout, priority=URGENT, patience=0.3)
-        if response.status == 404:
+        response = await self._send(
+            _Request("POST", target, {}, timeout, URGENT, LEASE_RENEWAL_BUDGET_WAIT_S)
+        )
+        if response.status == HTTPStatus.NOT_FOUND:
             raise LeaseExpiredError
-        if response.status != 200:
-            raise StateUnavailableError(f"extend: {response.status}")
+        _require_ok(response, "extend")
 
     async def revoke_lease(self, lease: LeaseId) -> None:
-        await self._call("DELETE", f"/leases/{lease}", None, 1.0, priority=URGENT)
+        """End a lease, and with it the keys that were written with it."""
+        await self._send(_Request("DELETE", f"/leases/{lease}", None, LEASE_TIMEOUT_S, URGENT))
 
-    async def watch(
-        self, prefix: str, after: Revision, hold_s: float, grace_s: float = 2.0
-    ) -> tuple[list[wire.KeyChange], Revision]:
-        target = f"/watch?prefix={quote(prefix)}&from={after}&hold_ms={round(hold_s * 1000)}"
-        response = await self._call("GET", target, None, hold_s + grace_s, priority=URGENT)
-        if response.status == 410:
-            raise RevisionCompactedError
-        if response.status != 200:
-            raise StateUnavailableError(f"watch: {response.status}")
-        news = self._news(response.body)
-        return news.changes, Revision(news.revision)
+    # ---- requests ----------------------------------------------------------------------
+
+    async def _send(self, request: _Request) -> Response:
+        """The response to a request, unless it says that the service did not execute it."""
+        await self.request_budget.take(1, request.priority, request.budget_wait_s)
+        body = b"" if request.body is None else wire.encode(request.body)
+        try:
+            response = await self.client.request(
+                self.address, request.method, request.target, body, request.timeout_s
+            )
+        except RequestNotSentError as error:
+            raise StateUnavailableError(str(error)) from None
+        except NoResponseError as error:
+            raise UnknownOutcomeError(str(error)) from None
+        if response.status == HTTPStatus.TOO_MANY_REQUESTS:
+            self._use_strictest_limits()
+            raise RateLimitedError(request.method, request.target)
+        if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
+            operation = f"{request.method} {request.target}"
+            raise UnexpectedStatusError(operation, response.status)
+        return response
+
+    def _use_strictest_limits(self) -> None:
+        """Assume that the service has lowered its limits; if not, the lower ones do no harm."""
+        if self.limits is self.strictest_limits:
+            return
+        log.info("state_limits_lowered", reason="the state service refused a request for its rate")
+        self.limits = self.strictest_limits
+        self.set_role(leading=self.leading)
+
+
+def _require_ok(response: Response, operation: str) -> None:
+    if response.status != HTTPStatus.OK:
+        raise UnexpectedStatusError(operation, response.status)
--- a/umberward/protocol/transactions.py
+++ b/umberward/protocol/transactions.py
@@ -1,7 +1,11 @@
-"""What is read from and written to the state service, as its transactions have it."""
+"""What is read from the state service and written to it, in the form of its transactions.
+
+The wire words of a write: `write` (the key to put), `data`, `charter` (the lease) and `delete`.
+"""
 
 from __future__ import annotations
 
+import enum
 from typing import Any
 
 import msgspec
@@ -9,23 +13,33 @@
 from umberward.core.types import Key, LeaseId, Version
 from umberward.protocol import wire
 
-URGENT, NORMAL, BACKGROUND = 0, 1, 2  # priorities under the limits
+
+class Priority(enum.IntEnum):
+    """How urgent a request to a rate-limited service is; the smallest value goes first."""
+
+    URGENT = 0
+    NORMAL = 1
+    BACKGROUND = 2
+
+
+URGENT, NORMAL, BACKGROUND = Priority.URGENT, Priority.NORMAL, Priority.BACKGROUND
 
 
 class VersionedValue(msgspec.Struct, rename={"version": "stamp"}):
-    """What stands under a key, and the version of it."""
+    """The decoded value of a key, and the version under which it was written."""
 
     data: Any
     version: Version
 
 
-def put(key: Key, data: Any, lease: LeaseId | None = None) -> dict[str, Any]:
-    """With a lease, the key is deleted when the lease ends."""
-    made: dict[str, Any] = {"write": key, "data": wire.to_builtins(data)}
+def put(key: Key, data: object, lease: LeaseId | None = None) -> dict[str, Any]:
+    """A write that stores `data` under `key`; the key is deleted when its `lease` ends."""
+    write: dict[str, Any] = {"write": key, "data": wire.to_builtins(data)}
     if lease is not None:
-        made["charter"] = lease
-    return made
+        write["charter"] = lease
+    return write
 
 
 def delete(key: Key) -> dict[str, Any]:
+    """A write that deletes `key`."""
     return {"delete": key}
--- a/umberward/scheduling/state_transaction.py
+++ b/umberward/scheduling/state_transaction.py
@@ -46,7 +46,7 @@
 
     conditions: list[tuple[Key, Version]]
     writes: list[dict[str, Any]]
-    priority: int
+    priority: transactions.Priority
     job_records: list[JobRecordWrite]
     final_records: list[FinalRecordWrite]
     blocks: list[BlockWrite]
@@ -57,7 +57,7 @@
 
     def __init__(self, max_changes: int) -> None:
         """Start with no changes and the priority URGENT."""
-        self.priority: int = transactions.URGENT
+        self.priority = transactions.URGENT
         self._max_changes = max_changes
         self._counted_bytes = 0
         self._conditions: list[tuple[Key, Version]] = []
