--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -10,9 +10,9 @@
 
 from umberward.core.types import Attempt, Instant, JobId, MachineId, TaskId
 from umberward.scheduling import invariants
-from umberward.scheduling.heartbeats import HeartbeatHandler
 from umberward.scheduling.invariants import Invariant, Invariants, InvariantViolationError
 from umberward.scheduling.jobs import Job, Placement
+from umberward.scheduling.reconciliation import TaskReconciliation
 from umberward.scheduling.scheduler import Scheduler
 
 JOB = JobId("req-000001")
@@ -101,7 +101,7 @@
 
 
 def test_a_forget_that_was_decided_wrongly_does_not_leave(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(HeartbeatHandler, "_may_forget", lambda *_: True)
+    monkeypatch.setattr(TaskReconciliation, "_may_forget", lambda *_: True)
     path = next(path for path in FILES if path.stem == "forget_not_while_start_unanswered")
     with pytest.raises(InvariantViolationError, match=Invariant.FORGOTTEN_FOR_GOOD.value):
         play(path)
--- a/umberward/scheduling/command_results.py
+++ b/umberward/scheduling/command_results.py
@@ -6,7 +6,7 @@
 from umberward.core.types import Instant, parse_task_id
 from umberward.protocol.wire import Heartbeat
 from umberward.scheduling.cluster_state import ClusterState, DirectCommand, Probe
-from umberward.scheduling.heartbeats import HeartbeatHandler
+from umberward.scheduling.heartbeats import HeartbeatHandler, HeartbeatSource
 from umberward.scheduling.machines import Machine
 from umberward.scheduling.reachability import Reachability
 
@@ -35,7 +35,7 @@
             return
         if report.machine_id != command.machine:
             self._address_reused(machine, command, report, now)
-        self.heartbeats.apply(report, now, hello=False)
+        self.heartbeats.apply(report, now, HeartbeatSource.RESPONSE)
 
     @staticmethod
     def _note_starts(machine: Machine, command: DirectCommand, unknown: bool) -> None:
@@ -74,12 +74,12 @@
             self.reachability.probe_unanswered(machine, now)
         if report is not None and report.machine_id != machine.id:
             self.reachability.suspect(machine, now, sure=True)  # another machine has its address
-            self.heartbeats.apply(report, now, hello=False)
+            self.heartbeats.apply(report, now, HeartbeatSource.RESPONSE)
         elif report is not None:
             if (report.incarnation, report.sequence) <= (machine.incarnation, machine.sequence):
                 machine.last_heard_at = self.cluster.last_heartbeat_at = now
                 self.reachability.confirm_reachable(machine, now)
-            self.heartbeats.apply(report, now, hello=False)
+            self.heartbeats.apply(report, now, HeartbeatSource.RESPONSE)
         elif now - machine.last_heard_at > self.cluster.heartbeat_timeout():
             if not machine.probe_unanswered:
                 log.info(
