--- a/tests/guards.py
+++ b/tests/guards.py
@@ -25,7 +25,7 @@
     dependencies,
     failure_attribution,
     failure_detector,
-    lease_delegation,
+    lease_bounds,
     machine_selection,
     reachability,
     scheduler,
@@ -39,7 +39,8 @@
 from umberward.scheduling.heartbeats import HeartbeatHandler
 from umberward.scheduling.inflight_commands import InflightStarts
 from umberward.scheduling.jobs import Job
-from umberward.scheduling.lease_delegation import Delegate, Delegator, LeaseBounds
+from umberward.scheduling.lease_bounds import LeaseBounds
+from umberward.scheduling.lease_delegation import Delegate, Delegator
 from umberward.scheduling.machines import Machine
 from umberward.scheduling.quota import Quota
 from umberward.scheduling.reachability import Reachability
@@ -51,7 +52,7 @@
 
 
 def lease_wait(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(lease_delegation, "LEASE_MARGIN_S", -8.0)
+    patch.setattr(lease_bounds, "LEASE_MARGIN_S", -8.0)
 
 
 def loan_bound(patch: pytest.MonkeyPatch) -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -51,7 +51,8 @@
 from umberward.scheduling.autoscaler import Autoscaler
 from umberward.scheduling.cluster_state import DirectCommand, Probe
 from umberward.scheduling.command_queue import CommandQueue
-from umberward.scheduling.lease_delegation import Delegate, LeaseBounds
+from umberward.scheduling.lease_bounds import LeaseBounds
+from umberward.scheduling.lease_delegation import Delegate
 from umberward.scheduling.scheduler import Scheduler
 
 STEP = 0.1
--- a/umberward/control/job_state_cache.py
+++ b/umberward/control/job_state_cache.py
@@ -31,7 +31,7 @@
     JobRecord,
 )
 from umberward.scheduling.dependencies import DependencyGraph
-from umberward.scheduling.lease_delegation import LeaseBounds
+from umberward.scheduling.lease_bounds import LeaseBounds
 
 log = logger(__name__)
 
--- a/umberward/leader/leader_election.py
+++ b/umberward/leader/leader_election.py
@@ -23,7 +23,7 @@
     Version,
 )
 from umberward.protocol import transactions, wire
-from umberward.scheduling.lease_delegation import LeaseBounds
+from umberward.scheduling.lease_bounds import LeaseBounds
 
 log = logger(__name__)
 
--- a/umberward/scheduling/failure_detector.py
+++ b/umberward/scheduling/failure_detector.py
@@ -281,7 +281,7 @@
         if self.cluster.jobs_read_at is None:
             return None
         zone = self.delegator.delegates.get(borrower)
-        serial = self.delegator.issue(borrower, seen, idle, now)
+        serial = self.delegator.issue(borrower, seen, now, unused=idle)
         hosts = []
         for machine in self.cluster.machines.values() if self.cluster.loaded else ():
             if (
--- a/umberward/scheduling/lease_delegation.py
+++ b/umberward/scheduling/lease_delegation.py
@@ -1,85 +1,44 @@
-"""How long workers' sessions may be kept alive, and by whom if a zone is cut off. No I/O.
+"""Renewal of worker leases by another controller while a zone is cut off from the leader. No I/O.
 
-All bounds stand in `Bounds`: who answers a worker, and who waits for a session's end, count with
-the same terms (docs/design.md, "Silence of the state service").
+A zone may be cut off together with a controller in it. That controller, the delegate, sends no
+commands there, but if it answers the zone's workers with the fencing token that they know, their
+leases do not expire and their tasks go on. Two rules follow, and this module ensures both:
 
-A zone may be cut off with a controller in it. That controller commands nothing there, but if it
-answers the zone's workers with the token that they know, their leases do not run out and their
-tasks go on. Two things follow, and this module keeps both:
+- A task cancelled by a user meanwhile must be gone in time. So the leader delegates machines only
+  while it knows them to run nothing cancelled, and the delegation ends early enough that each
+  session ends within `cancel_s` after the last moment up to which the leader knew of all
+  cancellations.
+- The leader must not take a session for over that a delegate has renewed. So it counts a delegated
+  machine as alive for as long as the delegation may last, unless each delegate of the machine's
+  zone reports that it has not used the delegation.
 
-- A task that a user has cancelled meanwhile must be gone in time. So the leader lends machines only
-  as it knows them to be without anything cancelled, and the loan ends so early that a session ends
-  within `cancel_s` after the last moment of which the leader knew all cancellations.
-- The leader must not take a session for over that somebody else has kept alive. So it counts a
-  machine that it has lent as alive for as long as the loan may last, unless each controller that
-  has a loan says that it made no use of it.
-
-docs/design.md, "A zone that is cut off", has the argument.
+docs/design.md, "A zone that is cut off", has the argument. The durations are in `lease_bounds`.
 """
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import msgspec
 
 from umberward.core.settings import WorkerTimes
 from umberward.core.types import ControllerName, FencingToken, Instant, MachineId, ZoneName
+from umberward.scheduling.lease_bounds import LeaseBounds
 
-CLOCK_DRIFT_FACTOR = 1.001  # twice as much as two steady clocks drift apart
-LEASE_MARGIN_S = 0.5
-START_AFTER_READ_S = 3.0  # several times as long as a reading takes, and a common lease's length
-LEADER_REACHABLE_S = (
-    2.5  # a leader that answered so lately is within reach: its workers are sent to it
-)
-
-
-class LeaseBounds:
-    """Lengths of time, in seconds, after which something is sure; from the settings of the workers.
-
-    A cancellation that we don't know was confirmed after `known`: the moment at which the latest
-    answered reading of the jobs was *asked*. An answer that we send at t < known + tend_s is to a
-    report that was sent before t, so the session that it keeps alive is over by
-
-        t + lease_s * DRIFT < known + (tend_s + lease_s) * DRIFT = known + cancel_s - MARGIN_S
-
-    by any of the clocks, and so within `cancel_s` of the cancellation. `held` bounds it likewise:
-    the moment at which the latest granted renewal of our lease was sent. Whoever leads after us was
-    elected later, and can count on all that we keep alive being over `takeover_s` after that.
-    """
-
-    def __init__(self, workers: WorkerTimes) -> None:
-        # 0: there is no time in which a session could be kept alive without the state service.
-        self.keepalive_s = max(
-            0.0, (workers.cancel_s - LEASE_MARGIN_S) / CLOCK_DRIFT_FACTOR - workers.lease_s
-        )
-        # After our answer was ready, the session that it keeps alive is over.
-        self.lease_s = workers.lease_s * CLOCK_DRIFT_FACTOR + LEASE_MARGIN_S
-        # After we have lent the machine: the borrower answers for tend_s at most.
-        self.delegated_s = workers.cancel_s * CLOCK_DRIFT_FACTOR + LEASE_MARGIN_S
-        # After a term has begun: the former holder's last renewal was granted before that.
-        self.takeover_s = workers.cancel_s * CLOCK_DRIFT_FACTOR + 2 * LEASE_MARGIN_S
-
-    def may_answer(self, known: Instant | None, held: Instant, now: Instant) -> bool:
-        """Whether a report may be answered so that its session goes on. To be asked at the moment
-        of sending, by whoever answers: a term that has read nothing knows nothing (None)."""
-        return known is not None and now < min(known, held) + self.keepalive_s
-
-    def may_start(self, known: Instant | None, now: Instant) -> bool:
-        """Whether something may be started by one who leads. To be asked at the moment of sending.
-
-        A cancellation that we don't know was confirmed after `known`, so a start of what it was
-        about is sent less than STARTS_S after it, however slowly we are told.
-        """
-        return known is not None and now < known + START_AFTER_READ_S
+# A leader that answered within this time is in reach: its workers are redirected to it.
+LEADER_REACHABLE_S = 2.5
+SEQUENCES_PER_TERM_BITS = 20  # a term's delegations are numbered from its token shifted by these
 
 
 class Delegation(
     msgspec.Struct,
     rename={"fencing_token": "epoch", "jobs_read_age_s": "age", "machine_ids": "hosts"},
 ):
-    """What the leader answers to a controller that asks for the machines of its zone.
+    """The leader's response to a controller that asks for the machines of its zone.
 
-    `serial` is said back with the next question; `age`: how many seconds ago the leader knew of
-    all cancellations.
+    `fencing_token` is the leader's; `serial` is returned with the controller's next request;
+    `jobs_read_age_s` is how many seconds ago the leader knew of all cancellations; `machine_ids`
+    are the machines that the controller may answer.
     """
 
     fencing_token: int
@@ -88,99 +47,138 @@
     machine_ids: list[str]
 
 
+class _Issued(NamedTuple):
+    """The latest delegation to a controller: its number, and when the leader issued it."""
+
+    sequence: int
+    at: Instant
+
+
+class _UnusedPeriod(NamedTuple):
+    """A period in which a delegate has certainly renewed no session."""
+
+    since: Instant
+    until: Instant
+
+
 class Delegator:
-    """The leader's side: what was lent, and who says that it made no use of it."""
+    """The leader's side: what was delegated, and which delegates have not used it."""
 
     def __init__(
-        self, workers: WorkerTimes, borrowers: dict[ControllerName, ZoneName], term: int
+        self,
+        workers: WorkerTimes,
+        delegates: dict[ControllerName, ZoneName],
+        term_token: int,
     ) -> None:
-        """`borrowers`: the other controllers, with the zone of each."""
+        """`delegates`: the other controllers, with the zone of each; `term_token`: this term's."""
         self.bounds = LeaseBounds(workers)
-        self.delegates = borrowers
-        self.zones = set(borrowers.values())
-        self.last_serial = term << 20  # no two leaders give the same
-        self.issued: dict[ControllerName, tuple[int, Instant]] = {}
-        self.acknowledged: dict[ControllerName, int] = {}
-        # While a controller has made no use of loans: from when until when that is known.
-        self.unused_between: dict[ControllerName, tuple[Instant, Instant]] = {}
-
-    def issue(self, borrower: ControllerName, seen: int, idle: bool, now: Instant) -> int:
-        """A controller asks; returns the serial of the answer.
-
-        It says which answer was the last that it had, and whether it has used no loan since it
-        asked for that one. This covers the time until we gave that answer, and not more: the
-        question itself may have been under way for any time.
+        self.delegates = delegates
+        self.zones = set(delegates.values())
+        # No two leaders issue the same number.
+        self._last_sequence = term_token << SEQUENCES_PER_TERM_BITS
+        self._issued: dict[ControllerName, _Issued] = {}
+        self._acknowledged: dict[ControllerName, int] = {}
+        self._unused: dict[ControllerName, _UnusedPeriod] = {}
+
+    def issue(
+        self, delegate: ControllerName, acknowledged: int, now: Instant, *, unused: bool
+    ) -> int:
+        """Number the response to a delegate's request; returns the number.
+
+        `acknowledged` is the number of the last response that the delegate had (0: none), and
+        `unused` says that it has renewed no session since it requested that one. This covers the
+        time until the leader issued that response, and not more: the request itself may have been
+        under way for any time.
         """
-        serial, at = self.issued.get(borrower, (0, now))
-        if not idle or not seen:
-            self.unused_between.pop(borrower, None)
-        elif seen == serial:
-            since, _ = self.unused_between.get(borrower, (at, at))
-            self.unused_between[borrower] = (since, at)
-        elif seen != self.acknowledged.get(borrower):
-            self.unused_between.pop(
-                borrower, None
-            )  # else the last answer was lost: nothing new is known
-        self.acknowledged[borrower] = seen
-        self.last_serial += 1
-        self.issued[borrower] = (self.last_serial, now)
-        return self.last_serial
+        issued = self._issued.get(delegate, _Issued(0, now))
+        if not unused or not acknowledged:
+            self._unused.pop(delegate, None)
+        elif acknowledged == issued.sequence:
+            known = self._unused.get(delegate)
+            since = issued.at if known is None else known.since
+            self._unused[delegate] = _UnusedPeriod(since, issued.at)
+        elif acknowledged != self._acknowledged.get(delegate):
+            # Otherwise the last response was lost, and nothing new is known.
+            self._unused.pop(delegate, None)
+        self._acknowledged[delegate] = acknowledged
+        self._last_sequence += 1
+        self._issued[delegate] = _Issued(self._last_sequence, now)
+        return self._last_sequence
 
     def lease_expired(
-        self, zone: ZoneName, answered: Instant, lent: Instant | None, now: Instant
+        self, zone: ZoneName, answered_at: Instant, delegated_at: Instant | None, now: Instant
     ) -> bool:
-        """Whether a worker's session is surely over: we have answered it last at `answered`, and
-        have lent it last at `lent`."""
-        if now - answered <= self.bounds.lease_s:
+        """Whether a worker's session is certainly over.
+
+        The leader last answered the worker at `answered_at`, and last delegated it at
+        `delegated_at` (None: never), both by the leader's steady clock.
+        """
+        if now - answered_at <= self.bounds.lease_s:
             return False
-        if lent is None or now - lent > self.bounds.delegated_s:
+        if delegated_at is None or now - delegated_at > self.bounds.delegated_s:
             return True
-        spans = [
-            self.unused_between.get(name) for name, place in self.delegates.items() if place == zone
-        ]
         return all(
-            span is not None and span[0] <= answered and span[1] - answered > self.bounds.lease_s
-            for span in spans
+            self._unused_for_a_lease(delegate, answered_at)
+            for delegate, delegate_zone in self.delegates.items()
+            if delegate_zone == zone
+        )
+
+    def _unused_for_a_lease(self, delegate: ControllerName, answered_at: Instant) -> bool:
+        """Whether the delegate has renewed nothing for a whole lease after `answered_at`."""
+        period = self._unused.get(delegate)
+        return (
+            period is not None
+            and period.since <= answered_at
+            and period.until - answered_at > self.bounds.lease_s
         )
 
 
 class Delegate:
-    """The other controllers' side: the loan that counts, and for how long."""
+    """The side of the other controllers: the delegation in force, and for how long it may be used.
+
+    All moments are of this controller's steady clock.
+    """
 
     def __init__(self, workers: WorkerTimes) -> None:
+        """Begin without a delegation."""
         self.bounds = LeaseBounds(workers)
-        self.serial = 0  # of the last answer
-        self.fencing_token = FencingToken(0)
-        self.machine_ids: frozenset[str] = frozenset()
-        self.jobs_read_at = Instant(0.0)  # the leader knew of all that was cancelled until then
-        self.asked_at = Instant(0.0)
-        self.leader_reached_at = Instant(0.0)
-        self.used_at = Instant(-1.0)
+        self.serial = 0  # of the last delegation accepted
+        self.fencing_token = FencingToken(0)  # the leader's that issued it
+        self.machine_ids: frozenset[str] = frozenset()  # the machines that may be answered
+        self.jobs_read_at = Instant(0.0)  # until then the leader knew of all cancellations
+        self.asked_at = Instant(0.0)  # when the delegation was requested
+        self.leader_reached_at = Instant(0.0)  # when the leader last responded
+        self.used_at = Instant(-1.0)  # when a delegation was last used
 
     @property
     def unused(self) -> bool:
-        """No loan was used since we asked for the one that we have."""
+        """Whether no session was renewed since the delegation in force was requested."""
         return self.used_at < self.asked_at
 
-    def accept(self, loan: Delegation, asked: Instant, now: Instant) -> None:
-        """The leader's answer to what we asked at `asked`, which was before it was made."""
-        self.serial = loan.serial
-        self.fencing_token = FencingToken(loan.fencing_token)
-        self.machine_ids = frozenset(loan.machine_ids)
-        self.jobs_read_at = Instant(asked - loan.jobs_read_age_s)
-        self.asked_at = asked
+    def accept(self, delegation: Delegation, asked_at: Instant, now: Instant) -> None:
+        """Put a delegation into force.
+
+        `asked_at` is when this controller sent the request. The leader issued the delegation
+        later, so counting from the request is safe.
+        """
+        self.serial = delegation.serial
+        self.fencing_token = FencingToken(delegation.fencing_token)
+        self.machine_ids = frozenset(delegation.machine_ids)
+        self.jobs_read_at = Instant(asked_at - delegation.jobs_read_age_s)
+        self.asked_at = asked_at
         self.leader_reached_at = now
 
-    def may_answer(self, host: MachineId, epoch: int, now: Instant) -> bool:
-        """Whether the report of this worker, which has seen that token, may be answered with it.
+    def may_answer(self, machine_id: MachineId, fencing_token: int, now: Instant) -> bool:
+        """Whether a worker's heartbeat may be answered; if so, the delegation counts as used.
 
-        To be asked again when the answer is ready to be sent.
+        `fencing_token` is the highest that the worker has seen: a delegation holds for the token
+        it was issued under only. To be called once the response is ready to be sent.
         """
         if (
-            epoch != self.fencing_token
+            fencing_token != self.fencing_token
             or not self.bounds.may_answer(self.jobs_read_at, self.asked_at, now)
             or now - self.leader_reached_at <= LEADER_REACHABLE_S
-            or host not in self.machine_ids
+            or machine_id not in self.machine_ids
         ):
             return False
         self.used_at = now
--- a/umberward/scheduling/reachability.py
+++ b/umberward/scheduling/reachability.py
@@ -18,7 +18,7 @@
 from umberward.core.log import logger
 from umberward.core.types import Instant, MachineId
 from umberward.scheduling.cluster_state import ClusterState, Probe
-from umberward.scheduling.lease_delegation import LeaseBounds
+from umberward.scheduling.lease_bounds import LeaseBounds
 from umberward.scheduling.machines import UNREACHABLE_AFTER_PROBES, Machine
 
 log = logger(__name__)
