--- a/umberward/scheduling/command_results.py
+++ b/umberward/scheduling/command_results.py
@@ -71,7 +71,7 @@
             return
         machine.probing = False
         if report is None:
-            self.reachability.probe_unanswered(machine, now)
+            self.reachability.probe_unanswered(machine)
         if report is not None and report.machine_id != machine.id:
             self.reachability.suspect(machine, now, sure=True)  # another machine has its address
             self.heartbeats.apply(report, now, HeartbeatSource.RESPONSE)
--- a/umberward/scheduling/failure_detector.py
+++ b/umberward/scheduling/failure_detector.py
@@ -1,11 +1,15 @@
-"""What time alone tells: who is silent, whose lease is over, and whether it is we who are cut off.
+"""Failure detection from elapsed time: silent machines, expired leases, cut-off zones. No I/O.
 
-No I/O.
+Silence alone does not tell which side has failed. `FailureDetector` therefore distinguishes a
+machine that is down, a zone that is cut off, a leader that is itself cut off from the workers, and
+a leader whose process was paused. All moments are of the leader's steady clock.
 """
 
 from __future__ import annotations
 
 import heapq
+import math
+from collections.abc import Iterable
 
 from umberward.core.log import logger
 from umberward.core.types import (
@@ -22,278 +26,386 @@
 
 log = logger(__name__)
 
-SOON_S = 0.1  # less than a tick: at the next one
-COUNT_INTERVAL_S = 0.5  # how often all machines are counted
-MIN_WORKERS = 4  # with fewer it can't be told whether they or we are cut off
-PROBED_WORKERS = 8  # workers that are asked when none is heard
-PROBE_WAIT_S = 1.2  # by then they have answered, or won't
-MANY_WORKERS = 20  # so many report at moments spread evenly enough
-HEARTBEAT_MARGIN_S = 1.0
-INDEPENDENT_FAILURE_SHARE = 0.1  # of the machines may die at once, more are rather cut off
+CHECK_AGAIN_S = 0.1  # less than the interval of ticks: checked again at the next one
+COUNT_INTERVAL_S = 0.5  # all machines are counted this often
+COUNT_MARGIN_S = 1.0  # added to the heartbeat timeout when they are counted
+MIN_WORKERS = 4  # with fewer, a cut-off leader can't be told from failed workers
+PROBED_WORKERS = 8  # workers that are probed when none is heard
+PROBE_WAIT_S = 1.2  # a worker in reach has answered a probe by then
+MANY_WORKERS = 20  # the heartbeats of this many are spread evenly enough over their interval
+HEARTBEAT_INTERVAL_FACTOR = 1.25  # the longest regular interval between heartbeats, by its setting
+HEARTBEAT_MARGIN_S = 1.0  # added to that interval for delays on the way
+INDEPENDENT_FAILURES_MIN = 3  # this many machines may fail at once for reasons of their own, or
+INDEPENDENT_FAILURE_SHARE = 0.1  # ... this share of all; more are rather cut off
 ZONE_HEARD_SHARE_MIN = 0.5  # of a zone's machines: where fewer are heard, the zone may be cut off
-PAUSE_DETECTED_S = (
-    1.0  # without a message for so long, it was we who stood still: ticks are frequent
-)
+ISOLATED_HEARD_SHARE = 0.25  # of the machines seen: where fewer are heard, the leader is isolated
+ISOLATED_AFTER_TIMEOUTS = 2  # heartbeat timeouts of a term in which isolation is not concluded
+OVERDUE_TO_ALIVE_MAX = 0.7  # with relatively more machines overdue, none of them is deleted
+LATE_DELETION_LEASE_SHARE = 0.8  # of its lease a machine is silent before deletion, if many are
+PAUSE_DETECTED_S = 1.0  # ticks are frequent: after a longer gap the process itself was paused
+
+NO_CHECK_DUE = Instant(math.inf)
 
 
 class FailureDetector:
-    def __init__(self, cluster: ClusterState, lender: Delegator, ears: Reachability) -> None:
+    """Decides which machines, zones or leaders have failed, as the leader that runs it sees it."""
+
+    def __init__(
+        self, cluster: ClusterState, delegator: Delegator, reachability: Reachability
+    ) -> None:
+        """Watch the machines of `cluster`; `delegator` tells whose leases others may renew."""
         self.cluster = cluster
-        self.reachability = ears
-        self.delegator = lender
+        self.reachability = reachability
+        self.delegator = delegator
         self.cut_off_zones: set[ZoneName] = set()  # zones that may be cut off
-        self.checks: list[tuple[Instant, MachineId]] = []  # a heap: when to look at which machine
-        self.machines_seen = 0  # machines that have reported to us
-        self.machines_heard = 0  # ... and do so still
+        # A heap of when to check which machine next: one entry for each machine.
+        self.checks: list[tuple[Instant, MachineId]] = []
+        self.machines_seen = 0  # machines that have sent a heartbeat to this leader
+        self.machines_heard = 0  # ... and still do
         self.count_not_before = cluster.started
-        self.suspected_since: Instant | None = None  # since when we may be cut off, and have asked
+        # Since when this leader may be cut off, and has sent probes to find out.
+        self.suspected_since: Instant | None = None
 
     def detect_pause(self, now: Instant) -> None:
-        """To be called before anything else is decided, with the clock read anew.
+        """Discount a pause of this process; called before any decision, with a fresh `now`.
 
-        If we stood still, the machines were not silent: it was we who did not listen, and what they
-        sent meanwhile is still to be read. Their leases ran on all the same.
+        While the process was paused the machines were not silent: the leader did not listen, and
+        what they sent meanwhile is still to be read. Their leases ran on all the same.
         """
-        gap = now - self.cluster.last_wake
+        pause_s = now - self.cluster.last_wake
         self.cluster.last_wake = now
-        if gap <= PAUSE_DETECTED_S:
+        if pause_s <= PAUSE_DETECTED_S:
             return
-        log.info("process_paused", seconds=round(gap, 1))
-        self.cluster.last_heartbeat_at = min(now, Instant(self.cluster.last_heartbeat_at + gap))
+        log.info("process_paused", seconds=round(pause_s, 1))
+        self.cluster.last_heartbeat_at = min(now, Instant(self.cluster.last_heartbeat_at + pause_s))
         self.suspected_since = None
         for machine in self.cluster.machines.values():
-            machine.last_heard_at = min(now, Instant(machine.last_heard_at + gap))
-            machine.heartbeat_at = min(now, Instant(machine.heartbeat_at + gap))
+            machine.last_heard_at = min(now, Instant(machine.last_heard_at + pause_s))
+            machine.heartbeat_at = min(now, Instant(machine.heartbeat_at + pause_s))
 
     def tick(self, now: Instant) -> None:
-        """Sessions that are over, machines to ask, and whether all is settled."""
+        """End expired sessions, probe silent machines, and note the end of reconciliation."""
         for machine in self.cluster.unscheduled_checks:
             heapq.heappush(self.checks, (now, machine.id))
         self.cluster.unscheduled_checks.clear()
-        # Each machine has one entry, of when to look at it next: reports only put that off, and
-        # nothing is done about them here until it has come.
-        while self.checks and self.checks[0][0] <= now:
-            id = self.checks[0][1]
-            found = self.cluster.machines.get(id)
-            if found is None:
-                heapq.heappop(self.checks)
-            else:
-                heapq.heapreplace(self.checks, (self._check_machine(found, now), id))
+        self._run_due_checks(now)
         self._probe_when_silent(now)
         if not self.cluster.all_settled and self.cluster.loaded:
-            waiting = [
-                m
-                for m in self.cluster.machines.values()
-                if not (m.reconciled or m.predecessor_expired)
-            ]
-            if not waiting:
-                self.cluster.all_settled = True
-                for job in self.cluster.jobs.values():
-                    job.requeue_unlocated()
-                    self.cluster.unplaced[job.id] = job
-                self.cluster.pass_wanted = True
-                log.info("reconciliation_completed", after_s=round(now - self.cluster.started, 1))
-
-    def _check_machine(self, machine: Machine, now: Instant) -> Instant:
-        """What time tells of one machine; when to look at it again."""
-        soon = Instant(now + SOON_S)
-        silence = self.cluster.heartbeat_timeout()
-        quiet = now - machine.last_heard_at
-        if quiet > silence and not machine.probing and not machine.returning:
-            machine.probing = True
-            self.cluster.outbox.append(Probe(machine.id, machine.address))
-        due = now + silence
-        if not machine.returning:
-            due = soon if machine.probing else min(due, machine.last_heard_at + silence)
-        if machine.no_heartbeats_since is None and not (
-            machine.probe_unanswered or machine.returning
-        ):
-            if now - machine.heartbeat_at > self.reachability.no_heartbeat_s:
-                self.reachability.heartbeats_missing(machine, now)
-            else:
-                due = min(due, machine.heartbeat_at + self.reachability.no_heartbeat_s)
-        if machine.reconciled:
-            if machine.answered_at is not None:
-                if self.delegator.lease_expired(
-                    machine.zone, machine.answered_at, machine.delegated_at, now
-                ):
-                    # Its lease has run out: it has killed all that it had.
-                    self._expire_lease(machine)
-                else:
-                    due = min(due, machine.answered_at + self.delegator.bounds.lease_s)
-        elif not machine.predecessor_expired:
-            takeover = self.delegator.bounds.takeover_s
-            if now - self.cluster.started > takeover:
-                machine.predecessor_expired = (
-                    True  # nobody can have kept its session alive for so long
-                )
-            else:
-                due = min(due, self.cluster.started + takeover)
-        return max(soon, Instant(due))
-
-    def _count(self, now: Instant) -> None:
-        """How many machines were met, and are heard; once in a while, as they are many."""
-        if now < self.count_not_before:
-            return
-        self.count_not_before = Instant(now + COUNT_INTERVAL_S)
-        late = now - self.cluster.heartbeat_timeout() - 1.0
-        met = [m for m in self.cluster.machines.values() if m.heartbeat_seen]
-        self.machines_seen = len(met)
-        self.machines_heard = sum(
-            1 for m in met if not (m.probe_unanswered or m.unreachable) and m.last_heard_at > late
-        )
+            self._check_reconciliation_completed(now)
 
     def hears_nothing(self, now: Instant) -> bool:
-        """Whether no worker at all is heard, though so many should report that one would be."""
+        """Whether no worker is heard, though of so many at least one should have been."""
         self._count(now)
-        met = self.machines_seen
-        if met < MIN_WORKERS:
+        if self.machines_seen < MIN_WORKERS:
             return False
-        # Each reports at least so often; the more there are, the sooner one of them does.
-        longest = (
-            1.25 * self.cluster.worker_times.report_s * min(1.0, MANY_WORKERS / met)
-            + HEARTBEAT_MARGIN_S
-        )
-        return now - self.cluster.last_heartbeat_at > longest
-
-    def _probe_when_silent(self, now: Instant) -> None:
-        """Nothing is heard: ask some workers before anything follows from it.
-
-        Machines that came up in one moment report in one moment for a while, and between two such
-        moments all of them are silent.
-        """
-        if not self.hears_nothing(now):
-            self.suspected_since = None
-        elif self.suspected_since is None:
-            self.suspected_since = now
-            met = [
-                m for m in self.cluster.machines.values() if m.heartbeat_seen and not m.returning
-            ]
-            for machine in self.cluster.rng.sample(met, min(PROBED_WORKERS, len(met))):
-                machine.probing = True
-                self.cluster.outbox.append(Probe(machine.id, machine.address))
+        # The more workers there are, the shorter is the longest gap between two heartbeats.
+        interval_share = min(1.0, MANY_WORKERS / self.machines_seen)
+        return now - self.cluster.last_heartbeat_at > self._heartbeat_overdue_s(interval_share)
 
     def is_isolated(self, now: Instant) -> bool:
-        """Whether the workers seem to be out of our reach, all but a few."""
-        if now - self.cluster.started < 2 * self.cluster.heartbeat_timeout():
+        """Whether the workers seem to be out of this leader's reach, all but a few."""
+        if now - self.cluster.started < ISOLATED_AFTER_TIMEOUTS * self.cluster.heartbeat_timeout():
             return False
         if self.suspected_since is not None and now - self.suspected_since > PROBE_WAIT_S:
             return True
-        return self.machines_seen >= MIN_WORKERS and self.machines_heard < 0.25 * self.machines_seen
+        return (
+            self.machines_seen >= MIN_WORKERS
+            and self.machines_heard < ISOLATED_HEARD_SHARE * self.machines_seen
+        )
 
     def heard_no_machine(self, now: Instant) -> bool:
-        """Whether not one of the machines we took over has been heard of, though by now each that
-        we can reach should have reported, or have answered our question.
+        """Whether this leader has heard no machine since its term began, though it should have.
 
-        `deaf` and `cut_off` count machines that were met: a new leader that is cut off itself meets
-        none. All may be dead as well, so that this alone is no reason to give way.
+        By now each machine in reach should have sent a heartbeat or answered a probe.
+        `hears_nothing` and `is_isolated` count the machines that were seen: a new leader that is
+        cut off itself has seen none. All machines may be down as well, so this alone is no reason
+        to step down.
         """
-        if (
-            now - self.cluster.started
-            < 1.25 * self.cluster.worker_times.report_s + HEARTBEAT_MARGIN_S
-        ):
+        if now - self.cluster.started < self._heartbeat_overdue_s():
             return False
         machines = self.cluster.machines.values()
         return len(machines) >= MIN_WORKERS and not any(m.heartbeat_seen for m in machines)
 
+    def select_machines_to_delete(self, now: Instant) -> None:
+        """Mark silent machines for deletion, which frees their tasks before their lease does.
+
+        Many silent machines at once mean that the leader or their zone is cut off, not that they
+        are down: their tasks go on until their leases are nearly over, and until then the machines
+        are kept. If hardly any machine is heard, it is the leader that is cut off.
+        """
+        if not self.cluster.unanswered_probes:
+            return
+        silent = self._find_silent_machines(now)
+        self.cluster.unanswered_probes = {machine.id for machine in silent}
+        if not silent:
+            return
+        preempted = [machine for machine in silent if machine.notice_at is not None]
+        self._mark_for_deletion(preempted)
+        cut_off_zones = self._update_cut_off_zones(now)
+        silent = [
+            machine
+            for machine in silent
+            if machine.zone not in cut_off_zones
+            or machine.lease_expired
+            or machine.predecessor_expired
+        ]
+        self._mark_unless_cut_off(silent, preempted, now)
+
+    def delegate(
+        self,
+        delegate: ControllerName,
+        acknowledged: int,
+        unused: bool,  # noqa: FBT001 - the scheduler passes the request on by position
+        now: Instant,
+    ) -> Delegation | None:
+        """Delegate the machines of a controller's zone to it, for when the zone is cut off.
+
+        `acknowledged` is the number of the last delegation that it accepted, and `unused` says
+        that it has renewed no session since it requested that one. Returns None while this leader
+        has read no jobs and so knows of no cancellations.
+        """
+        if self.cluster.jobs_read_at is None:
+            return None
+        zone = self.delegator.delegates.get(delegate)
+        sequence = self.delegator.issue(delegate, acknowledged, now, unused=unused)
+        machine_ids = []
+        for machine in self.cluster.machines.values() if self.cluster.loaded else ():
+            if machine.zone == zone and self._may_delegate(machine, now):
+                machine.delegated_at = now
+                machine_ids.append(str(machine.id))
+        jobs_read_age_s = max(0.0, now - self.cluster.jobs_read_at)
+        return Delegation(self.cluster.fencing_token, sequence, jobs_read_age_s, machine_ids)
+
+    # ---- checks of single machines -----------------------------------------------------------
+
+    def _run_due_checks(self, now: Instant) -> None:
+        """Check the machines whose check is due.
+
+        Heartbeats only postpone a check, so an entry is moved when its moment has come and not
+        with each heartbeat.
+        """
+        while self.checks and self.checks[0][0] <= now:
+            machine_id = self.checks[0][1]
+            machine = self.cluster.machines.get(machine_id)
+            if machine is None:
+                heapq.heappop(self.checks)
+            else:
+                heapq.heapreplace(self.checks, (self._check_machine(machine, now), machine_id))
+
+    def _check_machine(self, machine: Machine, now: Instant) -> Instant:
+        """Apply what has become due for one machine; returns when to check it next."""
+        next_check = min(
+            self._check_silence(machine, now),
+            self._check_heartbeats(machine, now),
+            self._check_session(machine, now),
+        )
+        return max(Instant(now + CHECK_AGAIN_S), next_check)
+
+    def _check_silence(self, machine: Machine, now: Instant) -> Instant:
+        """Probe a machine of which nothing was heard for too long."""
+        timeout_s = self.cluster.heartbeat_timeout()
+        if machine.returning:
+            return Instant(now + timeout_s)
+        if not machine.probing and now - machine.last_heard_at > timeout_s:
+            self._probe(machine)
+        if machine.probing:
+            return Instant(now + CHECK_AGAIN_S)
+        return Instant(min(now, machine.last_heard_at) + timeout_s)
+
+    def _check_heartbeats(self, machine: Machine, now: Instant) -> Instant:
+        """Note a machine that answers but has sent no heartbeat of its own for too long."""
+        if machine.no_heartbeats_since is not None:
+            return NO_CHECK_DUE
+        if machine.probe_unanswered or machine.returning:
+            return NO_CHECK_DUE
+        if now - machine.heartbeat_at > self.reachability.no_heartbeat_s:
+            self.reachability.heartbeats_missing(machine, now)
+            return NO_CHECK_DUE
+        return Instant(machine.heartbeat_at + self.reachability.no_heartbeat_s)
+
+    def _check_session(self, machine: Machine, now: Instant) -> Instant:
+        """End the machine's session, or a former leader's, once it is certainly over."""
+        if machine.reconciled:
+            return self._check_lease(machine, now)
+        if machine.predecessor_expired:
+            return NO_CHECK_DUE
+        takeover_s = self.delegator.bounds.takeover_s
+        if now - self.cluster.started > takeover_s:
+            # Nobody can have renewed its session for so long.
+            machine.predecessor_expired = True
+            return NO_CHECK_DUE
+        return Instant(self.cluster.started + takeover_s)
+
+    def _check_lease(self, machine: Machine, now: Instant) -> Instant:
+        """Expire the lease of a reconciled machine: the worker has killed all its tasks."""
+        if machine.answered_at is None:
+            return NO_CHECK_DUE
+        if self.delegator.lease_expired(
+            machine.zone, machine.answered_at, machine.delegated_at, now
+        ):
+            self._expire_lease(machine)
+            return NO_CHECK_DUE
+        return Instant(machine.answered_at + self.delegator.bounds.lease_s)
+
     def _expire_lease(self, machine: Machine) -> None:
         self.cluster.release_all(machine, "lease over")
         machine.min_incarnation = Incarnation(machine.incarnation + 1)
         machine.answered_at = None
         machine.lease_expired = True
         machine.availability_changed()
-        machine.unchanged_heartbeat = (
-            None  # a late report of that session must not be taken in unread
-        )
+        # A late heartbeat of the expired session must not be accepted undecoded.
+        machine.unchanged_heartbeat = None
 
-    def select_machines_to_delete(self, now: Instant) -> None:
-        """Silent machines are deleted: that frees their tasks before the lease does.
+    def _check_reconciliation_completed(self, now: Instant) -> None:
+        """Once every machine is reconciled or certainly expired, requeue the tasks not found."""
+        if any(
+            not (machine.reconciled or machine.predecessor_expired)
+            for machine in self.cluster.machines.values()
+        ):
+            return
+        self.cluster.all_settled = True
+        for job in self.cluster.jobs.values():
+            job.requeue_unlocated()
+            self.cluster.unplaced[job.id] = job
+        self.cluster.pass_wanted = True
+        log.info("reconciliation_completed", after_s=round(now - self.cluster.started, 1))
+
+    # ---- silence of all machines -------------------------------------------------------------
 
-        Many silent ones at once mean that we, or their zone, are cut off, not that they are dead:
-        what runs there goes on until their leases are nearly over, and so long they are left alone.
-        If hardly any is heard, it is us.
+    def _heartbeat_overdue_s(self, interval_share: float = 1.0) -> float:
+        """Seconds without a heartbeat after which one is overdue.
+
+        `interval_share` is less than 1 for many workers together, one of which is heard in that
+        share of the interval.
         """
-        if not self.cluster.unanswered_probes:
+        report_s = self.cluster.worker_times.report_s
+        return HEARTBEAT_INTERVAL_FACTOR * report_s * interval_share + HEARTBEAT_MARGIN_S
+
+    def _is_heard(self, machine: Machine, now: Instant) -> bool:
+        """Whether the machine's heartbeats arrive in time."""
+        overdue_s = self._heartbeat_overdue_s()
+        return machine.heartbeat_seen and now - machine.last_heard_at < overdue_s
+
+    def _count(self, now: Instant) -> None:
+        """Count the machines seen and heard, at intervals, as they are many."""
+        if now < self.count_not_before:
             return
-        known = [self.cluster.machines.get(id) for id in self.cluster.unanswered_probes]
-        silent = [m for m in known if m is not None and m.probe_unanswered and not m.returning]
-        # One that has reported since it left us without an answer, and of late, is not dead: it
-        # does not hear us (hearing.py).
+        self.count_not_before = Instant(now + COUNT_INTERVAL_S)
+        heard_after = now - self.cluster.heartbeat_timeout() - COUNT_MARGIN_S
+        seen = [m for m in self.cluster.machines.values() if m.heartbeat_seen]
+        self.machines_seen = len(seen)
+        self.machines_heard = sum(
+            1
+            for machine in seen
+            if not (machine.probe_unanswered or machine.unreachable)
+            and machine.last_heard_at > heard_after
+        )
+
+    def _probe_when_silent(self, now: Instant) -> None:
+        """While nothing is heard, probe some workers before anything is concluded.
+
+        Machines that were started at once send their heartbeats at once for a while, and between
+        two such moments all of them are silent.
+        """
+        if not self.hears_nothing(now):
+            self.suspected_since = None
+        elif self.suspected_since is None:
+            self.suspected_since = now
+            candidates = [
+                m for m in self.cluster.machines.values() if m.heartbeat_seen and not m.returning
+            ]
+            sample_size = min(PROBED_WORKERS, len(candidates))
+            for machine in self.cluster.rng.sample(candidates, sample_size):
+                self._probe(machine)
+
+    def _probe(self, machine: Machine) -> None:
+        machine.probing = True
+        self.cluster.outbox.append(Probe(machine.id, machine.address))
+
+    # ---- deletion of silent machines ---------------------------------------------------------
+
+    def _find_silent_machines(self, now: Instant) -> list[Machine]:
+        """The machines that left a probe unanswered and have not been heard of since.
+
+        One that has sent a heartbeat of late, after it left the leader without an answer, is not
+        down: it does not receive what the leader sends (`reachability`).
+        """
         lease_s = self.cluster.worker_times.lease_s
-        silent = [
-            m
-            for m in silent
-            if m.suspected_since is None
-            or m.last_heard_at <= m.suspected_since
-            or now - m.last_heard_at > lease_s
-        ]
-        self.cluster.unanswered_probes = {m.id for m in silent}
-        if not silent:
-            return
-        taken = [m for m in silent if m.notice_at is not None]
-        self.cluster.machines_to_delete.update(m.id for m in taken)
-        recent = 1.25 * self.cluster.worker_times.report_s + HEARTBEAT_MARGIN_S
-        apart = self._find_cut_off_zones(now, recent)
-        for zone in sorted(apart - self.cut_off_zones):
-            log.warning("zone_unreachable", zone=zone)
-        self.cut_off_zones = apart
-        silent = [
-            m for m in silent if m.zone not in apart or m.lease_expired or m.predecessor_expired
-        ]
-        # Those count too that we have taken over and never met: a new leader that hears but a few
-        # is cut off from the rest rather than the only one whose machines live.
-        within = [m for m in self.cluster.machines.values() if m.zone not in apart]
-        alive = sum(1 for m in within if m.heartbeat_seen and now - m.last_heard_at < recent)
+        silent = []
+        for machine_id in self.cluster.unanswered_probes:
+            machine = self.cluster.machines.get(machine_id)
+            if machine is None or not machine.probe_unanswered or machine.returning:
+                continue
+            if (
+                machine.suspected_since is None
+                or machine.last_heard_at <= machine.suspected_since
+                or now - machine.last_heard_at > lease_s
+            ):
+                silent.append(machine)
+        return silent
+
+    def _mark_unless_cut_off(
+        self, silent: list[Machine], preempted: list[Machine], now: Instant
+    ) -> None:
+        """Mark the silent machines unless the leader is rather cut off from them.
+
+        `preempted` are those among all silent machines that the cloud deletes anyway.
+        """
+        # Machines taken over and never seen count as well: a new leader that hears but a few is
+        # cut off from the rest, rather than the only one whose machines are alive.
+        in_reach = [m for m in self.cluster.machines.values() if m.zone not in self.cut_off_zones]
+        alive = sum(1 for machine in in_reach if self._is_heard(machine, now))
         if self.hears_nothing(now) or not alive:
             return
-        # Those whose report is overdue count as well: of a cut, some are noticed before others.
-        overdue = len(within) - alive - sum(1 for m in taken if m.zone not in apart)
-        if overdue <= max(3, INDEPENDENT_FAILURE_SHARE * len(within)):
-            self.cluster.machines_to_delete.update(m.id for m in silent)
-        elif overdue <= 0.7 * alive:
-            late = 0.8 * self.cluster.worker_times.lease_s
-            self.cluster.machines_to_delete.update(
-                m.id for m in silent if now - m.last_heard_at > late
-            )
-
-    def _find_cut_off_zones(self, now: Instant, recent: float) -> set[ZoneName]:
-        """Zones of which hardly any machine is heard, and in which another controller may answer
-        them: what runs there goes on, for as long as that may be so.
-
-        A new leader may never have heard of any of them.
+        # Machines whose heartbeat is overdue count as silent: of those that are cut off at once,
+        # some are noticed before others.
+        preempted_in_reach = sum(1 for m in preempted if m.zone not in self.cut_off_zones)
+        overdue = len(in_reach) - alive - preempted_in_reach
+        if overdue <= max(INDEPENDENT_FAILURES_MIN, INDEPENDENT_FAILURE_SHARE * len(in_reach)):
+            self._mark_for_deletion(silent)
+        elif overdue <= OVERDUE_TO_ALIVE_MAX * alive:
+            late_s = LATE_DELETION_LEASE_SHARE * self.cluster.worker_times.lease_s
+            self._mark_for_deletion(m for m in silent if now - m.last_heard_at > late_s)
+
+    def _mark_for_deletion(self, machines: Iterable[Machine]) -> None:
+        self.cluster.machines_to_delete.update(machine.id for machine in machines)
+
+    def _update_cut_off_zones(self, now: Instant) -> set[ZoneName]:
+        """Find the zones that may be cut off, and log those that were not before."""
+        cut_off_zones = self._find_cut_off_zones(now)
+        for zone in sorted(cut_off_zones - self.cut_off_zones):
+            log.warning("zone_unreachable", zone=zone)
+        self.cut_off_zones = cut_off_zones
+        return cut_off_zones
+
+    def _find_cut_off_zones(self, now: Instant) -> set[ZoneName]:
+        """The zones of which hardly any machine is heard and that have another controller in them.
+
+        That controller may renew the machines' leases, so their tasks may go on. A new leader may
+        never have heard any machine of such a zone.
         """
         heard: dict[ZoneName, list[bool]] = {}
         for machine in self.cluster.machines.values():
             if machine.zone in self.delegator.zones and machine.notice_at is None:
-                here = machine.heartbeat_seen and now - machine.last_heard_at < recent
-                heard.setdefault(machine.zone, []).append(here)
+                heard.setdefault(machine.zone, []).append(self._is_heard(machine, now))
         return {
             zone
-            for zone, here in heard.items()
-            if len(here) >= MIN_WORKERS and sum(here) < ZONE_HEARD_SHARE_MIN * len(here)
+            for zone, heard_in_zone in heard.items()
+            if len(heard_in_zone) >= MIN_WORKERS
+            and sum(heard_in_zone) < ZONE_HEARD_SHARE_MIN * len(heard_in_zone)
         }
 
-    def delegate(
-        self, borrower: ControllerName, seen: int, idle: bool, now: Instant
-    ) -> Delegation | None:
-        """The machines of its zone that this controller may answer if the zone is cut off; None:
-        we know too little ourselves."""
-        if self.cluster.jobs_read_at is None:
-            return None
-        zone = self.delegator.delegates.get(borrower)
-        serial = self.delegator.issue(borrower, seen, now, unused=idle)
-        hosts = []
-        for machine in self.cluster.machines.values() if self.cluster.loaded else ():
-            if (
-                machine.zone == zone
-                and machine.reconciled
-                and machine.token_seen == self.cluster.fencing_token
-                and now - machine.last_heard_at < self.cluster.heartbeat_timeout()
-                and not (machine.unplaced_tasks or machine.returning or machine.lease_expired)
-                and not (machine.has_stopping_tasks or self.cluster.has_unwanted_start(machine))
-            ):
-                machine.delegated_at = now
-                hosts.append(str(machine.id))
-        return Delegation(
-            self.cluster.fencing_token, serial, max(0.0, now - self.cluster.jobs_read_at), hosts
+    # ---- delegation --------------------------------------------------------------------------
+
+    def _may_delegate(self, machine: Machine, now: Instant) -> bool:
+        """Whether another controller may renew the machine's lease.
+
+        Nothing on it may have to be stopped, as a delegate sends no commands.
+        """
+        return (
+            machine.reconciled
+            and machine.token_seen == self.cluster.fencing_token
+            and now - machine.last_heard_at < self.cluster.heartbeat_timeout()
+            and not (machine.unplaced_tasks or machine.returning or machine.lease_expired)
+            and not (machine.has_stopping_tasks or self.cluster.has_unwanted_start(machine))
         )
