--- a/umberward/scheduling/command_queue.py
+++ b/umberward/scheduling/command_queue.py
@@ -1,7 +1,7 @@
-"""Direct commands that wait for their turn: one at a time is under way to each machine. No I/O.
+"""The queue of direct commands: one at a time is in flight to each machine. No I/O.
 
-What waits is decided upon again when its turn comes: the worker's session may have changed since, a
-task may have been given up, and the leader may no longer start anything.
+A waiting command is validated again when its turn comes: the worker's session may have changed
+since, its tasks may have been stopped, and the leader may no longer be allowed to start anything.
 """
 
 from __future__ import annotations
@@ -15,68 +15,83 @@
 
 
 class CommandQueue:
+    """Hands out the direct commands to send, and holds back those whose machine is busy."""
+
     def __init__(self, cluster: ClusterState, may_start: Callable[[], bool]) -> None:
-        """`may_start`: whether a start may be sent at this moment."""
+        """`may_start`: whether the leader may send a start at the moment of the call."""
         self.cluster = cluster
         self.may_start = may_start
         self._inflight: set[MachineId] = set()
         self._waiting: dict[MachineId, list[DirectCommand]] = {}
 
     def submit(self, command: DirectCommand) -> DirectCommand | None:
-        """The command as it is to be sent now; None: it has to wait, or nothing of it holds."""
+        """Take a command; returns it as it is to be sent now.
+
+        Returns None if it has to wait, or if nothing of it is valid any more.
+        """
         if command.machine in self._inflight:
             self._waiting.setdefault(command.machine, []).append(command)
             return None
-        return self._to_send(command)
+        return self._prepare(command)
 
-    def completed(self, machine: MachineId) -> DirectCommand | None:
-        """What is to be sent next, as the command under way was answered or given up."""
-        self._inflight.discard(machine)
-        waiting = self._waiting.pop(machine, [])
+    def completed(self, machine_id: MachineId) -> DirectCommand | None:
+        """Note that the command in flight was answered or given up; returns the next to send."""
+        self._inflight.discard(machine_id)
+        waiting = self._waiting.pop(machine_id, [])
         while waiting:
             command = waiting.pop(0)
-            # What waited for the same session goes together.
+            # Waiting commands for the same session are sent together.
             while waiting and waiting[0].incarnation == command.incarnation:
                 command.commands.extend(waiting.pop(0).commands)
-            to_send = self._to_send(command)
-            if to_send is not None:
+            prepared = self._prepare(command)
+            if prepared is not None:
                 if waiting:
-                    self._waiting[machine] = waiting
-                return to_send
+                    self._waiting[machine_id] = waiting
+                return prepared
         return None
 
-    def _to_send(self, command: DirectCommand) -> DirectCommand | None:
-        """What still holds of the command, which counts as under way from now on."""
+    def _prepare(self, command: DirectCommand) -> DirectCommand | None:
+        """Reduce a command to what is valid now, and count it as in flight; None: nothing is."""
         machine = self.cluster.machines.get(command.machine)
         if machine is None:
             return None
-        orders = []
-        for order in command.commands:
-            if self._still_valid(order, command, machine):
-                orders.append(order)
-            elif machine.incarnation == command.incarnation and order.started_attempt is not None:
-                machine.inflight_starts.answered(*order.started_attempt)
-        if (command.commands and not orders) or machine.incarnation != command.incarnation:
+        valid_commands = []
+        for task_command in command.commands:
+            if self._still_valid(task_command, command, machine):
+                valid_commands.append(task_command)
+            else:
+                self._drop(task_command, command, machine)
+        if command.commands and not valid_commands:
+            return None
+        if machine.incarnation != command.incarnation:
             return None
         self._inflight.add(command.machine)
         return command._replace(
-            commands=orders, fencing_token=self.cluster.fencing_token, address=machine.address
+            commands=valid_commands,
+            fencing_token=self.cluster.fencing_token,
+            address=machine.address,
         )
 
-    def _still_valid(self, order: TaskCommand, command: DirectCommand, machine: Machine) -> bool:
-        if order.verb != START:
+    @staticmethod
+    def _drop(task_command: TaskCommand, command: DirectCommand, machine: Machine) -> None:
+        """Record that a start of the current session is certainly not sent."""
+        started = task_command.started_attempt
+        if started is not None and machine.incarnation == command.incarnation:
+            machine.inflight_starts.answered(*started)
+
+    def _still_valid(
+        self, task_command: TaskCommand, command: DirectCommand, machine: Machine
+    ) -> bool:
+        """Whether the command for one task may be sent; only starts can become invalid."""
+        if task_command.verb != START:
             return True
-        if order.started_attempt is None:
+        if task_command.started_attempt is None:
             return False
-        task, attempt = order.started_attempt
-        placement = machine.placements.get(task)
-        if placement is None or placement.attempt != attempt:
+        task_id, attempt = task_command.started_attempt
+        placement = machine.placements.get(task_id)
+        if placement is None or placement.attempt != attempt or placement.stop_grace is not None:
             return False
-        if (
-            placement.stop_grace is not None
-            or machine.incarnation != command.incarnation
-            or not self.may_start()
-        ):
+        if machine.incarnation != command.incarnation or not self.may_start():
             return False
         job = self.cluster.jobs.get(placement.task.job)
         return self.cluster.invariants.may_start(job, placement, self.cluster.unplaced_tasks)
--- a/umberward/scheduling/command_results.py
+++ b/umberward/scheduling/command_results.py
@@ -1,4 +1,8 @@
-"""What follows from workers' answers to direct commands and questions, or from none. No I/O."""
+"""What follows from the responses to direct commands and probes, or from missing ones. No I/O.
+
+A direct command or a probe is a request of the leader to a worker; its response is the worker's
+current heartbeat (PROTOCOL, "Workers -> controller nodes").
+"""
 
 from __future__ import annotations
 
@@ -14,80 +18,95 @@
 
 
 class CommandResults:
+    """Applies the results of the leader's own requests to workers."""
+
     def __init__(
-        self, cluster: ClusterState, hearing: Reachability, reports: HeartbeatHandler
+        self, cluster: ClusterState, reachability: Reachability, heartbeats: HeartbeatHandler
     ) -> None:
+        """Responses are passed to `heartbeats`, missing ones to `reachability`."""
         self.cluster = cluster
-        self.reachability = hearing
-        self.heartbeats = reports
+        self.reachability = reachability
+        self.heartbeats = heartbeats
 
     def command_completed(
-        self, command: DirectCommand, report: Heartbeat | None, unknown: bool, now: Instant
+        self,
+        command: DirectCommand,
+        heartbeat: Heartbeat | None,
+        may_be_executed: bool,  # noqa: FBT001 - the scheduler passes the result on by position
+        now: Instant,
     ) -> None:
-        """A direct command was answered, or was not (`unknown`: it may still be executed)."""
+        """Apply the result of a direct command.
+
+        `heartbeat` is the response (None: there was none), and `may_be_executed` says that the
+        command may have been received all the same, or may still be.
+        """
         machine = self.cluster.machines.get(command.machine)
         if machine is None:
             return
         if command.incarnation == machine.incarnation:
-            self._note_starts(machine, command, unknown)
-        if report is None:
+            self._settle_starts(machine, command, may_be_executed=may_be_executed)
+        if heartbeat is None:
             self.reachability.suspect(machine, now)
             return
-        if report.machine_id != command.machine:
-            self._address_reused(machine, command, report, now)
-        self.heartbeats.apply(report, now, HeartbeatSource.RESPONSE)
+        if heartbeat.machine_id != command.machine:
+            self._address_reused(machine, command, heartbeat, now)
+        self.heartbeats.apply(heartbeat, now, HeartbeatSource.RESPONSE)
+
+    def probe_completed(self, probe: Probe, heartbeat: Heartbeat | None, now: Instant) -> None:
+        """Apply the result of a probe; `heartbeat` is the response (None: there was none)."""
+        machine = self.cluster.machines.get(probe.machine)
+        if machine is None:
+            return
+        machine.probing = False
+        if heartbeat is None:
+            self._probe_unanswered(machine, now)
+            return
+        if heartbeat.machine_id != machine.id:
+            # Another machine has its address.
+            self.reachability.suspect(machine, now, sure=True)
+        elif (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence):
+            # Nothing new, so it is not applied below, but the machine has answered.
+            machine.last_heard_at = self.cluster.last_heartbeat_at = now
+            self.reachability.confirm_reachable(machine, now)
+        self.heartbeats.apply(heartbeat, now, HeartbeatSource.RESPONSE)
+
+    def _probe_unanswered(self, machine: Machine, now: Instant) -> None:
+        """Count the probe, and note the machine as silent if no heartbeat came either."""
+        self.reachability.probe_unanswered(machine)
+        silent_s = now - machine.last_heard_at
+        if silent_s <= self.cluster.heartbeat_timeout():
+            return
+        if not machine.probe_unanswered:
+            log.info("machine_probe_unanswered", machine=machine.id, seconds=round(silent_s, 1))
+        machine.probe_unanswered = True
+        machine.unchanged_heartbeat = None
+        machine.availability_changed()
+        self.cluster.unanswered_probes.add(machine.id)
 
     @staticmethod
-    def _note_starts(machine: Machine, command: DirectCommand, unknown: bool) -> None:
-        """What has become of the starts in a direct command of the session of now."""
-        for order in command.commands:
-            if order.started_attempt is None:
+    def _settle_starts(machine: Machine, command: DirectCommand, *, may_be_executed: bool) -> None:
+        """Record what became of the starts in a direct command of the current session."""
+        for task_command in command.commands:
+            if task_command.started_attempt is None:
                 continue
-            task, attempt = order.started_attempt
-            if unknown:
+            task_id, attempt = task_command.started_attempt
+            if may_be_executed:
                 machine.inflight_starts.timed_out(
-                    task, attempt, command.fencing_token, machine.token_seen
+                    task_id, attempt, command.fencing_token, machine.token_seen
                 )
             else:
-                machine.inflight_starts.answered(task, attempt)
+                machine.inflight_starts.answered(task_id, attempt)
 
     def _address_reused(
-        self, machine: Machine, command: DirectCommand, report: Heartbeat, now: Instant
+        self, machine: Machine, command: DirectCommand, heartbeat: Heartbeat, now: Instant
     ) -> None:
-        """Another machine has its address, and has carried out what was meant for it."""
-        log.warning("address_taken", machine=machine.id, by=report.machine_id)
-        listed = {(shard.task_id, shard.attempt) for shard in report.tasks}
-        for made in command.commands:
-            task = parse_task_id(made.task_id)
-            placement = machine.placements.get(task) if task is not None else None
-            if placement is not None and (made.task_id, placement.attempt) in listed:
-                # It is there, and nowhere else: its report makes it ours again.
+        """Another machine has this one's address and has executed what was meant for this one."""
+        log.warning("address_taken", machine=machine.id, by=heartbeat.machine_id)
+        listed = {(status.task_id, status.attempt) for status in heartbeat.tasks}
+        for task_command in command.commands:
+            task_id = parse_task_id(task_command.task_id)
+            placement = machine.placements.get(task_id) if task_id is not None else None
+            if placement is not None and (task_command.task_id, placement.attempt) in listed:
+                # It runs there, and nowhere else: that machine's heartbeat has it adopted again.
                 self.cluster.release(machine, placement, requeue=False)
         self.reachability.suspect(machine, now, sure=True)
-
-    def probe_completed(self, probe: Probe, report: Heartbeat | None, now: Instant) -> None:
-        machine = self.cluster.machines.get(probe.machine)
-        if machine is None:
-            return
-        machine.probing = False
-        if report is None:
-            self.reachability.probe_unanswered(machine)
-        if report is not None and report.machine_id != machine.id:
-            self.reachability.suspect(machine, now, sure=True)  # another machine has its address
-            self.heartbeats.apply(report, now, HeartbeatSource.RESPONSE)
-        elif report is not None:
-            if (report.incarnation, report.sequence) <= (machine.incarnation, machine.sequence):
-                machine.last_heard_at = self.cluster.last_heartbeat_at = now
-                self.reachability.confirm_reachable(machine, now)
-            self.heartbeats.apply(report, now, HeartbeatSource.RESPONSE)
-        elif now - machine.last_heard_at > self.cluster.heartbeat_timeout():
-            if not machine.probe_unanswered:
-                log.info(
-                    "machine_probe_unanswered",
-                    machine=machine.id,
-                    seconds=round(now - machine.last_heard_at, 1),
-                )
-            machine.probe_unanswered = True
-            machine.unchanged_heartbeat = None
-            machine.availability_changed()
-            self.cluster.unanswered_probes.add(machine.id)
