--- a/umberward/scheduling/autoscaler.py
+++ b/umberward/scheduling/autoscaler.py
@@ -27,7 +27,8 @@
     MachineType,
 )
 from umberward.scheduling.jobs import Job
-from umberward.scheduling.machines import Machine, smallest_need
+from umberward.scheduling.machines import Machine
+from umberward.scheduling.schedulable_machines import smallest_need
 from umberward.scheduling.scheduler import Scheduler
 from umberward.scheduling.spot_policy import AffordableMachines, jobs_limited_to_affordable
 
--- a/umberward/scheduling/cluster_state.py
+++ b/umberward/scheduling/cluster_state.py
@@ -33,8 +33,9 @@
 from umberward.scheduling.headroom import Headroom
 from umberward.scheduling.invariants import Invariants
 from umberward.scheduling.jobs import NO_DEMAND, DependentDemand, Job, Placement, PreemptionKey
-from umberward.scheduling.machines import Machine, SchedulableMachines
+from umberward.scheduling.machines import Machine
 from umberward.scheduling.quota import Quota
+from umberward.scheduling.schedulable_machines import SchedulableMachines
 from umberward.scheduling.token_rotation import TokenRotation
 
 log = logger(__name__)
--- a/umberward/scheduling/consolidation.py
+++ b/umberward/scheduling/consolidation.py
@@ -13,8 +13,9 @@
 from umberward.scheduling.cluster_state import ClusterState
 from umberward.scheduling.jobs import Job, Placement
 from umberward.scheduling.machine_selection import choose_machines
-from umberward.scheduling.machines import Machine, machines_with_room
+from umberward.scheduling.machines import Machine
 from umberward.scheduling.preemption import Preemption
+from umberward.scheduling.schedulable_machines import machines_with_room
 
 log = logger(__name__)
 
--- a/umberward/scheduling/machines.py
+++ b/umberward/scheduling/machines.py
@@ -1,13 +1,12 @@
-"""Machines as their holder sees them. No I/O."""
+"""One machine as the leader sees it: session, reachability, placements and resources. No I/O."""
 
 from __future__ import annotations
 
 import math
-from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, field
 
 from umberward.core.types import (
     NO_RESOURCES,
-    ROUNDING_TOLERANCE,
     FencingToken,
     ImageName,
     Incarnation,
@@ -23,100 +22,148 @@
 )
 from umberward.protocol.wire import MachineType
 from umberward.scheduling.inflight_commands import InflightStarts
-from umberward.scheduling.jobs import Job, Placement, PreemptionKey
+from umberward.scheduling.jobs import Placement, PreemptionKey
 
-UNREACHABLE_AFTER_PROBES = 2  # questions without an answer, while reports come
+UNREACHABLE_AFTER_PROBES = 2  # unanswered ones, of a machine that is heard
 
 
+@dataclass(eq=False, repr=False, slots=True)
 class Machine:
-    def __init__(
-        self,
-        id: MachineId,
-        address: str,
-        type: MachineTypeName,
-        zone: ZoneName,
-        spot: bool,
-        now: Instant,
-        changed: dict[MachineId, None],
-    ) -> None:
-        """`changed` is told of it when it may be usable no longer, or again, or has other room."""
-        self.id = id
-        self.address = address
-        self.type = type
-        self.zone = zone
-        self.spot = spot
-        self.offer = MachineOffer(type, zone, spot)
-        self.block: int | None = None  # its name stands in this committed block
-        self.incarnation = Incarnation(0)
-        self.sequence = SequenceNumber(-1)
-        self.answered_sequence = SequenceNumber(-1)  # the session's latest report that we answered
-        self.incarnation_since = now  # when its session was first heard of
-        self.suspected_since: Instant | None = None  # since when it may not hear us
-        self.unanswered_probes = 0  # questions since then that had no answer
-        self.probed_at = now  # when it was last asked about that, and may be asked again
-        self.probe_not_before = now
-        self.heartbeat_at = now  # when its latest report came, answers to questions apart
-        self.no_heartbeats_since: Instant | None = None  # since when it only answers questions
-        self.confirmed = True  # more than one report that may be a late copy tells of it
-        self.min_incarnation = Incarnation(0)  # reports of earlier sessions are late ones
-        self.token_seen = FencingToken(0)
-        self.reconciled = False  # its tasks are known under our token
-        self.predecessor_expired = False  # whatever it ran for a former holder is surely gone
-        self.last_heard_at = now
-        self.heartbeat_seen = False  # has reported since we took over
-        self.answered_at: Instant | None = None  # when the last answered report came
-        self.delegated_at: Instant | None = (
-            None  # when others were last told that they may answer it
-        )
-        self.known_since = now
-        self.idle_since = now
-        self.placements: dict[TaskId, Placement] = {}
-        self.inflight_starts = InflightStarts()  # those that may still be carried out
-        self.exited_tasks: set[TaskId] = set()  # exited and still listed
-        self.unforgotten_since: Instant | None = None  # an exited attempt waits to be forgotten
-        self.unplaced_tasks: set[TaskId] = set()  # listed as alive and not held here: to be stopped
-        self.allocated: Resources = NO_RESOURCES
-        self.images: dict[ImageName, float] = {}
-        self.notice_at: Instant | None = None  # when the cloud takes it
-        # What failed here since a task went well, and how often: jobs, or tasks judged one by one.
-        self.failures: dict[JobId | TaskId, int] = {}
-        self.succeeded_at = Instant(-math.inf)  # a task that began after the last failure was done
-        self.failed_at = Instant(-math.inf)
-        self.quarantined_since: Instant | None = None  # set aside, as it fails what it starts
-        self.returning = False  # a deletion is on its way
-        self.probing = False
-        self.probe_unanswered = False  # did not answer a probe
-        self.lease_expired = False  # its lease ran out and nothing was heard of it since
-        # The tasks of the last report as they stood in it, if nothing was left to do about them.
-        self.unchanged_heartbeat: bytes | None = None
-        self._changed = changed
-        # What is derived from `held` and asked for in every pass: None when it must be found anew.
-        self._free: tuple[MachineType, Resources] | None = None
-        self._preemptable: dict[PreemptionKey, Resources] | None = None
-        self._load: dict[tuple[bool, int], Resources] | None = None
+    """The leader's record of a machine.
+
+    The fields are grouped by concern, and each group names the module that maintains it. All
+    moments are of the leader's steady clock. Machines are compared by identity.
+    """
+
+    # ---- identity (from the heartbeat or the stored blocks) ----
+    id: MachineId
+    address: str  # where its worker takes commands and probes
+    type: MachineTypeName
+    zone: ZoneName
+    spot: bool  # the cloud may take it back at short notice
+    known_since: Instant
+    # The machines whose usability or room may have changed since the last pass, shared by all.
+    changed_machines: dict[MachineId, None]
+    offer: MachineOffer = field(init=False)
+    # `state_writer`: the committed block of machine names that lists it; None: not stored yet.
+    block: int | None = field(init=False, default=None)
+
+    # ---- session and lease (`heartbeats`, `failure_detector`) ----
+    incarnation: Incarnation = field(init=False, default=Incarnation(0))
+    incarnation_since: Instant = field(init=False)  # when its session was first heard of
+    # Heartbeats of earlier sessions are late ones: those sessions count as over.
+    min_incarnation: Incarnation = field(init=False, default=Incarnation(0))
+    # The latest heartbeat of the session that was applied, and the latest that was answered.
+    sequence: SequenceNumber = field(init=False, default=SequenceNumber(-1))
+    answered_sequence: SequenceNumber = field(init=False, default=SequenceNumber(-1))
+    # When the last answered heartbeat came: its lease runs from then at most. None: no lease.
+    answered_at: Instant | None = field(init=False, default=None)
+    # When another controller was last allowed to answer it (`lease_delegation`).
+    delegated_at: Instant | None = field(init=False, default=None)
+    token_seen: FencingToken = field(init=False, default=FencingToken(0))
+    # False while its only heartbeat may be an old duplicate, from a machine deleted long ago.
+    confirmed: bool = field(init=False, default=True)
+    reconciled: bool = field(init=False, default=False)  # its tasks are known under this token
+    # Whatever it ran for a former leader is certainly gone.
+    predecessor_expired: bool = field(init=False, default=False)
+    # Its lease has expired and nothing was heard of it since.
+    lease_expired: bool = field(init=False, default=False)
+
+    # ---- heartbeats (`heartbeats`) ----
+    heartbeat_seen: bool = field(init=False, default=False)  # in this leader's term
+    heartbeat_at: Instant = field(init=False)  # of its latest own heartbeat, not of a response
+    last_heard_at: Instant = field(init=False)  # of its latest heartbeat or response
+    # The encoded tasks of the latest heartbeat, if they needed no commands; see
+    # `HeartbeatHandler.receive`.
+    unchanged_heartbeat: bytes | None = field(init=False, default=None)
+
+    # ---- reachability (`reachability`, `command_results`) ----
+    # Since when it may receive nothing from the leader, and the probes unanswered since then.
+    suspected_since: Instant | None = field(init=False, default=None)
+    unanswered_probes: int = field(init=False, default=0)
+    probed_at: Instant = field(init=False)  # when it was last probed on suspicion
+    probe_not_before: Instant = field(init=False)  # when it may be probed on suspicion again
+    # Since when it answers probes and commands but sends no heartbeat.
+    no_heartbeats_since: Instant | None = field(init=False, default=None)
+    probing: bool = field(init=False, default=False)  # a probe is under way
+    probe_unanswered: bool = field(init=False, default=False)  # silent, and no answer to a probe
+
+    # ---- tasks and resources (`cluster_state`, `reconciliation`) ----
+    placements: dict[TaskId, Placement] = field(init=False, default_factory=dict)
+    inflight_starts: InflightStarts = field(init=False, default_factory=InflightStarts)
+    exited_tasks: set[TaskId] = field(init=False, default_factory=set)  # exited and still listed
+    # Since when an exited attempt stays listed because a start of it may still arrive.
+    unforgotten_since: Instant | None = field(init=False, default=None)
+    # Listed as running, without a placement: to be stopped.
+    unplaced_tasks: set[TaskId] = field(init=False, default_factory=set)
+    allocated: Resources = field(init=False, default=NO_RESOURCES)
+    idle_since: Instant = field(init=False)
+    # The cached images and their sizes in GB, the least recently used first.
+    images: dict[ImageName, float] = field(init=False, default_factory=dict)
+
+    # ---- failures (`failure_attribution`) ----
+    # How often each job failed here since a task succeeded, or each task where the job's failures
+    # are attributed task by task.
+    failures: dict[JobId | TaskId, int] = field(init=False, default_factory=dict)
+    # When a task that began after the last failure succeeded.
+    succeeded_at: Instant = field(init=False, default=Instant(-math.inf))
+    failed_at: Instant = field(init=False, default=Instant(-math.inf))
+    quarantined_since: Instant | None = field(init=False, default=None)
+
+    # ---- deletion (`autoscaler`) ----
+    notice_at: Instant | None = field(init=False, default=None)  # when the cloud takes it back
+    returning: bool = field(init=False, default=False)  # its deletion was requested
+
+    # Sums over the placements that each pass asks for; None: to be computed anew.
+    _free: tuple[MachineType, Resources] | None = field(init=False, default=None)
+    _preemptable: dict[PreemptionKey, Resources] | None = field(init=False, default=None)
+    _load: dict[tuple[bool, int], Resources] | None = field(init=False, default=None)
+
+    def __post_init__(self) -> None:
+        """Count everything that is timed from the moment at which the machine became known."""
+        self.offer = MachineOffer(self.type, self.zone, self.spot)
+        self.incarnation_since = self.known_since
+        self.heartbeat_at = self.known_since
+        self.last_heard_at = self.known_since
+        self.probed_at = self.known_since
+        self.probe_not_before = self.known_since
+        self.idle_since = self.known_since
+
+    # ---- changes -----------------------------------------------------------------------------
 
     def availability_changed(self) -> None:
-        """Something has changed on which it depends whether it is usable."""
-        self._changed[self.id] = None
+        """Note that the machine may have become schedulable, or no longer be so."""
+        self.changed_machines[self.id] = None
 
     def placements_changed(self) -> None:
-        """A task has come, is gone, or is being stopped."""
+        """Note that a task was added or released, or is being stopped."""
         self.availability_changed()
         self.unchanged_heartbeat = None
         self._free = None
         self.standing_changed()
 
     def standing_changed(self) -> None:
-        """A task here may be stopped by others than before."""
+        """Note that a task here may be preempted by others than before."""
         self._preemptable = None
         self._load = None
 
+    def cache_image(self, image: ImageName, image_gb: float, cache_gb: float) -> None:
+        """Note the use of an image; the worker keeps the most recently used ones in its cache."""
+        self.images.pop(image, None)
+        self.images[image] = image_gb
+        while len(self.images) > 1 and sum(self.images.values()) > cache_gb:
+            del self.images[next(iter(self.images))]
+
+    # ---- availability ------------------------------------------------------------------------
+
     @property
     def quarantined(self) -> bool:
+        """Whether it gets no new tasks because it seems to fail what it starts."""
         return self.quarantined_since is not None
 
     @property
     def schedulable(self) -> bool:
+        """Whether it may be given new tasks."""
         return (
             self.reconciled
             and self.block is not None
@@ -133,109 +180,46 @@
 
     @property
     def unreachable(self) -> bool:
-        """Whether what we say does not seem to reach it, whatever we hear of it."""
+        """Whether it seems to receive nothing from the leader, whatever it sends."""
         return (
             self.suspected_since is not None and self.unanswered_probes >= UNREACHABLE_AFTER_PROBES
         )
 
     @property
     def partially_reachable(self) -> bool:
-        """Whether only what it says reaches us, or only what we say reaches it."""
+        """Whether messages between it and the leader seem to pass in one direction only."""
         return self.unreachable or self.no_heartbeats_since is not None
 
-    def free(self, sku: MachineType) -> Resources:
-        """The room that no task is booked on."""
-        if self._free is None or self._free[0] is not sku:
-            self._free = (sku, sku.capacity.minus(self.allocated))
-        return self._free[1]
+    # ---- tasks and resources -----------------------------------------------------------------
 
     @property
     def has_stopping_tasks(self) -> bool:
-        """Whether something here is to end that has not ended yet."""
+        """Whether a task here is being stopped and has not ended yet."""
         return any(placement.stop_grace is not None for placement in self.placements.values())
 
+    def free(self, machine_type: MachineType) -> Resources:
+        """The resources that no task is placed on; `machine_type` is that of `type`."""
+        if self._free is None or self._free[0] is not machine_type:
+            self._free = (machine_type, machine_type.capacity.minus(self.allocated))
+        return self._free[1]
+
     def preemptable_by_key(self) -> dict[PreemptionKey, Resources]:
-        """What runs here and is not being stopped, summed by who may stop it."""
+        """The resources of tasks that are not being stopped, summed by who may preempt them."""
         if self._preemptable is None:
             sums: dict[PreemptionKey, Resources] = {}
             for placement in self.placements.values():
                 if placement.stop_grace is None:
-                    sums[placement.preemption_key] = sums.get(
-                        placement.preemption_key, NO_RESOURCES
-                    ).plus(placement.need)
+                    key = placement.preemption_key
+                    sums[key] = sums.get(key, NO_RESOURCES).plus(placement.need)
             self._preemptable = sums
         return self._preemptable
 
     def load_by_priority(self) -> dict[tuple[bool, int], Resources]:
-        """All that is on the machine, summed by whether it is accelerated and by rank."""
+        """The resources of all tasks, summed by whether they are accelerated and by priority."""
         if self._load is None:
             sums: dict[tuple[bool, int], Resources] = {}
             for placement in self.placements.values():
-                kind = (placement.preemption_key.accelerated, placement.preemption_key.priority)
-                sums[kind] = sums.get(kind, NO_RESOURCES).plus(placement.need)
+                key = (placement.preemption_key.accelerated, placement.preemption_key.priority)
+                sums[key] = sums.get(key, NO_RESOURCES).plus(placement.need)
             self._load = sums
         return self._load
-
-    def cache_image(self, image: ImageName, gb: float, room: float) -> None:
-        """The worker caches the most recently used images."""
-        self.images.pop(image, None)
-        self.images[image] = gb
-        while len(self.images) > 1 and sum(self.images.values()) > room:
-            del self.images[next(iter(self.images))]
-
-
-class SchedulableMachines:
-    """The machines that may be given tasks, and the room on each.
-
-    Of a large fleet few machines change between two passes, and only those are looked at.
-    """
-
-    def __init__(self) -> None:
-        self.changed: dict[MachineId, None] = {}  # in the order in which they did
-        self.machines: dict[MachineId, Machine] = {}
-        self.free: dict[MachineId, Resources] = {}
-        self.by_offer: dict[MachineOffer, dict[MachineId, Machine]] = {}
-
-    def refresh(
-        self, machines: Mapping[MachineId, Machine], skus: Mapping[MachineTypeName, MachineType]
-    ) -> None:
-        for id in self.changed:
-            machine = machines.get(id)
-            sku = None if machine is None else skus.get(machine.type)
-            if machine is not None and sku is not None and machine.schedulable:
-                self.machines[id] = machine
-                self.free[id] = machine.free(sku)
-                self.by_offer.setdefault(machine.offer, {})[id] = machine
-            elif id in self.machines:
-                del self.free[id]
-                del self.by_offer[self.machines.pop(id).offer][id]
-        self.changed.clear()
-
-
-def machines_with_room(
-    machines: list[Machine], free: dict[MachineId, Resources], jobs: Iterable[Job]
-) -> list[Machine]:
-    """The machines with room for the least that any of the jobs takes: of a full fleet, few."""
-    least = smallest_need(jobs)
-    if least is None:
-        return []
-    # Said out, as it is asked of each machine in each pass: `least.fits(free[m.id])`.
-    cores, accelerators, mem_gb = (part - ROUNDING_TOLERANCE for part in least)
-    return [
-        m
-        for m in machines
-        if (room := free[m.id])[0] >= cores and room[1] >= accelerators and room[2] >= mem_gb
-    ]
-
-
-def smallest_need(jobs: Iterable[Job], besides: Resources = NO_RESOURCES) -> Resources | None:
-    """The least of each resource that a task of any of the jobs takes; None: there is no task.
-
-    `besides`: one more task, if it takes anything.
-    """
-    needs = {job.need for job in jobs}
-    if besides != NO_RESOURCES:
-        needs.add(besides)
-    if not needs:
-        return None
-    return Resources(*(min(parts) for parts in zip(*needs, strict=True)))
--- a/umberward/scheduling/preemption.py
+++ b/umberward/scheduling/preemption.py
@@ -24,7 +24,8 @@
 from umberward.scheduling.cluster_state import ClusterState
 from umberward.scheduling.jobs import Job, Placement, PreemptionKey, may_preempt
 from umberward.scheduling.machine_selection import choose_machines
-from umberward.scheduling.machines import Machine, machines_with_room
+from umberward.scheduling.machines import Machine
+from umberward.scheduling.schedulable_machines import machines_with_room
 from umberward.scheduling.victim_selection import VictimPlan
 
 log = logger(__name__)
--- a/umberward/scheduling/scheduler.py
+++ b/umberward/scheduling/scheduler.py
@@ -51,9 +51,10 @@
 from umberward.scheduling.jobs import Job, Placement
 from umberward.scheduling.lease_delegation import Delegation, Delegator
 from umberward.scheduling.machine_selection import choose_machines
-from umberward.scheduling.machines import Machine, machines_with_room
+from umberward.scheduling.machines import Machine
 from umberward.scheduling.preemption import PreemptableWork, Preemption
 from umberward.scheduling.reachability import Reachability
+from umberward.scheduling.schedulable_machines import machines_with_room
 from umberward.scheduling.spot_policy import AffordableMachines, jobs_limited_to_affordable
 from umberward.scheduling.state_writer import StateWriter, Transaction
 
