--- a/tests/guards.py
+++ b/tests/guards.py
@@ -46,6 +46,7 @@
 from umberward.scheduling.scheduler import Scheduler
 from umberward.scheduling.state_writer import StateWriter
 from umberward.scheduling.token_rotation import TokenRotation
+from umberward.scheduling.unlocated_tasks import UnlocatedTasks
 
 Patch = Callable[[pytest.MonkeyPatch], None]
 
@@ -146,7 +147,7 @@
 
 
 def quota_unsure(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Scheduler, "_unlocated_usage", lambda _: {})
+    patch.setattr(UnlocatedTasks, "usage_by_team", lambda _: {})
 
 
 def allowed(patch: pytest.MonkeyPatch) -> None:
--- a/umberward/scheduling/cluster_state.py
+++ b/umberward/scheduling/cluster_state.py
@@ -131,6 +131,8 @@
         self.jobs: dict[JobId, Job] = {}
         # Cancelled ones with tasks that a former holder placed and nobody has found yet.
         self.cancelled_jobs: dict[JobId, Job] = {}
+        # Which jobs were cancelled lately could not be read: any machine may run tasks of theirs.
+        self.cancellations_unread = False
         # Jobs that may have tasks to place, in the order in which they came to have some.
         self.unplaced: dict[JobId, Job] = {}
         self.demands: dict[JobId, DependentDemand] = {}  # what the jobs after a job ask of it
--- a/umberward/scheduling/scheduler.py
+++ b/umberward/scheduling/scheduler.py
@@ -9,9 +9,7 @@
 
 from __future__ import annotations
 
-import math
 import random
-from collections import Counter
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 from typing import Any
@@ -27,7 +25,6 @@
     JobId,
     Key,
     MachineId,
-    MachineOffer,
     MachineTypeName,
     Resources,
     TaskId,
@@ -39,6 +36,7 @@
 from umberward.protocol import wire
 from umberward.protocol.transactions import VersionedValue
 from umberward.protocol.wire import Heartbeat, JobRecord, MachineType
+from umberward.scheduling import summaries
 from umberward.scheduling.cluster_state import ClusterState, DirectCommand, Probe
 from umberward.scheduling.command_results import CommandResults
 from umberward.scheduling.consolidation import Consolidation
@@ -54,14 +52,15 @@
 from umberward.scheduling.machines import Machine, machines_with_room
 from umberward.scheduling.preemption import PreemptableWork, Preemption
 from umberward.scheduling.reachability import Reachability
+from umberward.scheduling.service_order import ServiceOrder
 from umberward.scheduling.spot_policy import AffordableMachines, jobs_limited_to_affordable
 from umberward.scheduling.state_writer import StateWriter, Transaction
+from umberward.scheduling.unlocated_tasks import UnlocatedTasks
 
 log = logger(__name__)
 
 
 UNKNOWN_JOB_GRACE_S = 15.0  # a live job that is not known for so long is taken up
-UNLIMITED = Resources(math.inf, math.inf, math.inf)
 MAX_FAILED_PASS_PAUSE_S = 30.0  # ... of a job whose placing fails, until it is tried again
 
 
@@ -105,6 +104,8 @@
         self.consolidation = Consolidation(self, self.preemption, now)
         self.failure_attribution = FailureAttribution(self, now)
         self.waiting_jobs = WaitingJobs(self)
+        self.job_order = ServiceOrder(self, self.waiting_jobs, self.deadline_triage)
+        self.unlocated_tasks = UnlocatedTasks(self, self.delegator)
         self.writer = StateWriter(self, self.waiting_jobs, platform.cluster.state.strictest(), now)
         self.reachability = Reachability(self)
         self.failure_detector = FailureDetector(self, self.delegator, self.reachability)
@@ -115,8 +116,6 @@
         self.attempts = 0
         self.unknown_since: dict[JobId, Instant] = {}  # live, and not known here: since when
         self.recently_ended: dict[JobId, Instant] = {}  # an older reading may still show them
-        self.locate_until: dict[JobId, Instant] = {}  # until when tasks of theirs may be somewhere
-        self.cancellations_unread = False  # which jobs were cancelled lately could not be read
 
     # ---- what is said to it: passed on to the part that knows ----------------------------
 
@@ -253,42 +252,21 @@
                     job.placements[task.number] = placement
                     job.locate_task(task.number)
         if job.unlocated_tasks:
-            self._requeue_later(job, now)
-
-    def _requeue_later(self, job: Job, now: Instant) -> None:
-        """Its tasks may be on machines, which list them with their next reports. Where none comes,
-        the session is over within this time."""
-        self.locate_until[job.id] = Instant(now + self.delegator.bounds.takeover_s)
+            self.unlocated_tasks.requeue_later(job, now)
 
     def repair(self, now: Instant) -> None:
-        """What the books have lost is put in order; to be called once in a while."""
-        for id, until in list(self.locate_until.items()):
-            job = self.jobs.get(id)
-            if now > until or (job is None and id not in self.cancelled_jobs):
-                del self.locate_until[id]
-                if job is not None:
-                    job.requeue_unlocated()
-                    self.unplaced[id] = job
-                    self.pass_wanted = True
-        for id, at in list(self.recently_ended.items()):
-            if now - at <= UNKNOWN_JOB_GRACE_S:
-                break
-            del self.recently_ended[id]
-        if not self.all_settled:
-            return
-        for id in [id for id in self.cancelled_jobs if id not in self.locate_until]:
-            del self.cancelled_jobs[id]
-        for job in self.jobs.values():
-            if job.id in self.locate_until:
-                continue
-            lost = job.count_lost_tasks()
-            if lost:
-                log.warning("lost_tasks_found", job=job.id, tasks=lost)
-                job.unlocated_tasks.update(
-                    n for n in range(job.done_below, job.next_fresh_task) if job.is_lost(n)
-                )
-            if job.unlocated_tasks:
-                self._requeue_later(job, now)
+        """Queue tasks that got lost and forget what is over; to be called every few seconds."""
+        self.unlocated_tasks.requeue_overdue(now)
+        self._forget_recently_ended(now)
+        if self.all_settled:
+            self.unlocated_tasks.forget_cancelled_jobs()
+            self.unlocated_tasks.find_lost_tasks(now)
+
+    def _forget_recently_ended(self, now: Instant) -> None:
+        for job_id, ended_at in list(self.recently_ended.items()):
+            if now - ended_at <= UNKNOWN_JOB_GRACE_S:
+                break  # they are kept in the order in which they ended
+            del self.recently_ended[job_id]
 
     def admit_job(self, job: Job) -> None:
         """The job's tasks may start from now on."""
@@ -358,83 +336,13 @@
         self.fencing_token = epoch
         self.token_rotation.completed(self.now)
 
-    def _unlocated_usage(self) -> dict[TeamName, Resources]:
-        """What tasks may use that a former holder placed and nobody has found yet, be their jobs
-        live or cancelled. For teams with a limit: others need not know."""
-        usage: dict[TeamName, Resources] = {}
-        jobs: Iterable[Job] = (*self.jobs.values(), *self.cancelled_jobs.values())
-        if self.all_settled:
-            found = (self.jobs.get(id) or self.cancelled_jobs.get(id) for id in self.locate_until)
-            jobs = [job for job in found if job is not None]
-        for job in jobs:
-            if job.unlocated_tasks and self.quota.has_limit(job.team):
-                old = usage.get(job.team, NO_RESOURCES)
-                usage[job.team] = old.plus(job.need, len(job.unlocated_tasks))
-        if self.all_settled or not (usage or self.cancellations_unread):
-            return usage
-        # They are on machines that we have not heard under our token, as far as these have room.
-        most = self._unreconciled_capacity()
-        if self.cancellations_unread:
-            return {team: most for team in self.quota.teams if self.quota.has_limit(team)}
-        return {team: used.minimum(most) for team, used in usage.items()}
-
-    def _unreconciled_capacity(self) -> Resources:
-        """All of the machines on which a former holder's tasks may be that we don't know of."""
-        room = NO_RESOURCES
-        for machine in self.machines.values():
-            if not (machine.reconciled or machine.predecessor_expired):
-                sku = self.machine_types.get(machine.type)
-                room = UNLIMITED if sku is None else room.plus(sku.capacity)
-        return room
-
     def jobs_in_service_order(self, now: Instant) -> list[Job]:
-        """Jobs with tasks to place, in the order in which they are served."""
-        ready: list[Job] = []
-        wall = self.wall()
-        self.jobs_examined += len(self.unplaced)
-        for job in list(self.unplaced.values()):
-            if not job.startable_count():
-                del self.unplaced[job.id]
-            elif job.held_until <= now:
-                ready.append(job)
-        self.deadline_triage.update(ready, now)
-        late = self.deadline_triage.late_jobs
-        ordered: list[tuple[Any, int, Job]] = []
-        for job in ready:
-            served = self.waiting_jobs.service_standing(job)
-            order = (job.faulty, served, job.id in late, self.service_order(job, wall))
-            ordered.append((order, len(ordered), job))
-        ordered.sort()
-        return [job for *_, job in ordered]
-
-    def _update_standings(self) -> None:
-        """Each job's standing: who is served first and who may be stopped for whom.
-
-        A job is guaranteed if it fits its team's guarantee together with the team's earlier
-        unfinished jobs. That only ever changes from no to yes, and only work of a strictly lower
-        standing is stopped: so two jobs never take turns in stopping each other.
-        """
-        # The team's order is that in which its jobs became ready: one that waited for others takes
-        # nothing from those that run. The rank is that of the live jobs that need it, which changes
-        # only when users act.
-        self.standings_outdated = False
-        judged = []  # whose standing depends on the jobs before them
-        for job in self.jobs.values():
-            rank = min(
-                wire.PRIORITIES[job.spec.priority], self.waiting_jobs.demand_on(job.id).priority
-            )
-            if rank == 0 or not self.quota.has_guarantee(job.team):
-                self.set_standing(job, rank, (0 if rank == 0 else 1, rank))
-            if self.quota.has_guarantee(job.team):
-                judged.append((job.ready_at, job.id, rank, job))
-        judged.sort(key=lambda entry: entry[:2])
-        totals: dict[TeamName, Resources] = {}
-        for _, _, rank, job in judged:
-            total = totals.get(job.team, NO_RESOURCES).plus(job.need, job.size)
-            totals[job.team] = total
-            if rank > 0:
-                within = self.quota.fits_guarantee(job.team, total)
-                self.set_standing(job, rank, (0 if within else 1, rank))
+        """Return the jobs with tasks to place, in the order in which they are served."""
+        return self.job_order.jobs_in_order(now)
+
+    def jobs_without_room(self, now: Instant) -> list[tuple[Job, int]]:
+        """Return the jobs that wait for machines and for how many tasks, in service order."""
+        return self.job_order.jobs_without_room(now)
 
     def run_pass(self, now: Instant) -> None:
         """One pass over the waiting jobs."""
@@ -442,10 +350,10 @@
         if not self.loaded:
             return
         usable, free = self.schedulable_room()
-        unsure = self._unlocated_usage()
+        unsure = self.unlocated_tasks.usage_by_team()
         if self.standings_outdated:
-            self._update_standings()
-        waiting = self.jobs_in_service_order(now)
+            self.job_order.update_standings()
+        waiting = self.job_order.jobs_in_order(now)
         self.headroom.update((job for job in waiting if not job.faulty), now)
         self.preemption.subtract_reservations(free, now)
         kept, able = self.headroom.select_machines(self.schedulable.by_offer, free)
@@ -596,61 +504,10 @@
             if placement.intent_stored:
                 self.send_start(placement)
 
-    def fleet_summary(self) -> list[dict[str, Any]]:
-        """The machines by offer: how many, how many of them empty, how full; and what waits."""
-        groups: dict[MachineOffer, list[Machine]] = {}
-        for machine in self.machines.values():
-            groups.setdefault(machine.offer, []).append(machine)
-        found: list[dict[str, Any]] = []
-        for offer, machines in sorted(groups.items()):
-            whole = sum(
-                self.machine_types[m.type].cores for m in machines if m.type in self.machine_types
-            )
-            booked = sum(m.allocated.cores for m in machines)
-            held: Counter[str] = Counter()
-            for machine in machines:
-                for placement in machine.placements.values():
-                    job = self.jobs.get(placement.task.job)
-                    held[job.spec.job_class if job is not None else "-"] += 1
-            found.append(
-                {
-                    **offer._asdict(),
-                    "machines": len(machines),
-                    "empty": sum(1 for m in machines if not m.placements),
-                    "not_usable": sum(1 for m in machines if not m.schedulable),
-                    "percent_booked": round(100 * booked / whole) if whole else 0,
-                    "holds": ",".join(f"{name}:{many}" for name, many in sorted(held.items())),
-                }
-            )
-        waits: dict[str, tuple[int, int, float]] = {}
-        for job in self.unplaced.values():
-            tasks = job.startable_count()
-            if tasks:
-                jobs, total, first = waits.get(job.spec.job_class, (0, 0, job.submitted_at))
-                waits[job.spec.job_class] = (jobs + 1, total + tasks, min(first, job.submitted_at))
-        for name, (jobs, total, first) in sorted(waits.items()):
-            oldest = round(self.wall() - first)
-            found.append({"waiting": name, "tasks": total, "jobs": jobs, "oldest_s": oldest})
-        return found
+    def fleet_summary(self) -> list[summaries.LogFields]:
+        """Return the machines by offer, and the waiting tasks by job class, as log fields."""
+        return summaries.fleet_summary(self)
 
     def inflight_summary(self) -> dict[str, int]:
-        """How many starts may still arrive, and what that has led to in this term."""
-        open_ = [len(machine.inflight_starts) for machine in self.machines.values()]
-        return {
-            "may_arrive": sum(open_),
-            "machines": sum(1 for starts in open_ if starts),
-            "forgets_put_off": self.heartbeats.deferred_forgets,
-            "token_raises": self.token_rotation.count,
-            "violations": sum(self.invariants.violations.values()),
-        }
-
-    def jobs_without_room(self, now: Instant) -> list[tuple[Job, int]]:
-        """Jobs with tasks for which there is no room, in the order of service."""
-        found = []
-        for job in self.jobs_in_service_order(now):
-            count = min(job.startable_count(), self.quota.tasks_within_limit(job.team, job.need))
-            if job.gang and (job.placements or count < job.size):
-                continue
-            if count > 0 and not job.faulty:
-                found.append((job, count))
-        return found
+        """Return how many starts may still reach a worker, as log fields."""
+        return summaries.inflight_summary(self, self.heartbeats.deferred_forgets)
--- /dev/null
+++ b/umberward/scheduling/summaries.py
@@ -0,0 +1,99 @@
+"""Figures about the fleet and the commands in flight, for the leader's periodic log lines. No I/O.
+
+The field names are those of the log lines (docs/operators/log.md) and stay as operators know them.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import NamedTuple
+
+from umberward.core.types import MachineOffer
+from umberward.scheduling.cluster_state import ClusterState
+from umberward.scheduling.machines import Machine
+
+LogFields = dict[str, str | int | float | bool]
+
+UNKNOWN_JOB_CLASS = "-"  # class of tasks whose job is not live any more
+
+
+class _ClassBacklog(NamedTuple):
+    """The tasks of one job class that wait for a machine."""
+
+    jobs: int
+    tasks: int
+    oldest_submitted_at: float
+
+
+def fleet_summary(cluster: ClusterState) -> list[LogFields]:
+    """Return one line of log fields for each machine offer, then one for each waiting job class."""
+    return [*_offer_lines(cluster), *_backlog_lines(cluster)]
+
+
+def _offer_lines(cluster: ClusterState) -> list[LogFields]:
+    machines_by_offer: dict[MachineOffer, list[Machine]] = {}
+    for machine in cluster.machines.values():
+        machines_by_offer.setdefault(machine.offer, []).append(machine)
+    return [
+        _offer_line(cluster, offer, machines)
+        for offer, machines in sorted(machines_by_offer.items())
+    ]
+
+
+def _offer_line(cluster: ClusterState, offer: MachineOffer, machines: list[Machine]) -> LogFields:
+    """Count the machines of one offer, how many are empty, and how much of them is allocated."""
+    total_cores = sum(
+        cluster.machine_types[machine.type].cores
+        for machine in machines
+        if machine.type in cluster.machine_types
+    )
+    allocated_cores = sum(machine.allocated.cores for machine in machines)
+    tasks_by_class: Counter[str] = Counter()
+    for machine in machines:
+        for placement in machine.placements.values():
+            job = cluster.jobs.get(placement.task.job)
+            tasks_by_class[job.spec.job_class if job is not None else UNKNOWN_JOB_CLASS] += 1
+    return {
+        **offer._asdict(),
+        "machines": len(machines),
+        "empty": sum(1 for machine in machines if not machine.placements),
+        "not_usable": sum(1 for machine in machines if not machine.schedulable),
+        "percent_booked": round(100 * allocated_cores / total_cores) if total_cores else 0,
+        "holds": ",".join(f"{name}:{count}" for name, count in sorted(tasks_by_class.items())),
+    }
+
+
+def _backlog_lines(cluster: ClusterState) -> list[LogFields]:
+    backlogs: dict[str, _ClassBacklog] = {}
+    for job in cluster.unplaced.values():
+        tasks = job.startable_count()
+        if not tasks:
+            continue
+        empty = _ClassBacklog(0, 0, job.submitted_at)
+        backlog = backlogs.get(job.spec.job_class, empty)
+        backlogs[job.spec.job_class] = _ClassBacklog(
+            backlog.jobs + 1,
+            backlog.tasks + tasks,
+            min(backlog.oldest_submitted_at, job.submitted_at),
+        )
+    return [
+        {
+            "waiting": job_class,
+            "tasks": backlog.tasks,
+            "jobs": backlog.jobs,
+            "oldest_s": round(cluster.wall() - backlog.oldest_submitted_at),
+        }
+        for job_class, backlog in sorted(backlogs.items())
+    ]
+
+
+def inflight_summary(cluster: ClusterState, deferred_forgets: int) -> dict[str, int]:
+    """Count the starts that may still reach a worker, and what that has caused in this term."""
+    inflight_counts = [len(machine.inflight_starts) for machine in cluster.machines.values()]
+    return {
+        "may_arrive": sum(inflight_counts),
+        "machines": sum(1 for count in inflight_counts if count),
+        "forgets_put_off": deferred_forgets,
+        "token_raises": cluster.token_rotation.count,
+        "violations": sum(cluster.invariants.violations.values()),
+    }
