--- a/tests/guards.py
+++ b/tests/guards.py
@@ -27,8 +27,8 @@
     failure_detector,
     lease_delegation,
     machine_selection,
+    placement_pass,
     reachability,
-    scheduler,
 )
 from umberward.scheduling.autoscaler import Autoscaler
 from umberward.scheduling.consolidation import Consolidation
@@ -41,6 +41,7 @@
 from umberward.scheduling.jobs import Job
 from umberward.scheduling.lease_delegation import Delegate, Delegator, LeaseBounds
 from umberward.scheduling.machines import Machine
+from umberward.scheduling.placement_pass import PlacementPass
 from umberward.scheduling.quota import Quota
 from umberward.scheduling.reachability import Reachability
 from umberward.scheduling.scheduler import Scheduler
@@ -435,18 +436,18 @@
 
 
 def pass_alone(patch: pytest.MonkeyPatch) -> None:
-    whole = Scheduler._place_job
+    whole = PlacementPass.place_job
 
-    def _place_job(self: Scheduler, job: Job, *rest: Any) -> None:
+    def place_job(self: PlacementPass, job: Job, *rest: Any) -> None:
         """As if the first that fails ended the pass."""
-        if self.failed_in != self.now:
+        if self.failed_in != self.cluster.now:
             try:
                 whole(self, job, *rest)
             except TypeError:
-                self.failed_in = self.now
+                self.failed_in = self.cluster.now
 
-    patch.setattr(Scheduler, "failed_in", -1.0, raising=False)
-    patch.setattr(Scheduler, "_place_job", _place_job)
+    patch.setattr(PlacementPass, "failed_in", -1.0, raising=False)
+    patch.setattr(PlacementPass, "place_job", place_job)
 
 
 def no_gathering(patch: pytest.MonkeyPatch) -> None:
@@ -514,7 +515,7 @@
 
 
 def cheap_only(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(scheduler, "jobs_limited_to_affordable", lambda *_: {})
+    patch.setattr(placement_pass, "jobs_limited_to_affordable", lambda *_: {})
     patch.setattr(autoscaler, "jobs_limited_to_affordable", lambda *_: {})
 
 
--- a/umberward/scheduling/scheduler.py
+++ b/umberward/scheduling/scheduler.py
@@ -11,14 +11,10 @@
 
 import random
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
-from typing import Any
 
 from umberward.core.log import logger
 from umberward.core.settings import Settings
 from umberward.core.types import (
-    NO_RESOURCES,
-    Attempt,
     ControllerName,
     FencingToken,
     Instant,
@@ -26,9 +22,6 @@
     Key,
     MachineId,
     MachineTypeName,
-    Resources,
-    TaskId,
-    TeamName,
     Version,
     WallTime,
     ZoneName,
@@ -44,16 +37,13 @@
 from umberward.scheduling.dependencies import WaitingJobs
 from umberward.scheduling.failure_attribution import FailureAttribution
 from umberward.scheduling.failure_detector import FailureDetector
-from umberward.scheduling.gang_reservation import GangReservations
 from umberward.scheduling.heartbeats import HeartbeatHandler
-from umberward.scheduling.jobs import Job, Placement
+from umberward.scheduling.jobs import Job
 from umberward.scheduling.lease_delegation import Delegation, Delegator
-from umberward.scheduling.machine_selection import choose_machines
-from umberward.scheduling.machines import Machine, machines_with_room
-from umberward.scheduling.preemption import PreemptableWork, Preemption
+from umberward.scheduling.placement_pass import PlacementPass
+from umberward.scheduling.preemption import Preemption
 from umberward.scheduling.reachability import Reachability
 from umberward.scheduling.service_order import ServiceOrder
-from umberward.scheduling.spot_policy import AffordableMachines, jobs_limited_to_affordable
 from umberward.scheduling.state_writer import StateWriter, Transaction
 from umberward.scheduling.unlocated_tasks import UnlocatedTasks
 
@@ -61,25 +51,6 @@
 
 
 UNKNOWN_JOB_GRACE_S = 15.0  # a live job that is not known for so long is taken up
-MAX_FAILED_PASS_PAUSE_S = 30.0  # ... of a job whose placing fails, until it is tried again
-
-
-@dataclass
-class SchedulingPass:
-    """What the jobs of one placing pass share."""
-
-    usable: list[Machine]
-    free: dict[MachineId, Resources]
-    roomy: list[Machine]
-    roomy_ids: set[MachineId]  # of the roomy ones
-    unlocated_usage: dict[TeamName, Resources]
-    headroom_machines: set[MachineId]
-    headroom_candidates: set[MachineId]
-    preemptable: PreemptableWork | None
-    # Jobs that wait for cheap machines, and what these are.
-    affordable: dict[JobId, AffordableMachines]
-    # Kinds of jobs for which nothing is left in this pass: thousands of tasks may wait.
-    exhausted: set[Any] = field(default_factory=set)
 
 
 class Scheduler(ClusterState):
@@ -99,13 +70,15 @@
         borrowers = {ControllerName(peer.label): ZoneName(peer.site) for peer in platform.peers}
         self.delegator = Delegator(self.worker_times, borrowers, epoch)
         self.preemption = Preemption(self, now)
-        self.gang_reservations = GangReservations(self)
         self.deadline_triage = DeadlineTriage(self, now)
         self.consolidation = Consolidation(self, self.preemption, now)
         self.failure_attribution = FailureAttribution(self, now)
         self.waiting_jobs = WaitingJobs(self)
         self.job_order = ServiceOrder(self, self.waiting_jobs, self.deadline_triage)
         self.unlocated_tasks = UnlocatedTasks(self, self.delegator)
+        self.placement_pass = PlacementPass(
+            self, self.job_order, self.unlocated_tasks, self.preemption, self.consolidation
+        )
         self.writer = StateWriter(self, self.waiting_jobs, platform.cluster.state.strictest(), now)
         self.reachability = Reachability(self)
         self.failure_detector = FailureDetector(self, self.delegator, self.reachability)
@@ -113,7 +86,6 @@
             self, self.reachability, self.failure_attribution, self.writer
         )
         self.command_results = CommandResults(self, self.reachability, self.heartbeats)
-        self.attempts = 0
         self.unknown_since: dict[JobId, Instant] = {}  # live, and not known here: since when
         self.recently_ended: dict[JobId, Instant] = {}  # an older reading may still show them
 
@@ -345,164 +317,8 @@
         return self.job_order.jobs_without_room(now)
 
     def run_pass(self, now: Instant) -> None:
-        """One pass over the waiting jobs."""
-        self.pass_wanted = False
-        if not self.loaded:
-            return
-        usable, free = self.schedulable_room()
-        unsure = self.unlocated_tasks.usage_by_team()
-        if self.standings_outdated:
-            self.job_order.update_standings()
-        waiting = self.job_order.jobs_in_order(now)
-        self.headroom.update((job for job in waiting if not job.faulty), now)
-        self.preemption.subtract_reservations(free, now)
-        kept, able = self.headroom.select_machines(self.schedulable.by_offer, free)
-        self.headroom_machines = kept
-        self.gang_reservations.update(waiting, free, now)
-        roomy = machines_with_room(usable, free, waiting)
-        state = SchedulingPass(
-            usable,
-            free,
-            roomy,
-            {m.id for m in roomy},
-            unsure,
-            kept,
-            able,
-            self.preemption.find_preemptable(waiting, usable, now),
-            jobs_limited_to_affordable(
-                self, waiting, {o: len(kind) for o, kind in self.schedulable.by_offer.items()}
-            ),
-        )
-        for job in waiting:
-            try:
-                self._place_job(job, state, now)
-            except Exception:
-                # The others are served all the same, and it is tried again.
-                job.failed_passes += 1
-                job.held_until = now + min(MAX_FAILED_PASS_PAUSE_S, 2.0**job.failed_passes)
-                log.exception("job_not_placed", job=job.id, again_s=job.held_until - now)
-        self.preemption.denied_machines = set()
-        if state.preemptable is not None and self.all_settled:
-            self.preemption.move_replicas(
-                state.headroom_machines,
-                state.headroom_candidates,
-                usable,
-                free,
-                state.preemptable,
-                now,
-            )
-        if self.all_settled:
-            self.consolidation.consolidate(state.headroom_machines, usable, now)
-
-    def _place_job(self, job: Job, state: SchedulingPass, now: Instant) -> None:
-        need = job.need
-        free, stoppable, full = state.free, state.preemptable, state.exhausted
-        count = min(
-            job.startable_count(),
-            self.quota.tasks_within_limit(
-                job.team, need, state.unlocated_usage.get(job.team, NO_RESOURCES)
-            ),
-        )
-        if count <= 0 or (job.gang and (count < job.size or job.placements or job.unlocated_tasks)):
-            return
-        if job.faulty:
-            # One try at a time, in room that happens to be there; nobody gives way for it.
-            if job.placements:
-                return
-            count = job.size if job.gang else 1
-        mine = self.preemption.grant_reserved(job, free)
-        # What was cleared for the job counts as full for all others.
-        open_ = state.roomy
-        if mine:
-            open_ = [m for m in state.usable if m.id in mine or m.id in state.roomy_ids]
-        denied = self.preemption.denied_machines = self.gang_reservations.denied_machines(job)
-        if denied:
-            open_ = [m for m in open_ if m.id not in denied]
-        cheap = state.affordable.get(job.id)
-        room_in = free
-        if cheap is not None:
-            room_in = {
-                m.id: free[m.id]
-                if m.id in state.headroom_machines and cheap.may_use_leftovers
-                else cheap.usable_room(m, free[m.id], self.machine_types[m.type])
-                for m in open_
-            }
-        # Replicas stay long: they take accelerated machines only if nothing else is left.
-        lasting = job.service and need.accelerators <= 0
-        barred = (
-            self.barred_machines(
-                job, state.headroom_candidates if lasting else state.headroom_machines
-            )
-            - mine
-        )
-        kind = (job.placement_class, lasting, bool(barred), bool(denied), cheap is None)
-        chosen: list[MachineId] = []
-        # Replicas wait for what is being cleared for them: it is gone in a moment.
-        coming = 0
-        if lasting:
-            coming = sum(1 for id in mine if id in free and not need.fits(free[id]))
-            if stoppable is not None and self.preemption.needs_cached_image(job):
-                coming += self.preemption.preempt_near_image(
-                    job, count - coming, open_, free, state.headroom_candidates, stoppable, now
-                )
-        if coming < count and (mine or kind not in full):
-            chosen = choose_machines(self, job, count - coming, open_, room_in, barred, prefer=mine)
-            if not chosen and not mine and job.interchangeable:
-                full.add(kind)
-        if len(chosen) + coming < count and stoppable is not None:
-            coming += self.preemption.preempt(
-                job, count - len(chosen) - coming, stoppable, free, mine, now
-            )
-        for step, wider in enumerate((state.headroom_machines - mine, set()) if lasting else ()):
-            if len(chosen) + coming < count and (mine or (kind, step) not in full):
-                chosen = choose_machines(self, job, count - coming, open_, free, wider, prefer=mine)
-                if not chosen and not mine and job.interchangeable:
-                    full.add((kind, step))
-        if job.gang and len(chosen) < job.size:
-            chosen = []
-        used = mine if len(chosen) == count else mine.intersection(chosen)
-        self.preemption.return_unused(used, mine, free)
-        self._start(job, chosen, free, now)
-        if need.accelerators > 0 and chosen:
-            state.headroom_machines, state.headroom_candidates = self.headroom.select_machines(
-                self.schedulable.by_offer, free
-            )
-            self.headroom_machines = state.headroom_machines
-
-    def _start(
-        self, job: Job, chosen: list[MachineId], free: dict[MachineId, Resources], now: Instant
-    ) -> None:
-        if not chosen:
-            return
-        self.attempts += 1
-        attempt = Attempt((self.term_token << 20) + self.attempts)
-        left = [job.take_task() for _ in chosen]
-        pairs: list[tuple[int, MachineId]] = []
-        for id in chosen:
-            machine = self.machines[id]
-            for index in left:
-                task = TaskId(job.id, index)
-                if task not in machine.placements and task not in machine.exited_tasks:
-                    left.remove(index)
-                    pairs.append((index, id))
-                    break
-        if job.gang and left:
-            # One task would be refused where its last attempt is still listed: not without it.
-            left += [index for index, _ in pairs]
-            pairs = []
-        for index in left:
-            job.put_back(index)
-        for index, id in pairs:
-            machine = self.machines[id]
-            task = TaskId(job.id, index)
-            placement = Placement(task, attempt, id, machine.zone, job, now)
-            placement.intent_stored = index < job.placed_below
-            if not self.invariants.may_hold(machine, job, placement):
-                continue
-            self.add_placement(machine, job, placement)
-            free[id] = free[id].minus(job.need)
-            if placement.intent_stored:
-                self.send_start(placement)
+        """Place waiting tasks on machines, once over all jobs."""
+        self.placement_pass.run(now)
 
     def fleet_summary(self) -> list[summaries.LogFields]:
         """Return the machines by offer, and the waiting tasks by job class, as log fields."""
