--- a/umberward/scheduling/deadline_triage.py
+++ b/umberward/scheduling/deadline_triage.py
@@ -14,7 +14,8 @@
 from typing import Any, NamedTuple
 
 from umberward.core.types import Instant, JobId
-from umberward.scheduling.cluster_state import MISSED_GOALS_PRIORITY_S, ClusterState
+from umberward.scheduling.cluster_state import ClusterState
+from umberward.scheduling.job_timing import MISSED_GOALS_PRIORITY_S
 from umberward.scheduling.jobs import Job
 
 TRIAGE_INTERVAL_S = 0.4
--- a/umberward/scheduling/gang_reservation.py
+++ b/umberward/scheduling/gang_reservation.py
@@ -17,7 +17,8 @@
 
 from umberward.core.log import logger
 from umberward.core.types import ImageName, Instant, JobId, MachineId, Resources, ZoneName
-from umberward.scheduling.cluster_state import START_WITHIN_S, ClusterState
+from umberward.scheduling.cluster_state import ClusterState
+from umberward.scheduling.job_timing import START_WITHIN_S
 from umberward.scheduling.jobs import Job, PreemptionKey, may_preempt
 from umberward.scheduling.machines import Machine
 
--- /dev/null
+++ b/umberward/scheduling/objectives.py
@@ -0,0 +1,84 @@
+"""The operators' service-level objectives, by job class. No I/O.
+
+The deploy file lists them (docs/operators); each names a kind, a job class, and a time or a factor.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from umberward.core.settings import Objective
+
+# Kinds of objectives, as the deploy file names them.
+START_KIND = "wait"
+FINISH_KIND = "finished"
+DEADLINE_KIND = "deadline"
+GUARANTEE_KIND = "guarantee"
+
+
+class ClassAim(NamedTuple):
+    """The strictest objective of each kind for a class, in seconds; None: there is none."""
+
+    start_within_s: float | None
+    finish_within_s: float | None
+
+
+NO_AIM = ClassAim(None, None)
+
+
+class ClassObjectives(NamedTuple):
+    """All objectives of a class: in seconds, and as multiples of a job's own deadline."""
+
+    start_within_s: list[float]
+    finish_within_s: list[float]
+    deadline_factors: list[float]
+
+
+NO_OBJECTIVES = ClassObjectives([], [], [])
+
+
+@dataclass
+class Objectives:
+    """What the objectives of a deploy file ask for."""
+
+    aims: dict[str, ClassAim] = field(default_factory=dict)
+    by_class: dict[str, ClassObjectives] = field(default_factory=dict)
+    guaranteed_start_s: float | None = None  # how soon guaranteed work should start
+
+
+def parse_objectives(objectives: Iterable[Objective]) -> Objectives:
+    """Sort the objectives of the deploy file by job class."""
+    parsed = Objectives()
+    for objective in objectives:
+        if objective.kind == GUARANTEE_KIND and objective.within_s:
+            parsed.guaranteed_start_s = objective.within_s
+        if objective.job_class is not None:
+            _add_class_objective(parsed.by_class, objective.job_class, objective)
+            if objective.within_s:
+                aim = parsed.aims.get(objective.job_class, NO_AIM)
+                parsed.aims[objective.job_class] = _stricter_aim(
+                    aim, objective.kind, objective.within_s
+                )
+    return parsed
+
+
+def _add_class_objective(
+    by_class: dict[str, ClassObjectives], job_class: str, objective: Objective
+) -> None:
+    found = by_class.setdefault(job_class, ClassObjectives([], [], []))
+    if objective.kind == DEADLINE_KIND:
+        found.deadline_factors.append(objective.times or 1.0)
+    elif objective.within_s and objective.kind == START_KIND:
+        found.start_within_s.append(objective.within_s)
+    elif objective.within_s and objective.kind == FINISH_KIND:
+        found.finish_within_s.append(objective.within_s)
+
+
+def _stricter_aim(aim: ClassAim, kind: str, within_s: float) -> ClassAim:
+    if kind == START_KIND:
+        return aim._replace(start_within_s=min(aim.start_within_s or within_s, within_s))
+    if kind == FINISH_KIND:
+        return aim._replace(finish_within_s=min(aim.finish_within_s or within_s, within_s))
+    return aim
--- a/umberward/scheduling/scheduler.py
+++ b/umberward/scheduling/scheduler.py
@@ -1,10 +1,13 @@
-"""What a holder of machines decides. No I/O: reports and results come in, effects go out.
+"""The scheduling state of a cluster and every decision about it. No I/O.
+
+The leader's event loop passes heartbeats, command results and records in; commands, probes and
+transactions come out.
 
 The rules rest on one question: may a task still be on a machine? A `Placement` stands for "it
 may", from before its start is sent until one of these is known (docs/design.md, "Safety"):
-a newer report under our token does not list it and no start is in flight; the worker's session
-has changed; its lease has run out since the last answer it could have accepted; the cloud has
-deleted the machine.
+a newer heartbeat under this leader's fencing token does not list it and no start is in flight; the
+worker's incarnation has changed; the worker's lease has expired since the last response that it
+could have accepted; the cloud has deleted the machine.
 """
 
 from __future__ import annotations
@@ -40,6 +43,7 @@
 from umberward.scheduling.heartbeats import HeartbeatHandler
 from umberward.scheduling.jobs import Job
 from umberward.scheduling.lease_delegation import Delegation, Delegator
+from umberward.scheduling.machines import Machine
 from umberward.scheduling.placement_pass import PlacementPass
 from umberward.scheduling.preemption import Preemption
 from umberward.scheduling.reachability import Reachability
@@ -49,26 +53,30 @@
 
 log = logger(__name__)
 
-
-UNKNOWN_JOB_GRACE_S = 15.0  # a live job that is not known for so long is taken up
+UNKNOWN_JOB_GRACE_S = 15.0  # a live job's record that is unknown here for so long is adopted
+MAX_DELETED_MACHINES_KEPT = 5000  # the oldest are dropped: no heartbeat of theirs is under way
 
 
 class Scheduler(ClusterState):
-    """The cluster, and all that is decided about it: the one thing that a holder speaks to."""
+    """The cluster state with all parts that decide about it: the interface of the leader's loop.
+
+    Each part reads and changes the `ClusterState` and knows no other part's insides.
+    """
 
     def __init__(
         self,
         settings: Settings,
-        skus: dict[MachineTypeName, MachineType],
-        epoch: FencingToken,
+        machine_types: dict[MachineTypeName, MachineType],
+        fencing_token: FencingToken,
         now: Instant,
         wall: Callable[[], WallTime],
         rng: random.Random,
     ) -> None:
-        super().__init__(settings, skus, epoch, now, wall, rng)
+        """Start a term; the arguments are those of `ClusterState`."""
+        super().__init__(settings, machine_types, fencing_token, now, wall, rng)
         platform = settings.platform
-        borrowers = {ControllerName(peer.label): ZoneName(peer.site) for peer in platform.peers}
-        self.delegator = Delegator(self.worker_times, borrowers, epoch)
+        delegates = {ControllerName(peer.label): ZoneName(peer.site) for peer in platform.peers}
+        self.delegator = Delegator(self.worker_times, delegates, fencing_token)
         self.preemption = Preemption(self, now)
         self.deadline_triage = DeadlineTriage(self, now)
         self.consolidation = Consolidation(self, self.preemption, now)
@@ -86,35 +94,50 @@
             self, self.reachability, self.failure_attribution, self.writer
         )
         self.command_results = CommandResults(self, self.reachability, self.heartbeats)
-        self.unknown_since: dict[JobId, Instant] = {}  # live, and not known here: since when
-        self.recently_ended: dict[JobId, Instant] = {}  # an older reading may still show them
+        # Jobs whose live record was read and that are not known here: since when.
+        self.unknown_since: dict[JobId, Instant] = {}
+        # Jobs that ended lately: a listing that was read earlier may still show them.
+        self.recently_ended: dict[JobId, Instant] = {}
 
-    # ---- what is said to it: passed on to the part that knows ----------------------------
+    # ---- events of the leader's loop, passed on to the part concerned ----------------------
 
     def receive_heartbeat(
-        self, head: wire.HeartbeatHeader, body: bytes, now: Instant
+        self, header: wire.HeartbeatHeader, body: bytes, now: Instant
     ) -> list[wire.TaskCommand] | None:
-        return self.heartbeats.receive(head, body, now)
+        """Apply a periodic heartbeat; return the commands for its response.
+
+        None: this leader must not answer it.
+        """
+        return self.heartbeats.receive(header, body, now)
 
     def command_completed(
-        self, command: DirectCommand, report: Heartbeat | None, unknown: bool, now: Instant
+        self,
+        command: DirectCommand,
+        heartbeat: Heartbeat | None,
+        unknown: bool,  # noqa: FBT001 - a field of the event, passed on in order
+        now: Instant,
     ) -> None:
-        self.command_results.command_completed(command, report, unknown, now)
+        """Apply a direct command's result; `unknown`: the worker may still execute it."""
+        self.command_results.command_completed(command, heartbeat, unknown, now)
 
-    def probe_completed(self, probe: Probe, report: Heartbeat | None, now: Instant) -> None:
-        self.command_results.probe_completed(probe, report, now)
+    def probe_completed(self, probe: Probe, heartbeat: Heartbeat | None, now: Instant) -> None:
+        """Apply a worker's answer to a probe; None: it did not answer."""
+        self.command_results.probe_completed(probe, heartbeat, now)
 
-    def may_keep_session(self, id: MachineId) -> bool:
-        """Whether a leader without its lease may keep the worker's session alive, as far as the
-        starts that were sent there go."""
-        machine = self.machines.get(id)
+    def may_keep_session(self, machine_id: MachineId) -> bool:
+        """Tell whether a leader without its lease may keep the worker's session alive.
+
+        Not while a start of a task that is to be stopped may still arrive there.
+        """
+        machine = self.machines.get(machine_id)
         return machine is None or not self.has_unwanted_start(machine)
 
     def wake(self, now: Instant) -> None:
+        """Detect a pause of this process; to be called before any other event is handled."""
         self.failure_detector.detect_pause(now)
 
     def tick(self, now: Instant) -> None:
-        """Notice what time alone tells. To be called a few times a second."""
+        """Apply what follows from time alone; to be called a few times a second."""
         self.now = now
         self.failure_detector.tick(now)
         self.reachability.tick(now)
@@ -122,55 +145,73 @@
         self.failure_detector.select_machines_to_delete(now)
 
     def is_isolated(self, now: Instant) -> bool:
+        """Tell whether nearly all workers seem to be out of this controller's reach."""
         return self.failure_detector.is_isolated(now)
 
     def heard_no_machine(self, now: Instant) -> bool:
+        """Tell whether no loaded machine has been heard of, though each should have been by now."""
         return self.failure_detector.heard_no_machine(now)
 
     def delegate(
-        self, borrower: ControllerName, seen: int, idle: bool, now: Instant
+        self,
+        delegate: ControllerName,
+        seen: int,
+        idle: bool,  # noqa: FBT001 - a field of the request, passed on in order
+        now: Instant,
     ) -> Delegation | None:
-        return self.failure_detector.delegate(borrower, seen, idle, now)
+        """Delegate lease renewal for the machines of a controller's zone (`FailureDetector`).
 
-    def transaction_committed(self, batch: Transaction, stamp: Version, now: Instant) -> None:
-        """A transaction of ours was carried out."""
-        for job, final in self.writer.transaction_committed(batch, stamp, now):
+        `seen` is the last delegation that the delegate has received, `idle` whether it has used
+        none since it asked for that one. None: the jobs have not been read in this term.
+        """
+        return self.failure_detector.delegate(delegate, seen, idle, now)
+
+    def transaction_committed(
+        self, transaction: Transaction, version: Version, now: Instant
+    ) -> None:
+        """Apply what a transaction of this leader has committed."""
+        for job, final in self.writer.transaction_committed(transaction, version, now):
             log.info("job_ended", job=job.id, phase=final.phase)
             self.apply_job_end(job.id, final, final.ended_at or self.wall())
             self.remove_job(job.id)
 
     def reconcile_key(self, key: Key, found: VersionedValue | None) -> None:
-        """What the state service has after a conflict or an unknown outcome."""
-        for gone in self.writer.reconcile_key(key, found):
-            self.remove_job(gone)
+        """Apply what the state service holds after a conflict or an unknown outcome."""
+        for job_id in self.writer.reconcile_key(key, found):
+            self.remove_job(job_id)
 
-    # ---- taking over -------------------------------------------------------------------
+    def token_rotated(self, fencing_token: FencingToken) -> None:
+        """Use a higher fencing token that was committed for the running term."""
+        self.fencing_token = fencing_token
+        self.token_rotation.completed(self.now)
+
+    # ---- failover ----------------------------------------------------------------------
 
     def load_block(
-        self, number: int, record: wire.BlockRecord, stamp: Version, now: Instant
+        self, number: int, record: wire.BlockRecord, version: Version, now: Instant
     ) -> None:
+        """Load one block of the stored machine list, and probe its machines."""
         machines = []
-        for name, (address, type_, zone, spot) in record.machines.items():
+        for name, (address, machine_type, zone, spot) in record.machines.items():
             machine = self.machine(
-                MachineId(name), address, MachineTypeName(type_), ZoneName(zone), spot, now
+                MachineId(name), address, MachineTypeName(machine_type), ZoneName(zone), spot, now
             )
             machines.append(machine)
             if not machine.heartbeat_seen and not machine.probing:
-                machine.probing = True
-                self.outbox.append(Probe(machine.id, address))
-        self.writer.load_block(number, stamp, machines)
+                self._probe(machine)
+        self.writer.load_block(number, version, machines)
 
     def finish_loading(self) -> None:
+        """Start to place tasks: all blocks and all jobs have been loaded."""
         self.loaded = True
         for machine in self.machines.values():
             if machine.reconciled:
-                # It reported before the jobs were read, so its tasks could not be told: until it
-                # has reported once more, they may run there and must not start elsewhere.
+                # Its heartbeat came before the jobs were read, so its tasks were unknown: until
+                # the next one they may run there and must not start elsewhere.
                 machine.reconciled = False
                 machine.availability_changed()
                 machine.unchanged_heartbeat = None
-                machine.probing = True
-                self.outbox.append(Probe(machine.id, machine.address))
+                self._probe(machine)
         self.pass_wanted = True
         log.info(
             "failover_completed",
@@ -179,72 +220,34 @@
             jobs=len(self.jobs),
         )
 
-    def is_live(self, id: JobId) -> bool:
-        """Whether it is live as far as we know."""
-        return id in self.jobs or id in self.waiting_jobs.jobs
+    def _probe(self, machine: Machine) -> None:
+        machine.probing = True
+        self.outbox.append(Probe(machine.id, machine.address))
+
+    # ---- jobs ----------------------------------------------------------------------------
 
-    def put_job(self, record: JobRecord, stamp: Version) -> None:
-        """A job's record was read or has come by the watch."""
-        id = JobId(record.spec.job_id)
-        if self.is_live(id):
+    def is_live(self, job_id: JobId) -> bool:
+        """Tell whether the job is live as far as this leader knows."""
+        return job_id in self.jobs or job_id in self.waiting_jobs.jobs
+
+    def put_job(self, record: JobRecord, version: Version) -> None:
+        """Add a live job whose record was read or came with a watch; known ones stay."""
+        job_id = JobId(record.spec.job_id)
+        if self.is_live(job_id):
             return
-        job = Job(record, stamp, self.value_limit)
+        job = Job(record, version, self.value_limit)
         if record.dependencies and not record.placed_below:
-            # A job that waits for others is in nothing that counts queued work, and cannot start.
+            # A job with dependencies is in nothing that counts queued work, and cannot start.
             self.waiting_jobs.add(job, wire.unpack_dependencies(record.dependencies))
         else:
             self.admit_job(job)
-        self.waiting_jobs.graph.note_live(id)
-
-    def find_unknown_jobs(self, entries: Iterable[wire.KeyValue], now: Instant) -> list[JobId]:
-        """Records of live jobs as they were read just now; returns the ids of those that nobody
-        here knows of, for the second time in a row, so that no news of them is on its way."""
-        found = []
-        for entry in entries:
-            id = JobId(entry.key[len(wire.LIVE_JOBS_PREFIX) :])
-            if self.is_live(id) or id in self.recently_ended:
-                self.unknown_since.pop(id, None)
-            elif now - self.unknown_since.setdefault(id, now) > UNKNOWN_JOB_GRACE_S:
-                found.append(id)
-        return found
-
-    def adopt_unknown_job(self, record: JobRecord, stamp: Version, now: Instant) -> None:
-        """A job that is live and that we had lost sight of."""
-        id = JobId(record.spec.job_id)
-        if self.unknown_since.pop(id, None) is None or id in self.recently_ended:
-            return
-        log.warning("unknown_job_adopted", job=id, marked=record.placed_below)
-        self.put_job(record, stamp)
-        job = self.jobs.get(id)
-        if job is None:
-            return
-        for machine in self.machines.values():
-            for task, placement in machine.placements.items():
-                if task.job == id:  # started before we lost sight of it
-                    job.placements[task.number] = placement
-                    job.locate_task(task.number)
-        if job.unlocated_tasks:
-            self.unlocated_tasks.requeue_later(job, now)
-
-    def repair(self, now: Instant) -> None:
-        """Queue tasks that got lost and forget what is over; to be called every few seconds."""
-        self.unlocated_tasks.requeue_overdue(now)
-        self._forget_recently_ended(now)
-        if self.all_settled:
-            self.unlocated_tasks.forget_cancelled_jobs()
-            self.unlocated_tasks.find_lost_tasks(now)
-
-    def _forget_recently_ended(self, now: Instant) -> None:
-        for job_id, ended_at in list(self.recently_ended.items()):
-            if now - ended_at <= UNKNOWN_JOB_GRACE_S:
-                break  # they are kept in the order in which they ended
-            del self.recently_ended[job_id]
+        self.waiting_jobs.graph.note_live(job_id)
 
     def admit_job(self, job: Job) -> None:
-        """The job's tasks may start from now on."""
+        """Let the job's tasks start from now on."""
         self.jobs[job.id] = self.unplaced[job.id] = job
         if job.complete:
-            self.writer.note_completions(job)  # all is done and its end was not written
+            self.writer.note_completions(job)  # all tasks are done and its end was not written
         job.prompt = self.is_prompt(job)
         if not job.placed_below:
             log.info(
@@ -257,56 +260,117 @@
         self.standings_outdated = True
         self.pass_wanted = True
 
-    def apply_job_end(self, id: JobId, final: wire.FinalJobRecord, at: float) -> None:
-        """A job's end was read or committed: only now may those after it start."""
-        for job in self.waiting_jobs.job_ended(id, final.phase, at):
+    def apply_job_end(self, job_id: JobId, final: wire.FinalJobRecord, ended_at: float) -> None:
+        """Admit the dependents of a job whose end was read or committed, and not before.
+
+        `ended_at` is a wall-clock time in seconds.
+        """
+        for job in self.waiting_jobs.job_ended(job_id, final.phase, ended_at):
             log.info("job_dependencies_done", job=job.id)
             self.admit_job(job)
 
-    def remove_job(self, id: JobId) -> None:
-        """A job's live record is gone: it is done, or was cancelled by some controller."""
-        self.waiting_jobs.job_gone(id)
-        self.recently_ended[id] = self.now
-        job = self.jobs.pop(id, None)
-        self.unplaced.pop(id, None)
+    def remove_job(self, job_id: JobId) -> None:
+        """Stop a job whose live record is gone: it is done, or some controller cancelled it."""
+        self.waiting_jobs.job_gone(job_id)
+        self.recently_ended[job_id] = self.now
+        job = self.jobs.pop(job_id, None)
+        self.unplaced.pop(job_id, None)
         if job is None:
             return
         job.ended = True
         if job.unlocated_tasks:
             # They may run on until they are found: they go on counting against the team's limit.
-            self.cancelled_jobs[id] = job
+            self.cancelled_jobs[job_id] = job
         self.failure_attribution.forget_job(job, self.now)
         self.standings_outdated = True
         for placement in list(job.placements.values()):
             self.stop(placement, 0.0)
         self.pass_wanted = True
 
-    def count_remaining(self, id: JobId, remains: wire.RemainingTasks) -> None:
-        """A job was cancelled, and we may never have known it: its tasks may be on machines that
-        we have not heard yet."""
-        if not (self.all_settled or self.is_live(id) or id in self.recently_ended):
-            self.cancelled_jobs.setdefault(id, Job.of_remaining(id, remains))
-
-    def remove_machines(self, ids: Iterable[MachineId], now: Instant) -> None:
-        """The cloud has deleted these machines, or they stopped by themselves."""
-        for id in ids:
-            self.machines_to_delete.discard(id)
-            machine = self.machines.get(id)
+    def count_remaining(self, job_id: JobId, remaining: wire.RemainingTasks) -> None:
+        """Count what a cancelled job may still use against its team's limit.
+
+        This leader may never have known the job, and its tasks may be on machines that have not
+        reported yet.
+        """
+        if not (self.all_settled or self.is_live(job_id) or job_id in self.recently_ended):
+            self.cancelled_jobs.setdefault(job_id, Job.of_remaining(job_id, remaining))
+
+    def find_unknown_jobs(self, entries: Iterable[wire.KeyValue], now: Instant) -> list[JobId]:
+        """Return the live jobs among the records read just now that this leader does not know.
+
+        Only those that were unknown at an earlier reading as well, so that no change that adds
+        them is under way.
+        """
+        found = []
+        for entry in entries:
+            job_id = JobId(entry.key[len(wire.LIVE_JOBS_PREFIX) :])
+            if self.is_live(job_id) or job_id in self.recently_ended:
+                self.unknown_since.pop(job_id, None)
+            elif now - self.unknown_since.setdefault(job_id, now) > UNKNOWN_JOB_GRACE_S:
+                found.append(job_id)
+        return found
+
+    def adopt_unknown_job(self, record: JobRecord, version: Version, now: Instant) -> None:
+        """Add a live job that this leader had lost, with the tasks that are still placed."""
+        job_id = JobId(record.spec.job_id)
+        if self.unknown_since.pop(job_id, None) is None or job_id in self.recently_ended:
+            return
+        log.warning("unknown_job_adopted", job=job_id, marked=record.placed_below)
+        self.put_job(record, version)
+        job = self.jobs.get(job_id)
+        if job is None:
+            return
+        for machine in self.machines.values():
+            for task, placement in machine.placements.items():
+                if task.job == job_id:  # started before the job was lost
+                    job.placements[task.number] = placement
+                    job.locate_task(task.number)
+        if job.unlocated_tasks:
+            self.unlocated_tasks.requeue_later(job, now)
+
+    def repair(self, now: Instant) -> None:
+        """Queue tasks that got lost and forget what is over; to be called every few seconds."""
+        self.unlocated_tasks.requeue_overdue(now)
+        self._forget_recently_ended(now)
+        if self.all_settled:
+            self.unlocated_tasks.forget_cancelled_jobs()
+            self.unlocated_tasks.find_lost_tasks(now)
+
+    def _forget_recently_ended(self, now: Instant) -> None:
+        for job_id, ended_at in list(self.recently_ended.items()):
+            if now - ended_at <= UNKNOWN_JOB_GRACE_S:
+                break  # the order is that in which they ended
+            del self.recently_ended[job_id]
+
+    # ---- machines ------------------------------------------------------------------------
+
+    def remove_machines(
+        self,
+        machine_ids: Iterable[MachineId],
+        now: Instant,  # noqa: ARG002 - part of the interface that the machine scaler calls
+    ) -> None:
+        """Remove machines that the cloud has deleted, or that stopped by themselves."""
+        for machine_id in machine_ids:
+            self.machines_to_delete.discard(machine_id)
+            machine = self.machines.get(machine_id)
             if machine is None:
                 continue
             machine.returning = True
             self.release_all(machine, "machine gone")
-            del self.machines[id]
+            del self.machines[machine_id]
             machine.availability_changed()
-            self.deleted_machines[id] = None
-            while len(self.deleted_machines) > 5000:
+            self.deleted_machines[machine_id] = None
+            while len(self.deleted_machines) > MAX_DELETED_MACHINES_KEPT:
                 del self.deleted_machines[next(iter(self.deleted_machines))]
             self.writer.remove_machine(machine)
         self.pass_wanted = True
 
-    def token_rotated(self, epoch: FencingToken) -> None:
-        self.fencing_token = epoch
-        self.token_rotation.completed(self.now)
+    # ---- the scheduling pass -------------------------------------------------------------
+
+    def run_pass(self, now: Instant) -> None:
+        """Place waiting tasks on machines, in one pass over the waiting jobs."""
+        self.placement_pass.run(now)
 
     def jobs_in_service_order(self, now: Instant) -> list[Job]:
         """Return the jobs with tasks to place, in the order in which they are served."""
@@ -316,9 +380,7 @@
         """Return the jobs that wait for machines and for how many tasks, in service order."""
         return self.job_order.jobs_without_room(now)
 
-    def run_pass(self, now: Instant) -> None:
-        """Place waiting tasks on machines, once over all jobs."""
-        self.placement_pass.run(now)
+    # ---- summaries for the log -----------------------------------------------------------
 
     def fleet_summary(self) -> list[summaries.LogFields]:
         """Return the machines by offer, and the waiting tasks by job class, as log fields."""
--- a/umberward/scheduling/spot_policy.py
+++ b/umberward/scheduling/spot_policy.py
@@ -22,7 +22,8 @@
 from umberward.core.types import NO_RESOURCES, JobId, MachineOffer, Resources, WallTime
 from umberward.protocol import wire
 from umberward.protocol.wire import MachineType
-from umberward.scheduling.cluster_state import START_WITHIN_S, WAITING_PRIORITY_S, ClusterState
+from umberward.scheduling.cluster_state import ClusterState
+from umberward.scheduling.job_timing import START_WITHIN_S, WAITING_PRIORITY_S
 from umberward.scheduling.jobs import Job
 from umberward.scheduling.machines import Machine
 
