--- a/tests/guards.py
+++ b/tests/guards.py
@@ -30,7 +30,6 @@
     placement_pass,
     reachability,
 )
-from umberward.scheduling.autoscaler import Autoscaler
 from umberward.scheduling.consolidation import Consolidation
 from umberward.scheduling.dependencies import NO_DEMAND, DependencyGraph, WaitingJobs
 from umberward.scheduling.failure_attribution import FailureAttribution
@@ -44,6 +43,7 @@
 from umberward.scheduling.placement_pass import PlacementPass
 from umberward.scheduling.quota import Quota
 from umberward.scheduling.reachability import Reachability
+from umberward.scheduling.scale_out import ScaleOutPlan
 from umberward.scheduling.scheduler import Scheduler
 from umberward.scheduling.state_writer import StateWriter
 from umberward.scheduling.token_rotation import TokenRotation
@@ -520,10 +520,10 @@
 
 
 def one_zone(patch: pytest.MonkeyPatch) -> None:
-    def anywhere(self: Autoscaler, job: Job, count: int, virtual: Any, *_: Any) -> None:
+    def anywhere(self: ScaleOutPlan, job: Job, count: int, *_: Any) -> None:
         """As if room in any zone were room for it."""
 
-    patch.setattr(Autoscaler, "_scale_out_for_gang", anywhere)
+    patch.setattr(ScaleOutPlan, "_request_for_gang", anywhere)
 
 
 def knows_cancellations(patch: pytest.MonkeyPatch) -> None:
--- /dev/null
+++ b/umberward/scheduling/scale_out.py
@@ -0,0 +1,213 @@
+"""How many machines of which kind to request for the work that waits. Pure.
+
+Machines that exist or boot are filled in a simulation first; what finds no room there is what the
+cloud is asked for.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Hashable
+from typing import NamedTuple
+
+from umberward.core.types import MachineOffer, MachineTypeName, ZoneName
+from umberward.protocol.wire import MachineType
+from umberward.scheduling.jobs import Job
+from umberward.scheduling.objectives import NO_AIM
+from umberward.scheduling.offer_selection import OfferChoice, OfferSelection
+from umberward.scheduling.scheduler import Scheduler
+from umberward.scheduling.simulated_machines import SimulatedMachine
+
+MAX_MACHINES_PER_CHOICE = 10  # the best offer is chosen anew after so many machines
+
+
+class _GangZone(NamedTuple):
+    """A zone in which a gang could run, were some machines added."""
+
+    missing_tasks: int
+    zone: ZoneName
+    machines: list[SimulatedMachine]  # those with room for a task of the gang
+    choice: OfferChoice | None  # what to request for the missing tasks
+
+
+class ScaleOutPlan:
+    """One decision to scale out; the machines to request are counted in `offers.requested`."""
+
+    def __init__(
+        self, scheduler: Scheduler, offers: OfferSelection, machines: list[SimulatedMachine]
+    ) -> None:
+        """`machines`: those that exist and those that boot; requested ones are added to them."""
+        self.scheduler = scheduler
+        self.offers = offers
+        self.machines = machines
+        self.comparisons = 0  # how often a machine's room was compared with what waits
+
+    # ---- waiting jobs --------------------------------------------------------------------
+
+    def request_for_jobs(self, waiting: list[tuple[Job, int]]) -> None:
+        """Request machines for the jobs that wait and their numbers of tasks, in that order."""
+        # How far the machines were searched for each class of jobs: room there only gets less.
+        searched: dict[Hashable, int] = {}
+        for job, task_count in waiting:
+            if job.gang and job.spec.same_zone and task_count > 1:
+                self._request_for_gang(job, task_count)
+            else:
+                missing_tasks = self._fill_machines(job, task_count, searched)
+                self._request_for_tasks(job, missing_tasks)
+
+    def _fill_machines(self, job: Job, task_count: int, searched: dict[Hashable, int]) -> int:
+        """Fill the simulated machines with the job's tasks; return how many found no room."""
+        need, machines = job.need, self.machines
+        missing_tasks = task_count
+        position = searched.get(job.placement_class, 0)
+        while missing_tasks > 0 and position < len(machines):
+            self.comparisons += 1
+            machine = machines[position]
+            room = machine.room(prompt=job.prompt)
+            if need.fits(room) and self.scheduler.allowed(job, *machine.offer):
+                fitting = min(missing_tasks, need.count_within(room))
+                machine.free = machine.free.minus(need, fitting)
+                missing_tasks -= fitting
+            if missing_tasks > 0:
+                position += 1
+        searched[job.placement_class] = position
+        return missing_tasks
+
+    def _request_for_tasks(self, job: Job, missing_tasks: int) -> None:
+        while missing_tasks > 0:
+            choice = self.offers.cheapest(job, missing_tasks)
+            if choice is None:
+                return
+            machine_count = math.ceil(missing_tasks / choice.tasks_per_machine)
+            machine_count = min(machine_count, MAX_MACHINES_PER_CHOICE)
+            missing_tasks = self._add_machines(job, choice, machine_count, missing_tasks)
+            if self.offers.is_exhausted(choice.offer):
+                return
+
+    def _add_machines(
+        self, job: Job, choice: OfferChoice, machine_count: int, missing_tasks: int
+    ) -> int:
+        """Request machines and fill them with the job's tasks; return how many are left."""
+        self.offers.request(choice.offer, machine_count)
+        capacity = self.scheduler.machine_types[choice.offer.type].capacity
+        for _ in range(machine_count):
+            fitting = min(missing_tasks, choice.tasks_per_machine)
+            missing_tasks -= fitting
+            free = capacity.minus(job.need, fitting)
+            self.machines.append(SimulatedMachine(choice.offer, free))
+        return missing_tasks
+
+    # ---- gangs in one zone ---------------------------------------------------------------
+
+    def _request_for_gang(self, job: Job, task_count: int) -> None:
+        """Make room for all of a gang in the zone where least has to be requested for that."""
+        zones = self._zones_for_gang(job, task_count)
+        if not zones:
+            return
+        best = min(zones, key=lambda zone: zone[:2])
+        left = task_count - best.missing_tasks
+        for machine in best.machines:
+            fitting = min(left, job.need.count_within(machine.room(prompt=job.prompt)))
+            machine.free = machine.free.minus(job.need, fitting)
+            left -= fitting
+        if best.choice is not None:
+            machine_count = math.ceil(best.missing_tasks / best.choice.tasks_per_machine)
+            self._add_machines(job, best.choice, machine_count, best.missing_tasks)
+
+    def _zones_for_gang(self, job: Job, task_count: int) -> list[_GangZone]:
+        """Return the zones that have room for the gang, or can get it."""
+        need = job.need
+        machines_by_zone: dict[ZoneName, list[SimulatedMachine]] = {}
+        for machine in self.machines:
+            self.comparisons += 1
+            fits = need.fits(machine.room(prompt=job.prompt))
+            if fits and self.scheduler.allowed(job, *machine.offer):
+                machines_by_zone.setdefault(machine.offer.zone, []).append(machine)
+        found = []
+        for zone in self._all_zones():
+            machines = machines_by_zone.get(zone, [])
+            room = sum(need.count_within(machine.room(prompt=job.prompt)) for machine in machines)
+            missing = task_count - room
+            choice = self.offers.cheapest(job, missing, zone) if missing > 0 else None
+            if missing <= 0 or choice is not None:
+                found.append(_GangZone(max(0, missing), zone, machines, choice))
+        return found
+
+    def _all_zones(self) -> list[ZoneName]:
+        machine_types = self.scheduler.machine_types.values()
+        return sorted({ZoneName(zone) for offered in machine_types for zone in offered.zones})
+
+    # ---- work that does not wait yet -----------------------------------------------------
+
+    def request_for_headroom(self) -> None:
+        """Request machines ahead of accelerated work that would wait too long for them."""
+        scheduler = self.scheduler
+        headroom, rent_spare = scheduler.headroom, scheduler.operator.rent_spare
+        if headroom.spec is None or rent_spare <= 0:
+            return
+        start_within_s, _ = scheduler.class_aims.get(headroom.spec.job_class, NO_AIM)
+        if start_within_s is None:
+            return
+        missing = round(headroom.open_task_count() * rent_spare)
+        missing -= sum(
+            1
+            for machine in self.machines
+            if headroom.need.fits(machine.room(prompt=True)) and headroom.could_run(*machine.offer)
+        )
+        offer = self._cheapest_for_headroom(start_within_s)
+        if offer is not None and missing > 0:
+            self.offers.request(offer, missing)
+            capacity = scheduler.machine_types[offer.type].capacity
+            self.machines.extend(SimulatedMachine(offer, capacity) for _ in range(missing))
+
+    def _cheapest_for_headroom(self, start_within_s: float) -> MachineOffer | None:
+        """Return the cheapest offer among those that boot too slowly to be requested on demand."""
+        headroom = self.scheduler.headroom
+        best: tuple[float, MachineOffer] | None = None
+        for machine_type in self.scheduler.machine_types.values():
+            if not headroom.need.fits(machine_type.capacity) or headroom.spec is None:
+                continue
+            pull_s = headroom.spec.image_gb / machine_type.image_pull_gb_per_s
+            if machine_type.boot_s + pull_s <= start_within_s:
+                continue
+            for offer in _ordinary_offers(machine_type):
+                if not self.offers.is_available(offer):
+                    continue
+                if best is None or machine_type.hourly_price < best[0]:
+                    best = (machine_type.hourly_price, offer)
+        return None if best is None else best[1]
+
+    def request_for_consolidation(self) -> None:
+        """Request machines for replicas that should leave a dear machine and have no room."""
+        for job, max_unit_price in self.scheduler.consolidation.replicas_without_room:
+            if self._has_cheaper_room(job, max_unit_price):
+                continue  # it is on its way
+            for _, offer in sorted(self._cheaper_offers(job, max_unit_price)):
+                if self.offers.is_available(offer) and self.scheduler.allowed(job, *offer):
+                    self._add_machines(job, OfferChoice(offer, 1), 1, 1)
+                    break
+
+    def _has_cheaper_room(self, job: Job, max_unit_price: float) -> bool:
+        unit_price = self.scheduler.consolidation.unit_price
+        return any(
+            unit_price(machine.offer.type) < max_unit_price
+            and job.need.fits(machine.free)
+            and self.scheduler.allowed(job, *machine.offer)
+            for machine in self.machines
+        )
+
+    def _cheaper_offers(self, job: Job, max_unit_price: float) -> list[tuple[float, MachineOffer]]:
+        """Return the offers whose price per core is below the bound, with that price."""
+        unit_price = self.scheduler.consolidation.unit_price
+        found = []
+        for machine_type in self.scheduler.machine_types.values():
+            price = unit_price(MachineTypeName(machine_type.name))
+            if price < max_unit_price and job.need.fits(machine_type.capacity):
+                found += [(price, offer) for offer in _ordinary_offers(machine_type)]
+        return found
+
+
+def _ordinary_offers(machine_type: MachineType) -> list[MachineOffer]:
+    """Return the offers of a machine type that are no spot machines, by zone."""
+    name = MachineTypeName(machine_type.name)
+    return [MachineOffer(name, ZoneName(zone), spot=False) for zone in machine_type.zones]
--- /dev/null
+++ b/umberward/scheduling/simulated_machines.py
@@ -0,0 +1,88 @@
+"""Machines that exist or are booting, to be filled in a simulation with the tasks that wait. Pure.
+
+The autoscaler fills them to find how many more machines to request. Nothing is placed by it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from umberward.core.types import NO_RESOURCES, Instant, MachineOffer, Resources
+from umberward.scheduling.jobs import Job
+from umberward.scheduling.machines import smallest_need
+from umberward.scheduling.scheduler import Scheduler
+
+LATE_BOOT_RATIO = 2.5  # a machine that boots for so many times boot_s is no longer counted on
+LATE_BOOT_MARGIN_S = 5.0  # ... and so much longer
+
+
+class PendingMachine:
+    """A requested machine that has not reported yet."""
+
+    def __init__(self, offer: MachineOffer, since: Instant) -> None:
+        """`since`: when it was requested, by this leader's monotonic clock."""
+        self.offer = offer
+        self.since = since
+
+
+class SimulatedMachine:
+    """A machine's offer and the room that the simulation has left on it."""
+
+    __slots__ = ("free", "offer", "preemptable")
+
+    def __init__(
+        self, offer: MachineOffer, free: Resources, preemptable: Resources = NO_RESOURCES
+    ) -> None:
+        """`preemptable`: what prompt accelerated work would find besides the free room."""
+        self.offer = offer
+        self.free = free
+        self.preemptable = preemptable
+
+    def room(self, *, prompt: bool) -> Resources:
+        """Return the room for prompt accelerated work, or for other work."""
+        return self.free.plus(self.preemptable) if prompt else self.free
+
+
+def simulate_existing(
+    scheduler: Scheduler, waiting: Iterable[tuple[Job, int]]
+) -> list[SimulatedMachine]:
+    """Return the machines that there are, less those that no waiting task could use.
+
+    Of a fleet that is full these are nearly all. Machines that are unreachable count as empty ones
+    when they are many: the fault is likely in the network, and they come back.
+    """
+    jobs = [job for job, _ in waiting] + [
+        job for job, _ in scheduler.consolidation.replicas_without_room
+    ]
+    headroom = scheduler.headroom
+    least = smallest_need(jobs, headroom.need)
+    for_accelerated = {offer: headroom.could_run(*offer) for offer in scheduler.offers}
+    simulated = []
+    usable, free_by_machine = scheduler.schedulable_room()
+    for machine in usable:
+        free = free_by_machine[machine.id]
+        preemptable = NO_RESOURCES
+        if for_accelerated[machine.offer]:
+            preemptable = headroom.yielding_room(machine)
+        if least is not None and least.fits(free.plus(preemptable)):
+            simulated.append(SimulatedMachine(machine.offer, free, preemptable))
+    if scheduler.reachability.many_unreachable():
+        for machine in scheduler.reachability.partially_reachable():
+            machine_type = scheduler.machine_types.get(machine.type)
+            if machine_type is not None:
+                simulated.append(SimulatedMachine(machine.offer, machine_type.capacity))
+    return simulated
+
+
+def simulate_pending(
+    scheduler: Scheduler, pending: Iterable[PendingMachine], now: Instant
+) -> list[SimulatedMachine]:
+    """Return the booting machines, empty, but for those that are long overdue."""
+    simulated = []
+    for machine in pending:
+        machine_type = scheduler.machine_types.get(machine.offer.type)
+        if machine_type is None:
+            continue
+        if now - machine.since <= LATE_BOOT_RATIO * machine_type.boot_s + LATE_BOOT_MARGIN_S:
+            simulated.append(SimulatedMachine(machine.offer, machine_type.capacity))
+    return simulated
