--- a/tests/guards.py
+++ b/tests/guards.py
@@ -25,12 +25,11 @@
     dependencies,
     failure_attribution,
     failure_detector,
-    lease_delegation,
+    lease_bounds,
     machine_selection,
+    placement_pass,
     reachability,
-    scheduler,
 )
-from umberward.scheduling.autoscaler import Autoscaler
 from umberward.scheduling.consolidation import Consolidation
 from umberward.scheduling.dependencies import NO_DEMAND, DependencyGraph, WaitingJobs
 from umberward.scheduling.failure_attribution import FailureAttribution
@@ -39,19 +38,24 @@
 from umberward.scheduling.heartbeats import HeartbeatHandler
 from umberward.scheduling.inflight_commands import InflightStarts
 from umberward.scheduling.jobs import Job
-from umberward.scheduling.lease_delegation import Delegate, Delegator, LeaseBounds
+from umberward.scheduling.lease_bounds import LeaseBounds
+from umberward.scheduling.lease_delegation import Delegate, Delegator
+from umberward.scheduling.machine_blocks import MachineBlocks
 from umberward.scheduling.machines import Machine
+from umberward.scheduling.placement_pass import PlacementPass
 from umberward.scheduling.quota import Quota
 from umberward.scheduling.reachability import Reachability
+from umberward.scheduling.scale_out import ScaleOutPlan
 from umberward.scheduling.scheduler import Scheduler
 from umberward.scheduling.state_writer import StateWriter
 from umberward.scheduling.token_rotation import TokenRotation
+from umberward.scheduling.unlocated_tasks import UnlocatedTasks
 
 Patch = Callable[[pytest.MonkeyPatch], None]
 
 
 def lease_wait(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(lease_delegation, "LEASE_MARGIN_S", -8.0)
+    patch.setattr(lease_bounds, "LEASE_MARGIN_S", -8.0)
 
 
 def loan_bound(patch: pytest.MonkeyPatch) -> None:
@@ -146,7 +150,7 @@
 
 
 def quota_unsure(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Scheduler, "_unlocated_usage", lambda _: {})
+    patch.setattr(UnlocatedTasks, "usage_by_team", lambda _: {})
 
 
 def allowed(patch: pytest.MonkeyPatch) -> None:
@@ -196,7 +200,8 @@
     """Every job is taken for one that was submitted."""
 
     async def known(self: JobApi, id: Any, urgent: bool = True) -> Any:
-        return job_api._state_response(id or JobId("req-0"), "pending", 0)
+        state = job_api.JobStateResponse(job_id=id or JobId("req-0"), phase="pending", done_count=0)
+        return job_api.state_response(state)
 
     patch.setattr(JobApi, "_known_response", known)
 
@@ -208,7 +213,7 @@
             job.placed_below = record.placed_below
             self.send_stored_starts(job)
         for number, hosts in batch.blocks:
-            self.block_written(number, set(hosts))  # type: ignore[arg-type]
+            self.machine_blocks.record_stored(number, set(hosts))  # type: ignore[arg-type]
         return []
 
     patch.setattr(StateWriter, "transaction_committed", job_marked)
@@ -347,13 +352,13 @@
 
 def part_in_order(patch: pytest.MonkeyPatch) -> None:
     """A block that machines leave is written like any other."""
-    whole = StateWriter._split_block
+    whole = MachineBlocks.split
 
-    def part(self: StateWriter, number: int) -> None:
+    def part(self: MachineBlocks, number: int) -> None:
         whole(self, number)
         self.machines_moving_out.clear()
 
-    patch.setattr(StateWriter, "_split_block", part)
+    patch.setattr(MachineBlocks, "split", part)
 
 
 def rarer_passes(patch: pytest.MonkeyPatch) -> None:
@@ -434,18 +439,18 @@
 
 
 def pass_alone(patch: pytest.MonkeyPatch) -> None:
-    whole = Scheduler._place_job
+    whole = PlacementPass.place_job
 
-    def _place_job(self: Scheduler, job: Job, *rest: Any) -> None:
+    def place_job(self: PlacementPass, job: Job, *rest: Any) -> None:
         """As if the first that fails ended the pass."""
-        if self.failed_in != self.now:
+        if self.failed_in != self.cluster.now:
             try:
                 whole(self, job, *rest)
             except TypeError:
-                self.failed_in = self.now
+                self.failed_in = self.cluster.now
 
-    patch.setattr(Scheduler, "failed_in", -1.0, raising=False)
-    patch.setattr(Scheduler, "_place_job", _place_job)
+    patch.setattr(PlacementPass, "failed_in", -1.0, raising=False)
+    patch.setattr(PlacementPass, "place_job", place_job)
 
 
 def no_gathering(patch: pytest.MonkeyPatch) -> None:
@@ -513,15 +518,15 @@
 
 
 def cheap_only(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(scheduler, "jobs_limited_to_affordable", lambda *_: {})
+    patch.setattr(placement_pass, "jobs_limited_to_affordable", lambda *_: {})
     patch.setattr(autoscaler, "jobs_limited_to_affordable", lambda *_: {})
 
 
 def one_zone(patch: pytest.MonkeyPatch) -> None:
-    def anywhere(self: Autoscaler, job: Job, count: int, virtual: Any, *_: Any) -> None:
+    def anywhere(self: ScaleOutPlan, job: Job, count: int, *_: Any) -> None:
         """As if room in any zone were room for it."""
 
-    patch.setattr(Autoscaler, "_scale_out_for_gang", anywhere)
+    patch.setattr(ScaleOutPlan, "_request_for_gang", anywhere)
 
 
 def knows_cancellations(patch: pytest.MonkeyPatch) -> None:
--- a/umberward/protocol/http/__init__.py
+++ b/umberward/protocol/http/__init__.py
@@ -4,6 +4,7 @@
 """
 
 from umberward.protocol.http.client import Client
+from umberward.protocol.http.connection import Connection
 from umberward.protocol.http.messages import (
     Handler,
     NoResponseError,
@@ -16,6 +17,7 @@
 
 __all__ = [
     "Client",
+    "Connection",
     "Handler",
     "NoResponseError",
     "Request",
