--- a/umberward/__main__.py
+++ b/umberward/__main__.py
@@ -1,3 +1,5 @@
+"""``python -m umberward``: the command line."""
+
 from umberward.cli.main import main
 
 if __name__ == "__main__":
--- a/umberward/cli/asking.py
+++ b/umberward/cli/asking.py
@@ -14,10 +14,15 @@
 from umberward.protocol.http import Client, NoResponseError, RequestNotSentError, Response
 
 
-class HostPort(click.ParamType):
+class HostPort(click.ParamType[Address]):
+    """An address on the command line, as HOST:PORT."""
+
     name = "host:port"
 
-    def convert(self, value: Any, param: Any, ctx: Any) -> Address:
+    def convert(
+        self, value: Any, param: click.Parameter | None, ctx: click.Context | None
+    ) -> Address:
+        """The address; ends with click's own message for anything else."""
         try:
             return parse_address(value)
         except ValueError as error:
@@ -34,13 +39,16 @@
 
 
 def ask(server: Address, method: str, path: str, body: bytes = b"") -> Response:
+    """Send one request to a controller. Raises click.ClickException if there is no response."""
+
     async def call() -> Response:
         return await Client(4).request(server, method, path, body, 5.0)
 
     try:
-        return curio.run(call)
+        response: Response = curio.run(call)
     except (RequestNotSentError, NoResponseError) as error:
         raise click.ClickException(f"no answer: {error}") from None
+    return response
 
 
 def show(response: Response) -> None:
--- a/umberward/cli/soak.py
+++ b/umberward/cli/soak.py
@@ -17,12 +17,15 @@
 BROKEN, BAD_INPUT, HARNESS_FAILED = 1, 2, 3  # exit codes; 0: no rule was broken
 
 
-class Seeds(click.ParamType):
+class Seeds(click.ParamType[range]):
     """`7` or `1-50`."""
 
     name = "seeds"
 
-    def convert(self, value: Any, param: Any, ctx: Any) -> range:
+    def convert(
+        self, value: Any, param: click.Parameter | None, ctx: click.Context | None
+    ) -> range:
+        """The seeds; ends with click's own message for anything else."""
         if isinstance(value, range):
             return value
         first, _, last = str(value).partition("-")
--- a/umberward/graphs/graph_api.py
+++ b/umberward/graphs/graph_api.py
@@ -397,10 +397,10 @@
             return self.ends[id].end
         found = await self.store.get(records.live_key(id))
         if found is not None:
-            return wire.convert(found.data, GraphRecord)  # type: ignore[no-any-return]
+            return wire.convert(found.data, GraphRecord)
         found = await self.store.get(records.past_key(id))
         if found is not None:
-            return wire.convert(found.data, EndRecord)  # type: ignore[no-any-return]
+            return wire.convert(found.data, EndRecord)
         return None
 
     async def _find(self, id: GraphId) -> StoredGraph:
--- a/umberward/graphs/live.py
+++ b/umberward/graphs/live.py
@@ -251,7 +251,7 @@
         return None if bits is None else RunRecord(marked, self.done_below, bits, len(self.pages))
 
     def parse_record(self, data: Any) -> RunRecord:
-        return wire.convert(data, RunRecord)  # type: ignore[no-any-return]
+        return wire.convert(data, RunRecord)
 
     def companion_writes(self) -> list[dict[str, Any]]:
         self.failures_sent = len(self.failures)
--- a/umberward/local/example.py
+++ b/umberward/local/example.py
@@ -105,5 +105,5 @@
     ):
         ended = await wait_for(cluster, path, ("done", "failed", "cancelled"))
         say(f"{what}: {ended['phase']}, {ended['done']} tasks done")
-        good &= ended["phase"] == "done"
-    return good
+        good = good and ended["phase"] == "done"
+    return bool(good)
