--- a/umberward/scheduling/failure_attribution.py
+++ b/umberward/scheduling/failure_attribution.py
@@ -1,11 +1,14 @@
-"""Whose fault it is that a task failed: its machine's or its job's. No I/O.
+"""Attribution of task failures to the machine or to the job. No I/O.
 
 A faulty machine fails whatever it starts, a job submitted with a mistake fails wherever it is
-started, and the first failures of either look the same. So both are doubted at first: the machine
-gets nothing new and the job goes elsewhere. What else the job does tells them apart: it is blamed
-when it fails on several machines and runs on none, and it is cleared, also later, by one task
-that completes or runs much longer than those that failed. Then its failures count against
-the machines again, which are kept until that is decided.
+started, and the first failures of either look the same. So both are suspected at first: the machine
+gets nothing new and the job goes elsewhere. What else the job does tells them apart. It counts as
+faulty when it fails on several machines and runs on none, and it is exonerated, also later, by one
+task that completes or runs much longer than those that failed. Then its failures count against the
+machines again, which are kept until that is decided.
+
+The failures of a graph's job are attributed task by task instead, as its tasks have little in
+common (`Job.attributes_failures_per_task`).
 """
 
 from __future__ import annotations
@@ -18,55 +21,68 @@
 
 log = logger(__name__)
 
-QUARANTINE_AFTER_FAILURES = 2  # failures, of jobs that are not to blame, that set a machine aside
-FAULTY_JOB_AFTER_MACHINES = 3  # machines on which a job must fail before it is blamed
-QUARANTINE_DECISION_S = 15.0  # a machine is given up when nothing has spoken for it for so long
-MAX_RETRY_PAUSE_S = 45.0  # the longest pause between two tries of a job that is to blame
-CHECK_INTERVAL_S = 0.5
+QUARANTINE_AFTER_FAILURES = 2  # on one machine, of jobs that are not faulty
+FAULTY_JOB_AFTER_MACHINES = 3  # machines on which a job must fail before it counts as faulty
+QUARANTINE_DECISION_S = 15.0  # a machine is given up if nothing has exonerated it by then
+CHECK_INTERVAL_S = 0.5  # between two checks of the suspected jobs
+
+# The pause before a faulty job is tried again doubles with each retry.
+RETRY_PAUSE_FACTOR = 2.0
+RETRY_PAUSE_DOUBLINGS_MAX = 10
+MAX_RETRY_PAUSE_S = 45.0
+
+# A task exonerates its job once it has run for so long: a multiple of the longest failed run.
+RAN_WELL_FACTOR = 2.0
+RAN_WELL_MARGIN_S = 1.0
 
 
 class FailureAttribution:
+    """Quarantines machines and delays jobs by what their failures have in common."""
+
     def __init__(self, cluster: ClusterState, now: Instant) -> None:
+        """Attribute the failures of `cluster`'s tasks; `now` is the leader's steady clock."""
         self.cluster = cluster
         self.suspected: dict[JobId, Job] = {}  # jobs that have failed and never ran well
         self.undecided: dict[JobId, Job] = {}  # jobs with failed tasks that are not decided yet
         self.check_not_before = now
 
     def task_failed(self, machine: Machine, job: Job, placement: Placement, now: Instant) -> None:
+        """Count the failure of a task on its machine."""
         if job.attributes_failures_per_task:
-            self._task_failed(machine, job, placement, now)
+            self._attribute_to_task(machine, job, placement, now)
             return
-        ran = 0.0 if placement.running_since is None else now - placement.running_since
-        job.longest_failed_run_s = max(job.longest_failed_run_s, ran)
+        ran_s = 0.0 if placement.running_since is None else now - placement.running_since
+        job.longest_failed_run_s = max(job.longest_failed_run_s, ran_s)
         job.failed_machines.add(machine.id)
         machine.failures[job.id] = machine.failures.get(job.id, 0) + 1
         machine.failed_at = now
         if job.faulty:
             self._delay_retry(job, now)
             return
-        log.debug("task_failed", task=placement.task, machine=machine.id, ran_s=round(ran, 1))
+        log.debug("task_failed", task=placement.task, machine=machine.id, ran_s=round(ran_s, 1))
         if not job.ran_well:
             self.suspected[job.id] = job
             self._exonerate_if_running(job, now)
         if not job.ran_well and len(job.failed_machines) >= FAULTY_JOB_AFTER_MACHINES:
-            log.info("job_faulty", job=job.id, machines=len(job.failed_machines))
-            job.faulty = True
-            self._delay_retry(job, now)
-            self._judge_machines(job, now)
+            self._job_is_faulty(job, now)
             return
-        self._judge(machine, now)
+        self._update_quarantine(machine, now)
 
     def task_succeeded(
         self, machine: Machine, job: Job, placement: Placement | None, now: Instant
     ) -> None:
-        """A task completed. What began before the last failure says nothing about the machine."""
+        """Note a success, which exonerates the job.
+
+        It exonerates the machine as well if the task was placed after the last failure there.
+        """
         if placement is not None and placement.placed_at > machine.failed_at:
             machine.failures.clear()
             machine.succeeded_at = now
-            self._judge(machine, now)
+            self._update_quarantine(machine, now)
         self._exonerate(job, now)
 
     def tick(self, now: Instant) -> None:
+        """Decide what elapsed time decides; to be called a few times a second."""
         if now < self.check_not_before:
             return
         self.check_not_before = Instant(now + CHECK_INTERVAL_S)
@@ -75,67 +91,89 @@
                 self.forget_job(job, now)
             else:
                 self._exonerate_if_running(job, now)
-        for id, job in list(self.undecided.items()):
+        for job_id, job in list(self.undecided.items()):
             if job.ended or not job.judge_failures(self.cluster.machines, now):
-                del self.undecided[id]
+                del self.undecided[job_id]
+
+    def forget_job(
+        self,
+        job: Job,
+        now: Instant,  # noqa: ARG002 - the scheduler passes the time with each event
+    ) -> None:
+        """Note the end of a job, after which nothing more is learnt of it.
 
-    def forget_job(self, job: Job, now: Instant) -> None:
-        """The job is over: nothing will be learnt about it any more."""
+        The failures of a job that is faulty to the end count against no machine.
+        """
         self.suspected.pop(job.id, None)
-        if job.faulty:
-            # Judged for the last time: what it did is not held against any machine.
-            for id in job.failed_machines:
-                machine = self.cluster.machines.get(id)
-                if machine is not None:
-                    machine.failures.pop(job.id, None)
-
-    def restore_faulty_job(self, job: Job, holds: int, now: Instant) -> None:
-        """A former holder has blamed the job."""
+        if not job.faulty:
+            return
+        for machine_id in job.failed_machines:
+            machine = self.cluster.machines.get(machine_id)
+            if machine is not None:
+                machine.failures.pop(job.id, None)
+
+    def restore_faulty_job(self, job: Job, retry_count: int, now: Instant) -> None:
+        """Restore a former leader's decision that the job is faulty, with its count of retries."""
         job.faulty = True
-        job.retry_count = holds
+        job.retry_count = retry_count
         self.suspected[job.id] = job
         self._delay_retry(job, now)
 
     def machine_is_faulty(self, machine: Machine, now: Instant) -> bool:
-        """Whether a machine that was set aside is surely at fault, and may be returned."""
+        """Whether a quarantined machine is certainly at fault, and may be deleted."""
         if machine.quarantined_since is None:
             return False
-        for culprit in machine.failures:
-            id = culprit.job if isinstance(culprit, TaskId) else culprit
-            job = self.cluster.jobs.get(id)
+        for failed in machine.failures:
+            job_id = failed.job if isinstance(failed, TaskId) else failed
+            job = self.cluster.jobs.get(job_id)
             if job is not None and job.ran_well:
                 return True
         return now - machine.quarantined_since > QUARANTINE_DECISION_S
 
-    # ---- parts -------------------------------------------------------------------------
+    # ---- jobs --------------------------------------------------------------------------------
 
-    def _task_failed(self, machine: Machine, job: Job, placement: Placement, now: Instant) -> None:
-        """Of a job whose tasks have little in common each is judged for itself: one that fails
-        wherever it is tried must set no machine aside, though its siblings run well."""
-        task = placement.task
-        machine.failures[task] = machine.failures.get(task, 0) + 1
+    def _attribute_to_task(
+        self, machine: Machine, job: Job, placement: Placement, now: Instant
+    ) -> None:
+        """Count the failure of a task whose job is attributed task by task.
+
+        A task that fails wherever it is tried must quarantine no machine, though other tasks of
+        its job run well.
+        """
+        task_id = placement.task
+        machine.failures[task_id] = machine.failures.get(task_id, 0) + 1
         machine.failed_at = now
         job.failed_machines.add(machine.id)
-        job.task_failed(task.number, machine.id, now)
+        job.task_failed(task_id.number, machine.id, now)
         self.undecided[job.id] = job
-        if job.failure_excused(task.number):
-            self._judge_machines(job, now)
-        self._judge(machine, now)
+        if job.failure_excused(task_id.number):
+            self._update_quarantines(job, now)
+        self._update_quarantine(machine, now)
+
+    def _job_is_faulty(self, job: Job, now: Instant) -> None:
+        log.info("job_faulty", job=job.id, machines=len(job.failed_machines))
+        job.faulty = True
+        self._delay_retry(job, now)
+        self._update_quarantines(job, now)
 
     def _delay_retry(self, job: Job, now: Instant) -> None:
+        """Hold a faulty job back; tasks that fail together while it is held count as one retry."""
         if now < job.held_until:
-            return  # many tasks of one try fail together
-        job.held_until = now + min(MAX_RETRY_PAUSE_S, 2.0 ** min(job.retry_count, 10))
+            return
+        doublings = min(job.retry_count, RETRY_PAUSE_DOUBLINGS_MAX)
+        job.held_until = now + min(MAX_RETRY_PAUSE_S, RETRY_PAUSE_FACTOR**doublings)
         job.retry_count += 1
 
     def _exonerate_if_running(self, job: Job, now: Instant) -> None:
-        bound = 2.0 * job.longest_failed_run_s + 1.0
+        """Exonerate the job if one of its tasks runs much longer than those that failed."""
+        ran_well_s = RAN_WELL_FACTOR * job.longest_failed_run_s + RAN_WELL_MARGIN_S
         for placement in job.placements.values():
-            if placement.running_since is not None and now - placement.running_since > bound:
+            if placement.running_since is not None and now - placement.running_since > ran_well_s:
                 self._exonerate(job, now)
                 return
 
     def _exonerate(self, job: Job, now: Instant) -> None:
+        """Note that the job runs well: its failures count against the machines from now on."""
         if job.ran_well:
             return
         job.ran_well = True
@@ -144,32 +182,40 @@
             log.info("job_exonerated", job=job.id)
             job.faulty = False
             job.held_until = 0.0
-        self._judge_machines(job, now)
+        self._update_quarantines(job, now)
         self.cluster.pass_wanted = True
 
-    def _judge_machines(self, job: Job, now: Instant) -> None:
-        for id in job.failed_machines:
-            machine = self.cluster.machines.get(id)
+    # ---- machines ----------------------------------------------------------------------------
+
+    def _update_quarantines(self, job: Job, now: Instant) -> None:
+        """Decide anew about each machine on which the job has failed."""
+        for machine_id in job.failed_machines:
+            machine = self.cluster.machines.get(machine_id)
             if machine is not None:
-                self._judge(machine, now)
+                self._update_quarantine(machine, now)
 
-    def _judge(self, machine: Machine, now: Instant) -> None:
-        jobs = self.cluster.jobs
-        count = 0
-        for culprit, times in machine.failures.items():
-            if isinstance(culprit, TaskId):
-                job, number = jobs.get(culprit.job), culprit.number
-            else:
-                job, number = jobs.get(culprit), 0
-            if job is None or not job.failure_excused(number):
-                # Two failures of one task say no more about a machine than one does.
-                count += min(times, 1) if isinstance(culprit, TaskId) else times
-        if count >= QUARANTINE_AFTER_FAILURES and machine.quarantined_since is None:
+    def _update_quarantine(self, machine: Machine, now: Instant) -> None:
+        """Quarantine the machine, or release it, by the failures that count against it."""
+        failures = self._count_failures(machine)
+        if failures >= QUARANTINE_AFTER_FAILURES and machine.quarantined_since is None:
             machine.quarantined_since = now
             machine.availability_changed()
-            log.info("machine_quarantined", machine=machine.id, failures=count)
-        elif count < QUARANTINE_AFTER_FAILURES and machine.quarantined_since is not None:
+            log.info("machine_quarantined", machine=machine.id, failures=failures)
+        elif failures < QUARANTINE_AFTER_FAILURES and machine.quarantined_since is not None:
             machine.quarantined_since = None
             machine.availability_changed()
             self.cluster.pass_wanted = True
             log.info("machine_released_from_quarantine", machine=machine.id)
+
+    def _count_failures(self, machine: Machine) -> int:
+        """Count the failures on the machine that their jobs or tasks do not explain."""
+        count = 0
+        for failed, times in machine.failures.items():
+            if isinstance(failed, TaskId):
+                job, number = self.cluster.jobs.get(failed.job), failed.number
+            else:
+                job, number = self.cluster.jobs.get(failed), 0
+            if job is None or not job.failure_excused(number):
+                # Two failures of one task say no more about a machine than one does.
+                count += min(times, 1) if isinstance(failed, TaskId) else times
+        return count
