--- a/umberward/scheduling/heartbeat_forwarding.py
+++ b/umberward/scheduling/heartbeat_forwarding.py
@@ -1,78 +1,103 @@
-"""Whose reports a controller carries to the leader, as they cannot reach it themselves. No I/O.
+"""Forwarding of heartbeats to the leader for workers that cannot reach it themselves. No I/O.
 
-A worker that the leader does not answer turns to the next controller, is sent to the leader again,
-and so on until its lease is over, though that controller may reach both. Carried by it, a report
-and its answer only take another way: the answer has the leader's token and orders, a worker drops
-it if it comes after more than 4 s or in another session, and the leader counts the lease from when
-it answered. So nothing that holds of a slow network is broken by it.
+A worker that the leader does not answer turns to the next controller, is redirected to the leader
+again, and so on until its lease has expired, though that controller may reach both. Forwarded by
+it, a heartbeat and its response only take another way: the response has the leader's token and
+commands, a worker drops it if it comes after more than 4 s or in another session, and the leader
+counts the lease from when it answered. So nothing that holds on a slow network is broken by it.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
-from typing import NamedTuple
+from typing import NamedTuple, TypeVar
 
 from umberward.core.types import ControllerName, Instant, MachineId
 
-RETURN_AFTER_MIN_S = (
-    0.8  # a worker that was sent on and is back so soon was refused or asks for another reason
-)
-RETURN_AFTER_MAX_S = (
-    12.0  # one that is back within this time got no answer: 4 s, and 1 s to the next, in turns
-)
-DIRECT_RETRY_S = 30.0  # so often a worker whose reports are carried is to try for itself
-MAX_REMEMBERED_WORKERS = 4096  # workers that are remembered
+# A worker that returns sooner after a redirect was refused, or has another reason to ask.
+RETURN_AFTER_MIN_S = 0.8
+# One that returns within this time had no response: it waits 4 s for it, and 1 s before it turns
+# to the next controller, for each controller in turn.
+RETURN_AFTER_MAX_S = 12.0
+DIRECT_RETRY_S = 30.0  # a worker whose heartbeats are forwarded is to try the leader this often
+MAX_REMEMBERED_WORKERS = 4096
+
+Remembered = TypeVar("Remembered")
+# Incarnation and sequence number of a heartbeat: among those of one worker, later ones are greater.
+# A plain tuple, as one is made for each heartbeat that arrives.
+HeartbeatPosition = tuple[int, int]
 
 
 class DuplicateFilter:
-    """Which reports are new to this controller: copies of earlier ones may come at any time.
+    """Recognises duplicates of heartbeats, which the network may deliver at any time.
 
-    The latest of each of the MOST workers that were heard last is remembered, and so long any copy
-    of an earlier one is known for what it is; of a worker that is not, the first that comes counts.
+    The latest heartbeat of each of the MAX_REMEMBERED_WORKERS workers heard last is remembered, and
+    for so long any duplicate of an earlier one is recognised. Of a worker that is not remembered,
+    the first heartbeat that arrives counts as new.
     """
 
     def __init__(self) -> None:
-        self.latest: OrderedDict[MachineId, tuple[int, int]] = OrderedDict()
-
-    def is_new(self, host: MachineId, tenure: int, serial: int) -> bool:
-        """Whether this report is newer than any before it; it is remembered if so."""
-        known = self.latest.get(host)
-        if known is not None and (tenure, serial) <= known:
+        """Begin without workers."""
+        self.latest: OrderedDict[MachineId, HeartbeatPosition] = OrderedDict()
+
+    def is_new(self, machine_id: MachineId, incarnation: int, sequence: int) -> bool:
+        """Whether this heartbeat is newer than any before it; it is remembered if so."""
+        position = (incarnation, sequence)
+        latest = self.latest.get(machine_id)
+        if latest is not None and position <= latest:
             return False
-        self.latest[host] = (tenure, serial)
-        self.latest.move_to_end(host)
-        while len(self.latest) > MAX_REMEMBERED_WORKERS:
-            self.latest.popitem(last=False)
+        self.latest[machine_id] = position
+        self.latest.move_to_end(machine_id)
+        _drop_oldest(self.latest)
         return True
 
 
 class RedirectedWorker(NamedTuple):
-    """A worker was sent to the leader at `at`; its reports are carried since `carried`."""
+    """A worker that was redirected to the leader; forwarded to it since `forwarded_since`."""
 
     leader: ControllerName
     redirected_at: Instant
-    forwarded_since: Instant | None = None
+    forwarded_since: Instant | None = None  # None: its heartbeats are not forwarded
 
 
 class HeartbeatForwarding:
+    """Decides for each heartbeat that is not the leader's whether to forward it.
+
+    All moments are of this controller's steady clock.
+    """
+
     def __init__(self) -> None:
+        """Begin without workers."""
         self.redirected: OrderedDict[MachineId, RedirectedWorker] = OrderedDict()
 
-    def should_forward(self, host: MachineId, leader: ControllerName, now: Instant) -> bool:
-        """Whether this report is to be carried to the leader; if not, its worker is sent there."""
-        known = self.redirected.pop(host, None)
-        made = RedirectedWorker(leader, now)
-        if known is not None and known.leader == leader:
-            if known.forwarded_since is not None:
-                if now - known.forwarded_since < DIRECT_RETRY_S:
-                    made = known
-            elif RETURN_AFTER_MIN_S <= now - known.redirected_at <= RETURN_AFTER_MAX_S:
-                made = RedirectedWorker(leader, known.redirected_at, now)
-        self.redirected[host] = made
-        while len(self.redirected) > MAX_REMEMBERED_WORKERS:
-            self.redirected.popitem(last=False)
-        return made.forwarded_since is not None
-
-    def forward_failed(self, host: MachineId, leader: ControllerName, now: Instant) -> None:
-        """The leader could not be reached, or did not take the report."""
-        self.redirected[host] = RedirectedWorker(leader, now)
+    def should_forward(self, machine_id: MachineId, leader: ControllerName, now: Instant) -> bool:
+        """Whether to forward this heartbeat to the leader; if not, its worker is redirected."""
+        worker = self._next_state(self.redirected.pop(machine_id, None), leader, now)
+        self.redirected[machine_id] = worker
+        _drop_oldest(self.redirected)
+        return worker.forwarded_since is not None
+
+    def forward_failed(self, machine_id: MachineId, leader: ControllerName, now: Instant) -> None:
+        """Note that the leader could not be reached, or did not accept the heartbeat."""
+        self.redirected[machine_id] = RedirectedWorker(leader, now)
+
+    @staticmethod
+    def _next_state(
+        known: RedirectedWorker | None, leader: ControllerName, now: Instant
+    ) -> RedirectedWorker:
+        """The state of a worker that asks now, from its state when it asked last."""
+        redirected = RedirectedWorker(leader, now)
+        if known is None or known.leader != leader:
+            return redirected
+        if known.forwarded_since is not None:
+            retry_due = now - known.forwarded_since >= DIRECT_RETRY_S
+            return redirected if retry_due else known
+        if RETURN_AFTER_MIN_S <= now - known.redirected_at <= RETURN_AFTER_MAX_S:
+            return known._replace(forwarded_since=now)
+        return redirected
+
+
+def _drop_oldest(remembered: OrderedDict[MachineId, Remembered]) -> None:
+    """Keep the MAX_REMEMBERED_WORKERS workers added last."""
+    while len(remembered) > MAX_REMEMBERED_WORKERS:
+        remembered.popitem(last=False)
