--- a/umberward/scheduling/failure_detector.py
+++ b/umberward/scheduling/failure_detector.py
@@ -1,32 +1,25 @@
-"""Failure detection from elapsed time: silent machines, expired leases, cut-off zones. No I/O.
+"""Failure detection from the silence of many machines: which of them or who else failed. No I/O.
 
 Silence alone does not tell which side has failed. `FailureDetector` therefore distinguishes a
 machine that is down, a zone that is cut off, a leader that is itself cut off from the workers, and
-a leader whose process was paused. All moments are of the leader's steady clock.
+a leader whose process was paused. What the silence of a single machine leads to is in
+`machine_checks`. All moments are of the leader's steady clock.
 """
 
 from __future__ import annotations
 
-import heapq
-import math
 from collections.abc import Iterable
 
 from umberward.core.log import logger
-from umberward.core.types import (
-    ControllerName,
-    Incarnation,
-    Instant,
-    MachineId,
-    ZoneName,
-)
-from umberward.scheduling.cluster_state import ClusterState, Probe
+from umberward.core.types import ControllerName, Instant, ZoneName
+from umberward.scheduling.cluster_state import ClusterState
 from umberward.scheduling.lease_delegation import Delegation, Delegator
+from umberward.scheduling.machine_checks import MachineChecks
 from umberward.scheduling.machines import Machine
 from umberward.scheduling.reachability import Reachability
 
 log = logger(__name__)
 
-CHECK_AGAIN_S = 0.1  # less than the interval of ticks: checked again at the next one
 COUNT_INTERVAL_S = 0.5  # all machines are counted this often
 COUNT_MARGIN_S = 1.0  # added to the heartbeat timeout when they are counted
 MIN_WORKERS = 4  # with fewer, a cut-off leader can't be told from failed workers
@@ -44,8 +37,6 @@
 LATE_DELETION_LEASE_SHARE = 0.8  # of its lease a machine is silent before deletion, if many are
 PAUSE_DETECTED_S = 1.0  # ticks are frequent: after a longer gap the process itself was paused
 
-NO_CHECK_DUE = Instant(math.inf)
-
 
 class FailureDetector:
     """Decides which machines, zones or leaders have failed, as the leader that runs it sees it."""
@@ -57,9 +48,8 @@
         self.cluster = cluster
         self.reachability = reachability
         self.delegator = delegator
+        self.machine_checks = MachineChecks(cluster, delegator, reachability)
         self.cut_off_zones: set[ZoneName] = set()  # zones that may be cut off
-        # A heap of when to check which machine next: one entry for each machine.
-        self.checks: list[tuple[Instant, MachineId]] = []
         self.machines_seen = 0  # machines that have sent a heartbeat to this leader
         self.machines_heard = 0  # ... and still do
         self.count_not_before = cluster.started
@@ -85,10 +75,7 @@
 
     def tick(self, now: Instant) -> None:
         """End expired sessions, probe silent machines, and note the end of reconciliation."""
-        for machine in self.cluster.unscheduled_checks:
-            heapq.heappush(self.checks, (now, machine.id))
-        self.cluster.unscheduled_checks.clear()
-        self._run_due_checks(now)
+        self.machine_checks.tick(now)
         self._probe_when_silent(now)
         if not self.cluster.all_settled and self.cluster.loaded:
             self._check_reconciliation_completed(now)
@@ -176,86 +163,6 @@
         jobs_read_age_s = max(0.0, now - self.cluster.jobs_read_at)
         return Delegation(self.cluster.fencing_token, sequence, jobs_read_age_s, machine_ids)
 
-    # ---- checks of single machines -----------------------------------------------------------
-
-    def _run_due_checks(self, now: Instant) -> None:
-        """Check the machines whose check is due.
-
-        Heartbeats only postpone a check, so an entry is moved when its moment has come and not
-        with each heartbeat.
-        """
-        while self.checks and self.checks[0][0] <= now:
-            machine_id = self.checks[0][1]
-            machine = self.cluster.machines.get(machine_id)
-            if machine is None:
-                heapq.heappop(self.checks)
-            else:
-                heapq.heapreplace(self.checks, (self._check_machine(machine, now), machine_id))
-
-    def _check_machine(self, machine: Machine, now: Instant) -> Instant:
-        """Apply what has become due for one machine; returns when to check it next."""
-        next_check = min(
-            self._check_silence(machine, now),
-            self._check_heartbeats(machine, now),
-            self._check_session(machine, now),
-        )
-        return max(Instant(now + CHECK_AGAIN_S), next_check)
-
-    def _check_silence(self, machine: Machine, now: Instant) -> Instant:
-        """Probe a machine of which nothing was heard for too long."""
-        timeout_s = self.cluster.heartbeat_timeout()
-        if machine.returning:
-            return Instant(now + timeout_s)
-        if not machine.probing and now - machine.last_heard_at > timeout_s:
-            self._probe(machine)
-        if machine.probing:
-            return Instant(now + CHECK_AGAIN_S)
-        return Instant(min(now, machine.last_heard_at) + timeout_s)
-
-    def _check_heartbeats(self, machine: Machine, now: Instant) -> Instant:
-        """Note a machine that answers but has sent no heartbeat of its own for too long."""
-        if machine.no_heartbeats_since is not None:
-            return NO_CHECK_DUE
-        if machine.probe_unanswered or machine.returning:
-            return NO_CHECK_DUE
-        if now - machine.heartbeat_at > self.reachability.no_heartbeat_s:
-            self.reachability.heartbeats_missing(machine, now)
-            return NO_CHECK_DUE
-        return Instant(machine.heartbeat_at + self.reachability.no_heartbeat_s)
-
-    def _check_session(self, machine: Machine, now: Instant) -> Instant:
-        """End the machine's session, or a former leader's, once it is certainly over."""
-        if machine.reconciled:
-            return self._check_lease(machine, now)
-        if machine.predecessor_expired:
-            return NO_CHECK_DUE
-        takeover_s = self.delegator.bounds.takeover_s
-        if now - self.cluster.started > takeover_s:
-            # Nobody can have renewed its session for so long.
-            machine.predecessor_expired = True
-            return NO_CHECK_DUE
-        return Instant(self.cluster.started + takeover_s)
-
-    def _check_lease(self, machine: Machine, now: Instant) -> Instant:
-        """Expire the lease of a reconciled machine: the worker has killed all its tasks."""
-        if machine.answered_at is None:
-            return NO_CHECK_DUE
-        if self.delegator.lease_expired(
-            machine.zone, machine.answered_at, machine.delegated_at, now
-        ):
-            self._expire_lease(machine)
-            return NO_CHECK_DUE
-        return Instant(machine.answered_at + self.delegator.bounds.lease_s)
-
-    def _expire_lease(self, machine: Machine) -> None:
-        self.cluster.release_all(machine, "lease over")
-        machine.min_incarnation = Incarnation(machine.incarnation + 1)
-        machine.answered_at = None
-        machine.lease_expired = True
-        machine.availability_changed()
-        # A late heartbeat of the expired session must not be accepted undecoded.
-        machine.unchanged_heartbeat = None
-
     def _check_reconciliation_completed(self, now: Instant) -> None:
         """Once every machine is reconciled or certainly expired, requeue the tasks not found."""
         if any(
@@ -316,11 +223,7 @@
             ]
             sample_size = min(PROBED_WORKERS, len(candidates))
             for machine in self.cluster.rng.sample(candidates, sample_size):
-                self._probe(machine)
-
-    def _probe(self, machine: Machine) -> None:
-        machine.probing = True
-        self.cluster.outbox.append(Probe(machine.id, machine.address))
+                self.reachability.send_probe(machine)
 
     # ---- deletion of silent machines ---------------------------------------------------------
 
--- /dev/null
+++ b/umberward/scheduling/machine_checks.py
@@ -0,0 +1,118 @@
+"""Checks of each machine that are due at a certain time: silence and expired sessions. No I/O.
+
+All moments are of the leader's steady clock.
+"""
+
+from __future__ import annotations
+
+import heapq
+import math
+
+from umberward.core.types import Incarnation, Instant, MachineId
+from umberward.scheduling.cluster_state import ClusterState
+from umberward.scheduling.lease_delegation import Delegator
+from umberward.scheduling.machines import Machine
+from umberward.scheduling.reachability import Reachability
+
+CHECK_AGAIN_S = 0.1  # less than the interval of ticks: checked again at the next one
+
+NO_CHECK_DUE = Instant(math.inf)
+
+
+class MachineChecks:
+    """Probes silent machines and ends sessions that are certainly over."""
+
+    def __init__(
+        self, cluster: ClusterState, delegator: Delegator, reachability: Reachability
+    ) -> None:
+        """Check the machines of `cluster`; `delegator` tells whose leases others may renew."""
+        self.cluster = cluster
+        self.reachability = reachability
+        self.delegator = delegator
+        # A heap of when to check which machine next: one entry for each machine.
+        self._schedule: list[tuple[Instant, MachineId]] = []
+
+    def tick(self, now: Instant) -> None:
+        """Check new machines, and those whose check is due."""
+        for machine in self.cluster.unscheduled_checks:
+            heapq.heappush(self._schedule, (now, machine.id))
+        self.cluster.unscheduled_checks.clear()
+        self._run_due_checks(now)
+
+    def _run_due_checks(self, now: Instant) -> None:
+        """Check the machines whose check is due.
+
+        Heartbeats only postpone a check, so an entry is moved when its moment has come and not
+        with each heartbeat.
+        """
+        while self._schedule and self._schedule[0][0] <= now:
+            machine_id = self._schedule[0][1]
+            machine = self.cluster.machines.get(machine_id)
+            if machine is None:
+                heapq.heappop(self._schedule)
+            else:
+                heapq.heapreplace(self._schedule, (self._check_machine(machine, now), machine_id))
+
+    def _check_machine(self, machine: Machine, now: Instant) -> Instant:
+        """Apply what has become due for one machine; returns when to check it next."""
+        next_check = min(
+            self._check_silence(machine, now),
+            self._check_heartbeats(machine, now),
+            self._check_session(machine, now),
+        )
+        return max(Instant(now + CHECK_AGAIN_S), next_check)
+
+    def _check_silence(self, machine: Machine, now: Instant) -> Instant:
+        """Probe a machine of which nothing was heard for too long."""
+        timeout_s = self.cluster.heartbeat_timeout()
+        if machine.returning:
+            return Instant(now + timeout_s)
+        if not machine.probing and now - machine.last_heard_at > timeout_s:
+            self.reachability.send_probe(machine)
+        if machine.probing:
+            return Instant(now + CHECK_AGAIN_S)
+        return Instant(min(now, machine.last_heard_at) + timeout_s)
+
+    def _check_heartbeats(self, machine: Machine, now: Instant) -> Instant:
+        """Note a machine that answers but has sent no heartbeat of its own for too long."""
+        if machine.no_heartbeats_since is not None:
+            return NO_CHECK_DUE
+        if machine.probe_unanswered or machine.returning:
+            return NO_CHECK_DUE
+        if now - machine.heartbeat_at > self.reachability.no_heartbeat_s:
+            self.reachability.heartbeats_missing(machine, now)
+            return NO_CHECK_DUE
+        return Instant(machine.heartbeat_at + self.reachability.no_heartbeat_s)
+
+    def _check_session(self, machine: Machine, now: Instant) -> Instant:
+        """End the machine's session, or a former leader's, once it is certainly over."""
+        if machine.reconciled:
+            return self._check_lease(machine, now)
+        if machine.predecessor_expired:
+            return NO_CHECK_DUE
+        takeover_s = self.delegator.bounds.takeover_s
+        if now - self.cluster.started > takeover_s:
+            # Nobody can have renewed its session for so long.
+            machine.predecessor_expired = True
+            return NO_CHECK_DUE
+        return Instant(self.cluster.started + takeover_s)
+
+    def _check_lease(self, machine: Machine, now: Instant) -> Instant:
+        """Expire the lease of a reconciled machine: the worker has killed all its tasks."""
+        if machine.answered_at is None:
+            return NO_CHECK_DUE
+        if self.delegator.lease_expired(
+            machine.zone, machine.answered_at, machine.delegated_at, now
+        ):
+            self._expire_lease(machine)
+            return NO_CHECK_DUE
+        return Instant(machine.answered_at + self.delegator.bounds.lease_s)
+
+    def _expire_lease(self, machine: Machine) -> None:
+        self.cluster.release_all(machine, "lease over")
+        machine.min_incarnation = Incarnation(machine.incarnation + 1)
+        machine.answered_at = None
+        machine.lease_expired = True
+        machine.availability_changed()
+        # A late heartbeat of the expired session must not be accepted undecoded.
+        machine.unchanged_heartbeat = None
--- a/umberward/scheduling/reachability.py
+++ b/umberward/scheduling/reachability.py
@@ -149,7 +149,7 @@
         self.without_heartbeats[machine.id] = machine
         machine.availability_changed()
 
-    # ---- what follows ------------------------------------------------------------------------
+    # ---- probes and what follows -------------------------------------------------------------
 
     def tick(self, now: Instant) -> None:
         """Drop deleted machines and send the probes that are due."""
@@ -162,6 +162,11 @@
             elif not machine.probe_unanswered:
                 self._probe(machine, now)
 
+    def send_probe(self, machine: Machine) -> None:
+        """Probe the machine now; its result comes to `CommandResults.probe_completed`."""
+        machine.probing = True
+        self.cluster.outbox.append(Probe(machine.id, machine.address))
+
     def partially_reachable(self) -> list[Machine]:
         """The machines that are up and out of reach in one direction only."""
         found = {**self.suspected, **self.without_heartbeats}
@@ -208,10 +213,9 @@
         if machine.probing or machine.returning or now < machine.probe_not_before:
             return
         interval_s = UNREACHABLE_PROBE_INTERVAL_S if machine.unreachable else PROBE_INTERVAL_S
-        machine.probing = True
         machine.probed_at = now
         machine.probe_not_before = Instant(now + interval_s)
-        self.cluster.outbox.append(Probe(machine.id, machine.address))
+        self.send_probe(machine)
 
     def _stop_waiting_gangs(self, machine: Machine) -> None:
         """Stop gangs whose start of a task did not show on the machine.
