--- a/umberward/scheduling/command_results.py
+++ b/umberward/scheduling/command_results.py
@@ -1,7 +1,7 @@
 """What follows from the responses to direct commands and probes, or from missing ones. No I/O.
 
 A direct command or a probe is a request of the leader to a worker; its response is the worker's
-current heartbeat (PROTOCOL, "Workers -> controller nodes").
+current heartbeat (PROTOCOL, "Controller nodes -> workers").
 """
 
 from __future__ import annotations
--- a/umberward/scheduling/task_progress.py
+++ b/umberward/scheduling/task_progress.py
@@ -14,7 +14,7 @@
 
 log = logger(__name__)
 
-FAILED_CAUSE = "error"  # the task itself failed (PROTOCOL, causes of an exit)
+FAILED_CAUSE = "error"  # the task itself failed (PROTOCOL, "POST /hello")
 REFUSED_START_CAUSES = ("no_room", "in_use", "no_such")  # the worker did not start it
 REFUSED_START_PAUSE_S = 0.5  # before other tasks of the job are placed
 RUNTIME_RATIO_MIN, RUNTIME_RATIO_MAX = 0.1, 10.0  # of the actual to the expected run time
