--- a/umberward/scheduling/best_fit.py
+++ b/umberward/scheduling/best_fit.py
@@ -1,8 +1,8 @@
 """Best-fit descending, the placement step of BestFit (Algorithm 3, lines 19-32). Pure.
 
-The machines are sorted by how many cores are booked, most first, and are filled in round-robin
-order from the first D, each taking what fits. A machine that is full leaves the list and the next
-in order takes its turn. D is 1 for arrays and gangs and the asked spread for services.
+The machines are sorted by allocated cores, most first, and filled in round-robin order from the
+first D, each taking one task at a time. A machine that is full leaves the list, and the next in
+order takes its turn. D is 1 for arrays and gangs and the requested spread for services.
 """
 
 from __future__ import annotations
@@ -14,6 +14,8 @@
 
 
 class MachineRoom(NamedTuple):
+    """The room that a job may use on one machine."""
+
     machine_id: MachineId
     zone: ZoneName
     free: Resources
@@ -25,38 +27,38 @@
     count: int,
     rooms: Iterable[MachineRoom],
     distinct: int,
-    zone_left: Callable[[ZoneName], int] | None = None,
+    left_in_zone: Callable[[ZoneName], int] | None = None,
 ) -> list[MachineId]:
-    """Machines for up to `count` tasks, in the order in which tasks are to take them.
+    """Return machines for up to `count` tasks, in the order in which tasks are to take them.
 
-    `zone_left` bounds how many more tasks of the job a zone may take.
+    `distinct` is D above; `left_in_zone` tells how many more tasks of the job a zone may take.
     """
-    ready = sorted((room for room in rooms if need.fits(room.free)), key=lambda room: room.order)
-    left: dict[MachineId, int] = {}  # of the machines whose turn has come
-    zones: dict[ZoneName, int] = {}
-    if zone_left is not None:
-        for room in ready:
-            if room.zone not in zones:
-                zones[room.zone] = zone_left(room.zone)
+    ordered = sorted((room for room in rooms if need.fits(room.free)), key=lambda room: room.order)
+    zone_limits: dict[ZoneName, int] = {}
+    if left_in_zone is not None:
+        for room in ordered:
+            if room.zone not in zone_limits:
+                zone_limits[room.zone] = left_in_zone(room.zone)
+    active = ordered[: max(distinct, 1)]  # the machines that take turns
+    reserve = ordered[max(distinct, 1) :]  # those that replace full ones, the next one last
+    reserve.reverse()
+    task_limits: dict[MachineId, int] = {}  # of the machines whose turn has come
     chosen: list[MachineId] = []
-    ring = ready[: max(distinct, 1)]
-    rest = ready[max(distinct, 1) :]
-    rest.reverse()
     turn = 0
-    while ring and len(chosen) < count:
-        turn %= len(ring)
-        room = ring[turn]
-        if room.machine_id not in left:
-            left[room.machine_id] = need.count_within(room.free)
-        if left[room.machine_id] <= 0 or zones.get(room.zone, 1) <= 0:
-            if rest:
-                ring[turn] = rest.pop()
+    while active and len(chosen) < count:
+        turn %= len(active)
+        room = active[turn]
+        if room.machine_id not in task_limits:
+            task_limits[room.machine_id] = need.count_within(room.free)
+        if task_limits[room.machine_id] <= 0 or zone_limits.get(room.zone, 1) <= 0:
+            if reserve:
+                active[turn] = reserve.pop()
             else:
-                del ring[turn]
+                del active[turn]
             continue
-        left[room.machine_id] -= 1
-        if zone_left is not None:
-            zones[room.zone] -= 1
+        task_limits[room.machine_id] -= 1
+        if left_in_zone is not None:
+            zone_limits[room.zone] -= 1
         chosen.append(room.machine_id)
         turn += 1
     return chosen
--- a/umberward/scheduling/consolidation.py
+++ b/umberward/scheduling/consolidation.py
@@ -1,133 +1,188 @@
 """Replicas leave dear machines on which nothing else runs, so that these can be returned. No I/O.
 
-In a burst replicas take whatever room there is, and they never leave by themselves: a machine that
-costs a hundred times as much as theirs would be held for them. They are moved to where their room
+In a burst replicas take whatever room there is, and they never end by themselves: a machine that
+costs a hundred times as much as theirs would be kept for them. They are moved to where their room
 costs less than half, one at a time and so rarely that nobody misses them; if there is no such room,
-some is rented.
+machines are requested for it (`ScaleOutPlan.request_for_consolidation`).
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterator
+from typing import NamedTuple
+
 from umberward.core.log import logger
-from umberward.core.types import ImageName, Instant, MachineId, MachineTypeName
+from umberward.core.types import ImageName, Instant, MachineId, MachineTypeName, Resources
 from umberward.scheduling.cluster_state import ClusterState
 from umberward.scheduling.jobs import Job, Placement
-from umberward.scheduling.machine_selection import choose_machines
+from umberward.scheduling.machine_selection import Candidates, choose_machines
 from umberward.scheduling.machines import Machine, machines_with_room
 from umberward.scheduling.preemption import Preemption
+from umberward.scheduling.replica_moves import MIN_REPLICA_RUN_S
 
 log = logger(__name__)
 
 MOVE_PRICE_RATIO_MAX = 0.5  # of the price of a core: what makes a move worth while
 CONSOLIDATE_INTERVAL_S = 1.0
-MAX_REPLICAS_EXAMINED = 12  # replicas that are looked at each time
+MAX_REPLICAS_EXAMINED = 12  # replicas that are examined each time
 MOVE_DOWNTIME_S = 0.3  # how long a replica is away that moves to where its image is
-MOVE_DOWNTIME_SHARE_MAX = (
-    0.0005  # of all replica time may be lost to moves: a quarter of what operators allow
-)
-MIN_REPLICA_RUN_S = 35.0  # a start counts for its user if the replica then stays for 30 s
+MOVE_DOWNTIME_SHARE_MAX = 0.0005  # of all replica time: a quarter of what operators allow
+MIN_REPLICAS_AWAY = 0.01  # lower bound of the replicas away on average, so that moves do happen
+REPLICA_PRIORITY = 0
+
+
+class _Move(NamedTuple):
+    """A replica that has a cheaper place."""
+
+    job: Job
+    placement: Placement
+    source: Machine
+    target: MachineId
+    downtime_s: float
 
 
 class Consolidation:
-    def __init__(self, cluster: ClusterState, clearing: Preemption, now: Instant) -> None:
+    """Moves replicas to cheaper machines, one at a time."""
+
+    def __init__(self, cluster: ClusterState, preemption: Preemption, now: Instant) -> None:
+        """Allow a first move at `now`, a time of the leader's monotonic clock."""
         self.cluster = cluster
-        self.preemption = clearing
+        self.preemption = preemption
         self.check_not_before = now
         self.move_not_before = now
-        # Replicas for which cheaper room must be rented first, and what a core may cost there.
+        # Replicas for which cheaper room must be requested first, and what a core may cost there.
         self.replicas_without_room: list[tuple[Job, float]] = []
 
-    def unit_price(self, type_: MachineTypeName) -> float:
-        """What a core costs for an hour on an ordinary machine."""
-        sku = self.cluster.machine_types[type_]
-        return sku.hourly_price / sku.cores if sku.cores > 0 else sku.hourly_price
+    def unit_price(self, machine_type_name: MachineTypeName) -> float:
+        """Return what a core costs for an hour on a machine that is no spot machine."""
+        machine_type = self.cluster.machine_types[machine_type_name]
+        if machine_type.cores > 0:
+            return machine_type.hourly_price / machine_type.cores
+        return machine_type.hourly_price
+
+    def consolidate(
+        self, headroom_machines: set[MachineId], usable: list[Machine], now: Instant
+    ) -> None:
+        """Stop one replica that has a cheaper place, and reserve the room for it there.
 
-    def consolidate(self, kept: set[MachineId], usable: list[Machine], now: Instant) -> None:
-        """Stop one replica that has a cheaper place, with room kept for it there."""
+        The machines kept for accelerated work are left as they are.
+        """
         if now < max(self.check_not_before, self.move_not_before) or not self.cluster.machine_types:
             return
         self.check_not_before = Instant(now + CONSOLIDATE_INTERVAL_S)
         self.replicas_without_room = []
-        cluster = self.cluster
-        least = min(self.unit_price(type_) for type_ in cluster.machine_types)
-        sources = [
-            (cluster.machine_types[m.type].hourly_price - least * m.allocated.cores, m.id, m)
+        sources = self._dear_machines(headroom_machines, usable)
+        if not sources:
+            return
+        move = self._find_move(sources, usable, now)
+        if move is not None:
+            self._carry_out(move, now)
+
+    def _dear_machines(
+        self, headroom_machines: set[MachineId], usable: list[Machine]
+    ) -> list[Machine]:
+        """Return the machines that only replicas keep, those that waste the most first."""
+        machine_types = self.cluster.machine_types
+        lowest = min(self.unit_price(name) for name in machine_types)
+        wasteful = [
+            (machine_types[m.type].hourly_price - lowest * m.allocated.cores, m.id, m)
             for m in usable
             if m.placements
-            and m.id not in kept
-            and MOVE_PRICE_RATIO_MAX * self.unit_price(m.type) > least
-            and all(p.priority == 0 and p.need.accelerators <= 0 for p in m.placements.values())
+            and m.id not in headroom_machines
+            and MOVE_PRICE_RATIO_MAX * self.unit_price(m.type) > lowest
+            and all(
+                placement.priority == REPLICA_PRIORITY and placement.need.accelerators <= 0
+                for placement in m.placements.values()
+            )
         ]
-        sources.sort(reverse=True)
-        clearing = self.preemption
-        if not sources:
-            return
+        wasteful.sort(reverse=True)
+        return [machine for *_, machine in wasteful]
+
+    def _find_move(
+        self, sources: list[Machine], usable: list[Machine], now: Instant
+    ) -> _Move | None:
+        """Return a move to where the image is, else one to where it must be pulled.
+
+        Replicas without any cheaper place are noted in `replicas_without_room`.
+        """
+        cluster = self.cluster
         _, free = cluster.schedulable_room()
-        clearing.subtract_reservations(free, now)
+        self.preemption.reservations.subtract(free, now)
         replicas = (job for job in cluster.jobs.values() if job.service)
-        roomy = machines_with_room(usable, free, replicas)
-        tries = 0
-        far: tuple[Placement, Machine, Job, MachineId] | None = None
-        for _, _, machine in sources:
-            bound = MOVE_PRICE_RATIO_MAX * self.unit_price(machine.type)
-            others = [
-                m
-                for m in roomy
-                if self.unit_price(m.type) < bound and m.id not in clearing.reservations
+        with_room = machines_with_room(usable, free, replicas)
+        pulling: _Move | None = None
+        for job, placement, source, cheaper in self._movable_replicas(sources, with_room, now):
+            image = ImageName(job.spec.image)
+            near = [machine for machine in cheaper if image in machine.images]
+            target = self._choose_target(job, placement, near, free)
+            if target is not None:
+                return _Move(job, placement, source, target, MOVE_DOWNTIME_S)
+            target = self._choose_target(job, placement, cheaper, free)
+            if target is None:
+                max_unit_price = MOVE_PRICE_RATIO_MAX * self.unit_price(source.type)
+                self.replicas_without_room.append((job, max_unit_price))
+            elif pulling is None:
+                downtime_s = MOVE_DOWNTIME_S + cluster.slowest_image_pull_s(job)
+                pulling = _Move(job, placement, source, target, downtime_s)
+        return pulling
+
+    def _movable_replicas(
+        self, sources: list[Machine], with_room: list[Machine], now: Instant
+    ) -> Iterator[tuple[Job, Placement, Machine, list[Machine]]]:
+        """Yield some replicas that may move, with their machine and the cheaper ones with room."""
+        examined = 0
+        for source in sources:
+            max_unit_price = MOVE_PRICE_RATIO_MAX * self.unit_price(source.type)
+            cheaper = [
+                machine
+                for machine in with_room
+                if self.unit_price(machine.type) < max_unit_price
+                and machine.id not in self.preemption.reservations
             ]
-            for placement in list(machine.placements.values()):
-                job = cluster.jobs.get(placement.task.job)
-                if (
-                    job is None
-                    or tries >= MAX_REPLICAS_EXAMINED
-                    or not self._may_move(job, placement, now)
-                ):
-                    continue
-                tries += 1
-                image = ImageName(job.spec.image)
-                near = [m for m in others if image in m.images]
-                chosen = choose_machines(cluster, job, 1, near, free, set(), placement)
-                if chosen:
-                    self._move(placement, machine, job, chosen[0], MOVE_DOWNTIME_S, now)
+            for placement in list(source.placements.values()):
+                job = self.cluster.jobs.get(placement.task.job)
+                if examined >= MAX_REPLICAS_EXAMINED:
                     return
-                chosen = choose_machines(cluster, job, 1, others, free, set(), placement)
-                if not chosen:
-                    self.replicas_without_room.append((job, bound))
-                elif far is None:
-                    far = (placement, machine, job, chosen[0])
-        if far is not None:
-            slowest = min(sku.image_pull_gb_per_s for sku in cluster.machine_types.values())
-            placement, machine, job, target = far
-            away = MOVE_DOWNTIME_S + job.spec.image_gb / slowest
-            self._move(placement, machine, job, target, away, now)
-
-    def _move(
+                if job is not None and _may_move(job, placement, now):
+                    examined += 1
+                    yield job, placement, source, cheaper
+
+    def _choose_target(
         self,
-        placement: Placement,
-        machine: Machine,
         job: Job,
-        target: MachineId,
-        away: float,
-        now: Instant,
-    ) -> None:
-        log.info("replica_moved", task=placement.task, machine=machine.id, reason="dear machine")
-        self.move_not_before = Instant(now + away / self._replicas_away_max())
-        self.preemption.reserve(job, target, now)
-        self.cluster.stop(placement, 0.0)
-
-    def _may_move(self, job: Job, placement: Placement, now: Instant) -> bool:
-        return (
-            job.service
-            and not job.requeued_tasks
-            and not job.unlocated_tasks
-            and placement.stop_grace is None
-            and placement.running_since is not None
-            and now - placement.running_since > MIN_REPLICA_RUN_S
+        placement: Placement,
+        machines: list[Machine],
+        free: dict[MachineId, Resources],
+    ) -> MachineId | None:
+        candidates = Candidates(machines, free)
+        chosen = choose_machines(self.cluster, job, 1, candidates, leaving=placement)
+        return chosen[0] if chosen else None
+
+    def _carry_out(self, move: _Move, now: Instant) -> None:
+        log.info(
+            "replica_moved",
+            task=move.placement.task,
+            machine=move.source.id,
+            reason="dear machine",
         )
+        self.move_not_before = Instant(now + move.downtime_s / self._max_replicas_away())
+        self.preemption.reserve(move.job, move.target, now)
+        self.cluster.stop(move.placement, 0.0)
 
-    def _replicas_away_max(self) -> float:
-        """How many replicas may be away on average, for the sake of moves."""
+    def _max_replicas_away(self) -> float:
+        """Return how many replicas may be away on average, for the sake of moves."""
         jobs = self.cluster.jobs.values()
-        return max(
-            0.01, MOVE_DOWNTIME_SHARE_MAX * sum(len(job.placements) for job in jobs if job.service)
-        )
+        replicas = sum(len(job.placements) for job in jobs if job.service)
+        return max(MIN_REPLICAS_AWAY, MOVE_DOWNTIME_SHARE_MAX * replicas)
+
+
+def _may_move(job: Job, placement: Placement, now: Instant) -> bool:
+    """Tell whether the replica runs for long enough and none of its service is missing."""
+    return (
+        job.service
+        and not job.requeued_tasks
+        and not job.unlocated_tasks
+        and placement.stop_grace is None
+        and placement.running_since is not None
+        and now - placement.running_since > MIN_REPLICA_RUN_S
+    )
--- /dev/null
+++ b/umberward/scheduling/gang_preemption.py
@@ -0,0 +1,108 @@
+"""Room for a whole gang by preemption, or none: half of its room is of no use to anybody. Pure."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from umberward.core.types import ImageName, MachineId, Resources, ZoneName
+from umberward.scheduling.cluster_state import ClusterState
+from umberward.scheduling.jobs import Job, Placement
+from umberward.scheduling.machines import Machine
+from umberward.scheduling.preemptable_work import PreemptableWork
+from umberward.scheduling.room_reservation import RoomReservations
+
+ANY_ZONE = ZoneName("")
+STOP_S = 0.1  # how long a victim takes to stop, besides its checkpoint
+
+
+class GangStep(NamedTuple):
+    """Room for some of a gang's tasks on one machine, and what it costs."""
+
+    ready_in_s: float  # until a task could start there
+    lost_work: float  # core-seconds that are done again
+    machine_id: MachineId
+    task_count: int
+    victims: list[Placement]
+
+
+def plan_gang(
+    cluster: ClusterState,
+    job: Job,
+    work: PreemptableWork,
+    reservations: RoomReservations,
+    denied: set[MachineId],
+) -> list[GangStep]:
+    """Return the machines for all of the gang with the least lost work; empty: there is no room.
+
+    `denied`: the machines that are held back for other gangs.
+    """
+    steps_by_zone = _steps_by_zone(cluster, job, work, reservations, denied)
+    best: list[GangStep] = []
+    least_lost = 0.0
+    for steps in steps_by_zone.values():
+        steps.sort(key=lambda step: step[:3])
+        picked: list[GangStep] = []
+        missing_tasks = job.size
+        while missing_tasks > 0 and len(picked) < len(steps):
+            picked.append(steps[len(picked)])
+            missing_tasks -= picked[-1].task_count
+        lost_work = sum(step.lost_work for step in picked)
+        if missing_tasks <= 0 and (not best or lost_work < least_lost):
+            best, least_lost = picked, lost_work
+    return best
+
+
+def _steps_by_zone(
+    cluster: ClusterState,
+    job: Job,
+    work: PreemptableWork,
+    reservations: RoomReservations,
+    denied: set[MachineId],
+) -> dict[ZoneName, list[GangStep]]:
+    """Return what each machine has to offer, all under one zone if the gang may span zones."""
+    found: dict[ZoneName, list[GangStep]] = {}
+    rooms = work.preemptable_room(job)
+    for machine in work.machines_of(cluster.suitable_offers(job)):
+        if machine.id in reservations or machine.id in denied:
+            continue
+        zone = machine.zone if job.spec.same_zone else ANY_ZONE
+        steps = found.setdefault(zone, [])
+        step = _step(cluster, job, machine, work, rooms)
+        if step is not None:
+            steps.append(step)
+    return found
+
+
+def _step(
+    cluster: ClusterState,
+    job: Job,
+    machine: Machine,
+    work: PreemptableWork,
+    rooms: dict[MachineId, tuple[Machine, Resources]],
+) -> GangStep | None:
+    """Return free room on the machine, or room for one task by preemption; None: neither."""
+    free = work.free[machine.id]
+    ready_in_s = _image_pull_s(cluster, job, machine)
+    task_count = job.need.count_within(free)
+    if task_count:
+        return GangStep(ready_in_s, 0.0, machine.id, task_count, [])
+    if machine.id not in rooms or not job.need.fits(free.plus(rooms[machine.id][1])):
+        return None
+    plan = work.plan(machine, job, free)
+    if plan is None:
+        return None
+    ready_in_s += _stop_s(cluster, plan.victims)
+    return GangStep(ready_in_s, plan.cost.lost_work, machine.id, 1, plan.victims)
+
+
+def _image_pull_s(cluster: ClusterState, job: Job, machine: Machine) -> float:
+    """Return the seconds until the job's image is on the machine."""
+    if ImageName(job.spec.image) in machine.images:
+        return 0.0
+    return job.spec.image_gb / cluster.machine_types[machine.type].image_pull_gb_per_s
+
+
+def _stop_s(cluster: ClusterState, victims: list[Placement]) -> float:
+    """Return the seconds that the victims take to save a checkpoint and stop; never none."""
+    owners = (cluster.jobs.get(victim.task.job) for victim in victims)
+    return max((owner.spec.checkpoint_cost_s for owner in owners if owner), default=0.0) + STOP_S
--- a/umberward/scheduling/machine_selection.py
+++ b/umberward/scheduling/machine_selection.py
@@ -1,86 +1,120 @@
-"""Which machines a job's tasks go to: what may take them, in the order of best fit. No I/O."""
+"""Which machines a job's tasks go to: those that may take them, by best fit. No I/O."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Container
+from collections import Counter
+from collections.abc import Callable, Container, Mapping
+from typing import NamedTuple
 
-from umberward.core.types import (
-    ImageName,
-    MachineId,
-    Resources,
-    ZoneName,
-)
+from umberward.core.types import MAX_TASKS, ImageName, MachineId, Resources, ZoneName
 from umberward.scheduling.best_fit import MachineRoom, best_fit
 from umberward.scheduling.cluster_state import ClusterState
 from umberward.scheduling.jobs import Job, Placement
 from umberward.scheduling.machines import Machine
 
+MAX_SPREAD_MACHINES = 3  # machines among which the replicas of a spread service take turns
+
+
+class Candidates(NamedTuple):
+    """The machines among which to search, and the room that the job may use on each."""
+
+    machines: list[Machine]
+    free: Mapping[MachineId, Resources]
+    # Machines of which the job may use only what accelerated work leaves over.
+    barred: Container[MachineId] = ()
+
 
 def choose_machines(
     cluster: ClusterState,
     job: Job,
     count: int,
-    usable: list[Machine],
-    free: dict[MachineId, Resources],
-    barred: set[MachineId],
+    candidates: Candidates,
+    *,
     leaving: Placement | None = None,
     prefer: Container[MachineId] = (),
 ) -> list[MachineId]:
-    """`leaving` is about to end, `prefer` is where room was made for the job: a replica that
-    moves would else go back to where its image is."""
+    """Return a machine for each of up to `count` tasks, in the order in which they take them.
+
+    `leaving` is a placement of the job that is about to end, `prefer` the machines where room was
+    made for the job: a replica that moves would else go back to where its image is.
+    """
     cluster.searches += 1
     spec = job.spec
-    need = job.need
-    image = ImageName(spec.image)
-    zones: dict[ZoneName, int] = {}
-    for placement in job.placements.values():
-        if placement is not leaving:
-            zones[placement.zone] = zones.get(placement.zone, 0) + 1
+    tasks_by_zone = Counter(
+        placement.zone for placement in job.placements.values() if placement is not leaving
+    )
     if job.unlocated_tasks and (spec.same_zone or spec.spread):
-        return []  # a task of the job may be in a zone that we cannot name
-    suits = cluster.suitable_offers(job)
-    avoided = job.avoided_machines
-    fitting = [
-        (m, room)
-        for m in usable
-        if m.offer in suits
-        and need.fits(room := free[m.id])
-        and (m.id not in barred or need.fits(room := room.minus(cluster.headroom.need)))
-    ]
-    rooms = [
-        MachineRoom(m.id, m.zone, room, (m.id not in prefer, *_preference(cluster, job, m, image)))
-        for m, room in fitting
-        if m.id not in avoided
-    ]
-    if not rooms and avoided:
-        rooms = [MachineRoom(m.id, m.zone, room, (-m.allocated.cores,)) for m, room in fitting]
+        return []  # a task of the job may be in a zone that is not known
+    rooms = _machine_rooms(cluster, job, candidates, prefer)
     if not rooms:
         return []
     if spec.same_zone:
-        return _choose_zone(job, count, rooms, set(zones))
-    left: Callable[[ZoneName], int] | None = None
+        return _choose_zone(job, count, rooms, set(tasks_by_zone))
+    left_in_zone: Callable[[ZoneName], int] | None = None
     distinct = 1
     if spec.spread:
-        cap = (job.size + 1) // 2
+        max_per_zone = max_tasks_per_zone(job)
+
+        def left_in_zone(zone: ZoneName) -> int:
+            return max_per_zone - tasks_by_zone.get(zone, 0)
 
-        def left(zone: ZoneName) -> int:
-            return cap - zones.get(zone, 0)
+        if job.service:
+            distinct = min(MAX_SPREAD_MACHINES, job.size)
+    return best_fit(job.need, count, rooms, distinct, left_in_zone)
 
-    if job.service:
-        distinct = min(3, job.size) if spec.spread else 1
-    return best_fit(need, count, rooms, distinct, left)
+
+def max_tasks_per_zone(job: Job) -> int:
+    """Return how many of the job's tasks one zone may have: half of a job that is spread."""
+    return (job.size + 1) // 2 if job.spec.spread else MAX_TASKS
+
+
+def _machine_rooms(
+    cluster: ClusterState, job: Job, candidates: Candidates, prefer: Container[MachineId]
+) -> list[MachineRoom]:
+    """Return the machines that may take a task, with their sort keys.
+
+    Those on which the job's tasks have failed are used only if there are no others.
+    """
+    machines, free, barred = candidates
+    need, headroom_need = job.need, cluster.headroom.need
+    image = ImageName(job.spec.image)
+    suitable = cluster.suitable_offers(job)
+    avoided = job.avoided_machines
+    fitting = [
+        (machine, room)
+        for machine in machines
+        if machine.offer in suitable
+        and need.fits(room := free[machine.id])
+        and (machine.id not in barred or need.fits(room := room.minus(headroom_need)))
+    ]
+    rooms = [
+        MachineRoom(
+            machine.id,
+            machine.zone,
+            room,
+            (machine.id not in prefer, *_preference(cluster, job, machine, image)),
+        )
+        for machine, room in fitting
+        if machine.id not in avoided
+    ]
+    if not rooms and avoided:
+        return [
+            MachineRoom(machine.id, machine.zone, room, (-machine.allocated.cores,))
+            for machine, room in fitting
+        ]
+    return rooms
 
 
 def _choose_zone(
-    job: Job, count: int, rooms: list[MachineRoom], taken: set[ZoneName]
+    job: Job, count: int, rooms: list[MachineRoom], used_zones: set[ZoneName]
 ) -> list[MachineId]:
-    """All tasks in one zone: where the others are, else where most fit."""
-    if len(taken) > 1:
+    """Choose machines in one zone: where the job's other tasks are, else where most fit."""
+    if len(used_zones) > 1:
         return []
     best: list[MachineId] = []
-    for zone in taken or sorted({room.zone for room in rooms}):
-        here = [room for room in rooms if room.zone == zone]
-        chosen = best_fit(job.need, count, here, 1)
+    for zone in used_zones or sorted({room.zone for room in rooms}):
+        rooms_in_zone = [room for room in rooms if room.zone == zone]
+        chosen = best_fit(job.need, count, rooms_in_zone, 1)
         if len(chosen) > len(best):
             best = chosen
     return best
@@ -89,23 +123,26 @@
 def _preference(
     cluster: ClusterState, job: Job, machine: Machine, image: ImageName
 ) -> tuple[float, ...]:
-    """Before the most cores booked come the image, where a replica's start waits for it;
-    spot machines, for work that may use them, as other work may not; and machines without
-    accelerators."""
-    fetch = 0.0 if image in machine.images else 1.0
-    scarce = 0.0 if machine.spot else 1.0
+    """Return the machine's sort key for the job, smallest first.
+
+    The most allocated machine is first, as in best fit. Before that come: the image, where a
+    replica's or a gang's start waits for it; spot machines, for work that may use them, as other
+    work may not; and machines without accelerators.
+    """
+    image_missing = 0.0 if image in machine.images else 1.0
+    not_spot = 0.0 if machine.spot else 1.0
     accelerators = cluster.machine_types[machine.type].accelerators
     if job.service or job.gang:
-        return (fetch, accelerators, -machine.allocated.cores)
-    kept = float(machine.id in cluster.headroom_machines)
+        return (image_missing, accelerators, -machine.allocated.cores)
+    kept_open = float(machine.id in cluster.headroom_machines)
     if job.need.accelerators > 0:
-        # It fills one dear machine after the other, those first that are kept anyway: what gets
-        # empty can be returned.
+        # It fills one dear machine after the other, those first that are kept open anyway: what
+        # gets empty can be returned.
         return (
-            scarce,
-            1.0 - kept,
+            not_spot,
+            1.0 - kept_open,
             -machine.allocated.accelerators,
-            fetch,
+            image_missing,
             -machine.allocated.cores,
         )
-    return (kept, scarce, accelerators, fetch, -machine.allocated.cores)
+    return (kept_open, not_spot, accelerators, image_missing, -machine.allocated.cores)
--- a/umberward/scheduling/placement_pass.py
+++ b/umberward/scheduling/placement_pass.py
@@ -25,9 +25,11 @@
 from umberward.scheduling.consolidation import Consolidation
 from umberward.scheduling.gang_reservation import GangReservations
 from umberward.scheduling.jobs import Job, Placement
-from umberward.scheduling.machine_selection import choose_machines
+from umberward.scheduling.machine_selection import Candidates, choose_machines
 from umberward.scheduling.machines import Machine, machines_with_room
-from umberward.scheduling.preemption import PreemptableWork, Preemption
+from umberward.scheduling.preemptable_work import PreemptableWork
+from umberward.scheduling.preemption import Preemption
+from umberward.scheduling.replica_moves import ReplicaMoves
 from umberward.scheduling.service_order import ServiceOrder
 from umberward.scheduling.spot_policy import AffordableMachines, jobs_limited_to_affordable
 from umberward.scheduling.unlocated_tasks import UnlocatedTasks
@@ -103,6 +105,7 @@
         self.preemption = preemption
         self.consolidation = consolidation
         self.gang_reservations = GangReservations(cluster)
+        self.replica_moves = ReplicaMoves(cluster, preemption, cluster.now)
         self.attempt_count = 0  # attempts numbered in this term
 
     def run(self, now: Instant) -> None:
@@ -124,13 +127,8 @@
         if not cluster.all_settled:
             return
         if state.preemptable is not None:
-            self.preemption.move_replicas(
-                state.headroom_machines,
-                state.headroom_candidates,
-                state.usable,
-                state.free,
-                state.preemptable,
-                now,
+            self.replica_moves.move_replicas(
+                state.headroom_machines, state.headroom_candidates, state.preemptable
             )
         self.consolidation.consolidate(state.headroom_machines, state.usable, now)
 
@@ -143,7 +141,7 @@
             self.job_order.update_standings()
         waiting = self.job_order.jobs_in_order(now)
         cluster.headroom.update((job for job in waiting if not job.faulty), now)
-        self.preemption.subtract_reservations(free, now)
+        self.preemption.reservations.subtract(free, now)
         by_offer = cluster.schedulable.by_offer
         headroom_machines, candidates = cluster.headroom.select_machines(by_offer, free)
         cluster.headroom_machines = headroom_machines
@@ -158,7 +156,11 @@
             unlocated_usage=unlocated_usage,
             headroom_machines=headroom_machines,
             headroom_candidates=candidates,
-            preemptable=self.preemption.find_preemptable(waiting, usable, now),
+            preemptable=(
+                PreemptableWork(cluster, usable, free, now)
+                if self.preemption.is_due(waiting, now)
+                else None
+            ),
             affordable=jobs_limited_to_affordable(cluster, waiting, machine_counts),
         )
 
@@ -167,14 +169,14 @@
         count = self._count_to_place(job, state)
         if not count:
             return
-        reserved = self.preemption.grant_reserved(job, state.free)
+        reserved = self.preemption.reservations.grant(job, state.free)
         search = self._new_search(job, count, reserved, state)
-        self._find_machines(search, state, now)
+        self._find_machines(search, state)
         if job.gang and len(search.chosen) < job.size:
             search.chosen = []
         all_placed = len(search.chosen) == count
         used = reserved if all_placed else reserved.intersection(search.chosen)
-        self.preemption.return_unused(used, reserved, state.free)
+        self.preemption.reservations.return_unused(used, reserved, state.free)
         self._start(job, search.chosen, state.free, now)
         if job.need.accelerators > 0 and search.chosen:
             cluster = self.cluster
@@ -221,17 +223,17 @@
         )
         return JobSearch(job, count, reserved, machines, barred, kind)
 
-    def _find_machines(self, search: JobSearch, state: PassState, now: Instant) -> None:
+    def _find_machines(self, search: JobSearch, state: PassState) -> None:
         """Choose machines: free room first, then by preemption, then machines kept for others."""
         job, preemptable = search.job, state.preemptable
         room = self._usable_room(search, state)
         if search.kind.long_running:
-            self._count_room_being_cleared(search, state, now)
+            self._count_room_being_cleared(search, state)
         if search.clearing < search.count:
             self._choose(search, search.kind, room, search.barred, state)
         if search.missing > 0 and preemptable is not None:
             search.clearing += self.preemption.preempt(
-                job, search.missing, preemptable, state.free, search.reserved, now
+                job, search.missing, preemptable, search.reserved
             )
         if search.kind.long_running:
             widened = (state.headroom_machines - search.reserved, set[MachineId]())
@@ -255,7 +257,7 @@
             for machine in search.machines
         }
 
-    def _count_room_being_cleared(self, search: JobSearch, state: PassState, now: Instant) -> None:
+    def _count_room_being_cleared(self, search: JobSearch, state: PassState) -> None:
         """Replicas wait for the room that is being cleared for them: it is free in a moment."""
         job, free = search.job, state.free
         search.clearing = sum(
@@ -268,10 +270,8 @@
                 job,
                 search.count - search.clearing,
                 search.machines,
-                free,
-                state.headroom_candidates,
                 state.preemptable,
-                now,
+                state.headroom_candidates,
             )
 
     def _choose(
@@ -290,9 +290,7 @@
             self.cluster,
             job,
             search.count - search.clearing,
-            search.machines,
-            room,
-            barred,
+            Candidates(search.machines, room, barred),
             prefer=search.reserved,
         )
         if not search.chosen and not search.reserved and job.interchangeable:
--- /dev/null
+++ b/umberward/scheduling/replica_moves.py
@@ -0,0 +1,120 @@
+"""Replicas that keep accelerated work off a machine are moved elsewhere. No I/O.
+
+Replicas never end by themselves, so nothing else would ever free the room.
+"""
+
+from __future__ import annotations
+
+from umberward.core.log import logger
+from umberward.core.types import ImageName, Instant, MachineId
+from umberward.scheduling.cluster_state import ClusterState
+from umberward.scheduling.jobs import Job, Placement
+from umberward.scheduling.machine_selection import Candidates, choose_machines
+from umberward.scheduling.machines import Machine, machines_with_room
+from umberward.scheduling.preemptable_work import PreemptableWork
+from umberward.scheduling.preemption import PREEMPT_PAUSE_S, Preemption
+
+log = logger(__name__)
+
+MOVE_INTERVAL_S = 1.0
+MAX_MOVES_PER_PASS = 8  # replicas that are examined each time: few are away at any moment
+MIN_REPLICA_RUN_S = 35.0  # a start counts for its user if the replica then stays for 30 s
+
+
+class ReplicaMoves:
+    """Moves replicas off the machines that are kept for accelerated work."""
+
+    def __init__(self, cluster: ClusterState, preemption: Preemption, now: Instant) -> None:
+        """Allow the first moves at `now`, a time of the leader's monotonic clock."""
+        self.cluster = cluster
+        self.preemption = preemption
+        self.move_not_before = now
+
+    def move_replicas(
+        self, headroom_machines: set[MachineId], candidates: set[MachineId], work: PreemptableWork
+    ) -> None:
+        """Free the machines kept for accelerated work that have too little room for it.
+
+        `candidates`: all machines that could run such work; replicas do not move there. A replica
+        is stopped only when there is room for it elsewhere, with its image, so that it is away for
+        a moment only; and not when it has just started, for its user's sake.
+        """
+        now = work.now
+        if now < self.move_not_before:
+            return
+        self.move_not_before = Instant(now + MOVE_INTERVAL_S)
+        blocked = self._blocked_machines(headroom_machines, work)
+        if not blocked:
+            return
+        replicas = [job for job in self.cluster.jobs.values() if job.service]
+        with_room = machines_with_room(work.usable, work.free, replicas)
+        examined = 0
+        for machine in blocked:
+            placements = list(machine.placements.values())
+            # Those that find no room must not hide the others.
+            self.cluster.rng.shuffle(placements)
+            for placement in placements:
+                job = self.cluster.jobs.get(placement.task.job)
+                if (
+                    examined >= MAX_MOVES_PER_PASS
+                    or job is None
+                    or not _may_move(job, placement, now)
+                ):
+                    continue
+                examined += 1
+                if self._make_room(job, placement, with_room, candidates, work):
+                    log.info("replica_moved", task=placement.task, machine=machine.id)
+                    self.cluster.stop(placement, 0.0)
+
+    def _blocked_machines(
+        self, headroom_machines: set[MachineId], work: PreemptableWork
+    ) -> list[Machine]:
+        """Return the kept machines without room for an accelerated task, the emptiest first."""
+        need = self.cluster.headroom.need
+        blocked = [
+            machine
+            for machine in work.usable
+            if machine.id in headroom_machines and not need.fits(work.free[machine.id])
+        ]
+        blocked.sort(key=lambda machine: (machine.allocated.cores, machine.id))
+        return blocked
+
+    def _make_room(
+        self,
+        job: Job,
+        placement: Placement,
+        with_room: list[Machine],
+        candidates: set[MachineId],
+        work: PreemptableWork,
+    ) -> bool:
+        """Reserve room for the replica near its image, or clear some; tell whether there is any."""
+        image = ImageName(job.spec.image)
+        machines = [m for m in with_room if m.id not in candidates and image in m.images]
+        chosen = [
+            machine_id
+            for machine_id in choose_machines(
+                self.cluster, job, 1, Candidates(machines, work.free), leaving=placement
+            )
+            if machine_id not in self.preemption.reservations
+        ]
+        if not chosen:
+            cleared = self.preemption.preempt(
+                job, 1, work, candidates, near_image=True, leaving=placement
+            )
+            return cleared > 0
+        target = chosen[0]
+        self.preemption.reserve(job, target, work.now)
+        work.free[target] = work.free[target].minus(job.need)
+        return True
+
+
+def _may_move(job: Job, placement: Placement, now: Instant) -> bool:
+    """Tell whether the replica runs for long enough and nothing else is under way for its job."""
+    return (
+        job.service
+        and not job.requeued_tasks
+        and placement.stop_grace is None
+        and placement.running_since is not None
+        and now - placement.running_since >= MIN_REPLICA_RUN_S
+        and now - job.preempted_at >= PREEMPT_PAUSE_S
+    )
