--- a/umberward/scheduling/deadline_triage.py
+++ b/umberward/scheduling/deadline_triage.py
@@ -1,97 +1,112 @@
 """Which jobs are put off when not all can be done by their deadlines. No I/O.
 
-In the order of their latest starts, work that is too much makes everybody late: each job waits for
-one before it that will be late all the same. By the algorithm of Moore and Hodgson as few as can be
+In the order of their latest starts, too much work makes everybody late: each job waits for one
+before it that will be late all the same. By the algorithm of Moore and Hodgson as few as possible
 are late: jobs are taken in the order of their latest starts, and whenever one would start too late,
-the longest of those taken is put off. What is put off is served behind the rest, and not for long:
-a job that has waited for a part of the four minutes is served first, whatever its size.
+the longest of those taken is put off. A job that is put off is served behind the rest, and not for
+long: one that has waited for `MISSED_GOALS_PRIORITY_S` is served first, whatever its size.
 """
 
 from __future__ import annotations
 
 import heapq
 from collections.abc import Iterable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
-from umberward.core.types import Instant, JobId
+from umberward.core.types import Instant, JobId, WallTime
 from umberward.scheduling.cluster_state import ClusterState
 from umberward.scheduling.job_timing import MISSED_GOALS_PRIORITY_S
 from umberward.scheduling.jobs import Job
 
 TRIAGE_INTERVAL_S = 0.4
+RUN_SHARE_LEFT = 0.5  # what runs now is half done on average
 
 
 class DeadlineJob(NamedTuple):
-    """One job: until when its last task should start, and for how long it keeps the machines."""
+    """Until when a job's last task should start, and for how long it keeps the machines."""
 
     start_by: float
     duration_s: float
     job_id: JobId
 
 
-def choose_late_jobs(waits: Iterable[DeadlineJob], free_at: float) -> set[JobId]:
-    """As few as can be, so that each of the others starts in time. Times in seconds; `free_at`:
-    when the machines have done what comes before all of them."""
+class _WorkKind(NamedTuple):
+    """Jobs of one kind compete for the same machines at the same priority."""
+
+    accelerated: bool
+    priority: int
+
+
+def choose_late_jobs(jobs: Iterable[DeadlineJob], free_at: float) -> set[JobId]:
+    """Return as few jobs as possible, so that each of the others starts in time.
+
+    `free_at`: when the machines have done what comes before all of them, in seconds.
+    """
     chosen: list[tuple[float, JobId]] = []  # a heap, the longest first
     late: set[JobId] = set()
-    total = 0.0
-    for wait in sorted(waits):
-        heapq.heappush(chosen, (-wait.duration_s, wait.job_id))
-        total += wait.duration_s
-        if free_at + total > wait.start_by:
-            longest, job = heapq.heappop(chosen)
-            total += longest
-            late.add(job)
+    total_s = 0.0
+    for job in sorted(jobs):
+        heapq.heappush(chosen, (-job.duration_s, job.job_id))
+        total_s += job.duration_s
+        if free_at + total_s > job.start_by:
+            negated_duration_s, longest = heapq.heappop(chosen)
+            total_s += negated_duration_s
+            late.add(longest)
     return late
 
 
 class DeadlineTriage:
+    """Keeps the set of jobs that are put off, and finds it anew a few times a second."""
+
     def __init__(self, cluster: ClusterState, now: Instant) -> None:
+        """Allow a first triage at `now`, a time of the leader's monotonic clock."""
         self.cluster = cluster
         self.triage_not_before = now
         self.late_jobs: set[JobId] = set()
 
     def update(self, jobs: Iterable[Job], now: Instant) -> None:
-        """To be called before jobs are brought into the order of service."""
+        """Find `late_jobs` among the startable jobs; to be called before these are ordered."""
         if now < self.triage_not_before:
             return
         self.triage_not_before = Instant(now + TRIAGE_INTERVAL_S)
         self.late_jobs = set()
         wall = self.cluster.wall()
-        groups: dict[Any, list[Job]] = {}
+        by_kind: dict[_WorkKind, list[Job]] = {}
         for job in jobs:
             if job.spec.deadline_s is not None and not (job.gang or job.service or job.faulty):
-                groups.setdefault((job.need.accelerators > 0, job.priority), []).append(job)
-        for (accelerated, rank), members in groups.items():
-            if len(members) < 2:
+                kind = _WorkKind(job.need.accelerators > 0, job.priority)
+                by_kind.setdefault(kind, []).append(job)
+        for kind, members in by_kind.items():
+            if len(members) > 1:
+                self.late_jobs |= self._late_jobs_of(kind, members, wall)
+
+    def _late_jobs_of(self, kind: _WorkKind, members: list[Job], wall: WallTime) -> set[JobId]:
+        rate = self._service_rate(kind)
+        deadline_jobs = []
+        free_at: float = wall
+        for job in members:
+            task_s = self.cluster.estimate(job)
+            amount = job.need.accelerators if kind.accelerated else job.need.cores
+            work = job.startable_count() * amount * task_s
+            if rate <= 0:
                 continue
-            rate = self._service_rate(accelerated, rank)
-            waits = []
-            free_at: float = wall
-            for job in members:
-                amount = job.need.accelerators if accelerated else job.need.cores
-                runs = self.cluster.estimate(job)
-                work = job.startable_count() * amount * runs
-                if rate <= 0:
-                    continue
-                if wall - job.ready_at > MISSED_GOALS_PRIORITY_S:
-                    free_at += work / rate  # served first
-                    continue
-                # Its last task starts while those that were started last still run: half of a
-                # run before all that work is done, as what runs now is half done on average.
-                start_by = self.cluster.service_order(job, wall) + 0.5 * runs
-                waits.append(DeadlineJob(start_by, work / rate, job.id))
-            self.late_jobs |= choose_late_jobs(waits, free_at)
-
-    def _service_rate(self, accelerated: bool, rank: int) -> float:
-        """How much such work the machines do at once: what they have of it and what is free."""
+            if wall - job.ready_at > MISSED_GOALS_PRIORITY_S:
+                free_at += work / rate  # served first
+                continue
+            # The job's last task starts while those that were started last still run.
+            start_by = self.cluster.service_order(job, wall) + RUN_SHARE_LEFT * task_s
+            deadline_jobs.append(DeadlineJob(start_by, work / rate, job.id))
+        return choose_late_jobs(deadline_jobs, free_at)
+
+    def _service_rate(self, kind: _WorkKind) -> float:
+        """Return how many cores or accelerators do such work at once: in use by it, or free."""
         total = 0.0
         for machine in self.cluster.schedulable.machines.values():
-            sku = self.cluster.machine_types.get(machine.type)
-            held = machine.load_by_priority().get((accelerated, rank))
-            place = 1 if accelerated else 0
-            if held is not None:
-                total += held[place]
-            if sku is not None:
-                total += max(0.0, machine.free(sku)[place])
+            machine_type = self.cluster.machine_types.get(machine.type)
+            load = machine.load_by_priority().get(kind)
+            if load is not None:
+                total += load.accelerators if kind.accelerated else load.cores
+            if machine_type is not None:
+                free = machine.free(machine_type)
+                total += max(0.0, free.accelerators if kind.accelerated else free.cores)
         return total
--- a/umberward/scheduling/dependencies.py
+++ b/umberward/scheduling/dependencies.py
@@ -1,10 +1,10 @@
-"""Jobs that wait for others. No I/O.
+"""Jobs that wait for others, and what these others owe to them. No I/O.
 
-`Graph` tells, from the records that were read so far, which jobs may start, which can never run
-because one before them was cancelled, and of which it can't tell yet. The leader and every
-controller's copy of the jobs' states use it, so that all come to the same answer.
-`Pipelines` holds the leader's waiting jobs, and passes on to the jobs before them what is asked of
-those after them.
+`DependencyGraph` tells, from the records that were read so far, which jobs may start, which can
+never run because a dependency was cancelled, and of which that is not known yet. The leader and
+every controller's copy of the jobs' states use it, so that all come to the same answer.
+`WaitingJobs` holds the leader's waiting jobs, and passes the demand of dependents on to their
+dependencies.
 """
 
 from __future__ import annotations
@@ -17,228 +17,246 @@
 from umberward.scheduling.cluster_state import ClusterState
 from umberward.scheduling.jobs import NO_DEMAND, DependentDemand, Job
 
+DEMAND_LEARNING_RATE = 0.1  # how much one job says about its class
+EXPECTED_DEMAND_SHARE = 0.5  # of a class's jobs must have had dependents for more to be expected
+
 
 class DependencyGraph:
-    """What waits for what. Only jobs that still wait are in it, so it costs nothing besides."""
+    """Which job waits for which. Only jobs that still wait are in it: others cost nothing."""
 
     def __init__(self, is_live: Callable[[JobId], bool]) -> None:
+        """`is_live` tells whether a job is live as far as the owner of the graph knows."""
         self.is_live = is_live
-        self.dependencies: dict[JobId, set[JobId]] = {}  # a waiting job -> what it still waits for
-        self.dependents: dict[JobId, set[JobId]] = {}  # a job -> the jobs that wait for it
-        # Needed, not live, and its end was not seen: not done until it was looked up.
+        # By waiting job: the dependencies that are not done yet.
+        self.dependencies: dict[JobId, set[JobId]] = {}
+        # By dependency: the jobs that wait for it.
+        self.dependents: dict[JobId, set[JobId]] = {}
+        # Dependencies that are not live and whose end was not seen: their final records must be
+        # looked up before their dependents may start. The keys only, in the order of adding.
         self.unresolved_ids: dict[JobId, None] = {}
-        # Waiting jobs that can never run -> the cancelled job that is to blame.
+        # By waiting job that can never run: the cancelled dependency that is the cause.
         self.cancelled_by: dict[JobId, JobId] = {}
 
-    def add(self, id: JobId, needs: Iterable[JobId]) -> None:
-        """A live job that waits for others. The same again changes nothing."""
-        if id in self.dependencies:
+    def add(self, job_id: JobId, dependency_ids: Iterable[JobId]) -> None:
+        """Add a live job that waits for others; adding it again changes nothing."""
+        if job_id in self.dependencies:
             return
-        self.dependencies[id] = set(needs)
-        for need in self.dependencies[id]:
-            self.dependents.setdefault(need, set()).add(id)
-            if need in self.cancelled_by:
-                self._cancel_dependents([id], self.cancelled_by[need])
-            elif not self.is_live(need):
-                self.unresolved_ids[need] = None
-
-    def note_live(self, id: JobId) -> None:
-        """The job is live: its end is not unknown but yet to come."""
-        self.unresolved_ids.pop(id, None)
-
-    def note_started(self, id: JobId) -> None:
-        """Its record says that it waits for nothing any more."""
-        self._remove(id)
-
-    def note_ended(self, id: JobId, phase: str) -> list[JobId]:
-        """The job's end was committed; returns the jobs that may start now."""
-        self._remove(id)
-        self.unresolved_ids.pop(id, None)
-        heirs = self.dependents.pop(id, set())
+        self.dependencies[job_id] = set(dependency_ids)
+        for dependency_id in self.dependencies[job_id]:
+            self.dependents.setdefault(dependency_id, set()).add(job_id)
+            if dependency_id in self.cancelled_by:
+                self._cancel_dependents([job_id], self.cancelled_by[dependency_id])
+            elif not self.is_live(dependency_id):
+                self.unresolved_ids[dependency_id] = None
+
+    def note_live(self, job_id: JobId) -> None:
+        """Note that the job is live: its end is not unknown but yet to come."""
+        self.unresolved_ids.pop(job_id, None)
+
+    def note_started(self, job_id: JobId) -> None:
+        """Note that the job's record says that it waits for nothing any more."""
+        self._remove(job_id)
+
+    def note_ended(self, job_id: JobId, phase: str) -> list[JobId]:
+        """Note that the job's end was committed; return the jobs that may start now."""
+        self._remove(job_id)
+        self.unresolved_ids.pop(job_id, None)
+        dependents = self.dependents.pop(job_id, set())
         if phase != wire.DONE:
-            self._cancel_dependents(heirs, id)
-            for heir in heirs:
-                self.dependencies[heir].discard(id)
+            self._cancel_dependents(dependents, job_id)
+            for dependent_id in dependents:
+                self.dependencies[dependent_id].discard(job_id)
             return []
         ready = []
-        for heir in heirs:
-            left = self.dependencies[heir]
-            left.discard(id)
-            if not left and heir not in self.cancelled_by:
-                del self.dependencies[heir]
-                ready.append(heir)
+        for dependent_id in dependents:
+            left = self.dependencies[dependent_id]
+            left.discard(job_id)
+            if not left and dependent_id not in self.cancelled_by:
+                del self.dependencies[dependent_id]
+                ready.append(dependent_id)
         return sorted(ready)
 
-    def note_gone(self, id: JobId) -> None:
-        """The job's live record is gone, and it was not said what became of it."""
-        self._remove(id)
-        if id in self.dependents:
-            self.unresolved_ids[id] = None
+    def note_gone(self, job_id: JobId) -> None:
+        """Note that the job's live record is gone, and that its end was not seen."""
+        self._remove(job_id)
+        if job_id in self.dependents:
+            self.unresolved_ids[job_id] = None
 
-    def unresolved(self, id: JobId) -> set[JobId]:
-        """What must be looked up to tell what becomes of this job."""
+    def unresolved(self, job_id: JobId) -> set[JobId]:
+        """Return the jobs to look up in order to tell whether this job can ever run."""
         if not self.unresolved_ids:
             return set()
         found: set[JobId] = set()
-        seen = {id}
-        walk = [id]
-        while walk:
-            for need in self.dependencies.get(walk.pop(), ()):
-                if need in self.unresolved_ids:
-                    found.add(need)
-                if need not in seen:
-                    seen.add(need)
-                    walk.append(need)
+        seen = {job_id}
+        to_visit = [job_id]
+        while to_visit:
+            for dependency_id in self.dependencies.get(to_visit.pop(), ()):
+                if dependency_id in self.unresolved_ids:
+                    found.add(dependency_id)
+                if dependency_id not in seen:
+                    seen.add(dependency_id)
+                    to_visit.append(dependency_id)
         return found
 
     def clear(self) -> None:
+        """Forget everything; for when all records are read anew."""
         self.dependencies.clear()
         self.dependents.clear()
         self.unresolved_ids.clear()
         self.cancelled_by.clear()
 
-    def _remove(self, id: JobId) -> None:
-        self.cancelled_by.pop(id, None)
-        for need in self.dependencies.pop(id, ()):
-            heirs = self.dependents.get(need)
-            if heirs is not None:
-                heirs.discard(id)
-                if not heirs:
-                    del self.dependents[need]
-                    self.unresolved_ids.pop(need, None)
-
-    def _cancel_dependents(self, ids: Iterable[JobId], cause: JobId) -> None:
-        walk = list(ids)
-        while walk:
-            id = walk.pop()
-            if id not in self.cancelled_by:
-                self.cancelled_by[id] = cause
-                walk.extend(self.dependents.get(id, ()))
-
-
-DEMAND_LEARNING_RATE = 0.1  # how much one job says about its class
-EXPECTED_DEMAND_SHARE = 0.5  # of the jobs of a class must be needed by others for it to be expected
+    def _remove(self, job_id: JobId) -> None:
+        """Drop a job that waits for nothing any more."""
+        self.cancelled_by.pop(job_id, None)
+        for dependency_id in self.dependencies.pop(job_id, ()):
+            dependents = self.dependents.get(dependency_id)
+            if dependents is not None:
+                dependents.discard(job_id)
+                if not dependents:
+                    del self.dependents[dependency_id]
+                    self.unresolved_ids.pop(dependency_id, None)
+
+    def _cancel_dependents(self, job_ids: Iterable[JobId], cause: JobId) -> None:
+        """Mark these jobs and all that depend on them as cancelled by `cause`."""
+        to_visit = list(job_ids)
+        while to_visit:
+            job_id = to_visit.pop()
+            if job_id not in self.cancelled_by:
+                self.cancelled_by[job_id] = cause
+                to_visit.extend(self.dependents.get(job_id, ()))
 
 
 class WaitingJobs:
-    """The leader's jobs that wait: nothing else knows of them until they may start."""
+    """The leader's jobs that wait for others: nothing else counts them until they may start."""
 
     def __init__(self, cluster: ClusterState) -> None:
+        """Keep the demand on live jobs in `cluster.demands`."""
         self.cluster = cluster
         self.jobs: dict[JobId, Job] = {}
         self.demands = cluster.demands
-        # class -> share of its jobs that others needed, and the rank of those: some users submit
-        # the last job of a pipeline only when the others are over, which should get through.
+        # By job class: the share of its jobs that had dependents, and the priority of these. Some
+        # users submit the last job of a pipeline only when the others are over, and it should get
+        # through as well.
         self.class_demand: dict[str, tuple[float, int]] = {}
-        self.graph = DependencyGraph(lambda id: id in cluster.jobs or id in self.jobs)
+        self.graph = DependencyGraph(lambda job_id: job_id in cluster.jobs or job_id in self.jobs)
 
-    def add(self, job: Job, needs: Iterable[JobId]) -> None:
+    def add(self, job: Job, dependency_ids: Iterable[JobId]) -> None:
+        """Add a job that waits for others."""
         self.jobs[job.id] = job
-        self.graph.add(job.id, needs)
+        self.graph.add(job.id, dependency_ids)
         self._propagate_demand([job.id])
 
-    def job_ended(self, id: JobId, phase: str, at: float) -> list[Job]:
-        """The job's end was committed at that time; returns the jobs that may start now."""
-        heirs = list(self.graph.dependents.get(id, ()))
-        needs = list(self.graph.dependencies.get(id, ()))
-        ready = self.graph.note_ended(id, phase)
-        self._learn_demand(id)
-        self.demands.pop(id, None)
-        self._recompute_demand(needs)
-        for heir in heirs:
-            # What is asked of a job counts from the end of the last one that it needs.
-            job = self.jobs[heir]
-            job.ready_at = WallTime(max(job.ready_at, at))
-        return [self.jobs.pop(heir) for heir in ready]
-
-    def job_gone(self, id: JobId) -> None:
-        """The job's live record is gone."""
-        needs = list(self.graph.dependencies.get(id, ()))
-        self.jobs.pop(id, None)
-        self.graph.note_gone(id)
-        self.demands.pop(id, None)
-        self._recompute_demand(needs)
-
-    def jobs_to_cancel(self, most: int) -> list[Job]:
-        """Some of the jobs whose records are to be moved, as one before them was cancelled."""
-        return [self.jobs[id] for id in islice(self.graph.cancelled_by, most)]
-
-    def demand_on(self, id: JobId) -> DependentDemand:
-        return self.demands.get(id, NO_DEMAND)
+    def job_ended(self, job_id: JobId, phase: str, ended_at: float) -> list[Job]:
+        """Apply a job's committed end; return the jobs that may start now.
+
+        `ended_at`: a time of day, in seconds.
+        """
+        dependents = list(self.graph.dependents.get(job_id, ()))
+        dependencies = list(self.graph.dependencies.get(job_id, ()))
+        ready = self.graph.note_ended(job_id, phase)
+        self._learn_demand(job_id)
+        self.demands.pop(job_id, None)
+        self._recompute_demand(dependencies)
+        for dependent_id in dependents:
+            # Objectives count from the end of the last dependency.
+            job = self.jobs[dependent_id]
+            job.ready_at = WallTime(max(job.ready_at, ended_at))
+        return [self.jobs.pop(ready_id) for ready_id in ready]
+
+    def job_gone(self, job_id: JobId) -> None:
+        """Forget a job whose live record is gone."""
+        dependencies = list(self.graph.dependencies.get(job_id, ()))
+        self.jobs.pop(job_id, None)
+        self.graph.note_gone(job_id)
+        self.demands.pop(job_id, None)
+        self._recompute_demand(dependencies)
+
+    def jobs_to_cancel(self, limit: int) -> list[Job]:
+        """Return up to `limit` jobs that can never run; their live records are to be ended."""
+        return [self.jobs[job_id] for job_id in islice(self.graph.cancelled_by, limit)]
+
+    def demand_on(self, job_id: JobId) -> DependentDemand:
+        """Return what the job's live dependents ask of it."""
+        return self.demands.get(job_id, NO_DEMAND)
 
     def service_standing(self, job: Job) -> tuple[int, int]:
-        """Its place in the order of service. Nothing is stopped on an expectation: that takes a
-        live job that needs this one."""
-        share, rank = self.class_demand.get(job.spec.job_class, (0.0, job.priority))
-        guaranteed, own = job.standing
-        return (guaranteed, min(own, rank) if share > EXPECTED_DEMAND_SHARE else own)
-
-    def _learn_demand(self, id: JobId) -> None:
-        job = self.cluster.jobs.get(id)
-        if job is not None and job.spec.job_class in self.class_demand:
-            share, rank = self.class_demand[job.spec.job_class]
-            asked = 1.0 if id in self.demands else 0.0
-            self.class_demand[job.spec.job_class] = (
-                share + DEMAND_LEARNING_RATE * (asked - share),
-                rank,
-            )
+        """Return the job's standing in the order of service.
+
+        It includes the demand that is expected for its class. Nothing is preempted on an
+        expectation: that takes a live job that depends on this one.
+        """
+        share, priority = self.class_demand.get(job.spec.job_class, (0.0, job.priority))
+        guaranteed, own_priority = job.standing
+        if share > EXPECTED_DEMAND_SHARE:
+            return (guaranteed, min(own_priority, priority))
+        return (guaranteed, own_priority)
+
+    def _learn_demand(self, job_id: JobId) -> None:
+        """Count whether a job that has ended had dependents."""
+        job = self.cluster.jobs.get(job_id)
+        if job is None or job.spec.job_class not in self.class_demand:
+            return
+        share, priority = self.class_demand[job.spec.job_class]
+        had_demand = 1.0 if job_id in self.demands else 0.0
+        share += DEMAND_LEARNING_RATE * (had_demand - share)
+        self.class_demand[job.spec.job_class] = (share, priority)
 
-    # ---- what those after a job ask of it ------------------------------------------------
+    # ---- demand on dependencies ----------------------------------------------------------
 
-    def _demand_of(self, id: JobId) -> DependentDemand:
-        """What this waiting job asks of those before it."""
-        job = self.jobs[id]
-        rank, late = self.demand_on(id)
+    def _demand_of(self, job_id: JobId) -> DependentDemand:
+        """Return what this waiting job asks of its dependencies."""
+        job = self.jobs[job_id]
+        priority, finish_by = self.demand_on(job_id)
         if job.spec.deadline_s is not None:
-            late = min(late, job.submitted_at + job.spec.deadline_s)
+            finish_by = min(finish_by, job.submitted_at + job.spec.deadline_s)
         return DependentDemand(
-            min(rank, wire.PRIORITIES[job.spec.priority]),
-            late - self.cluster.expected_duration(job),
+            min(priority, wire.PRIORITIES[job.spec.priority]),
+            finish_by - self.cluster.expected_duration(job),
         )
 
-    def _propagate_demand(self, ids: list[JobId]) -> None:
-        """Something more is asked: it goes from job to job towards the first, while it matters."""
-        walk = ids
-        while walk:
-            id = walk.pop()
-            if id not in self.jobs:
+    def _propagate_demand(self, job_ids: list[JobId]) -> None:
+        """Pass added demand on from job to job towards the first, while it changes anything."""
+        to_visit = job_ids
+        while to_visit:
+            job_id = to_visit.pop()
+            if job_id not in self.jobs:
                 continue
-            asked = self._demand_of(id)
-            for need in self.graph.dependencies.get(id, ()):
-                old = self.demand_on(need)
+            demand = self._demand_of(job_id)
+            for dependency_id in self.graph.dependencies.get(job_id, ()):
+                old = self.demand_on(dependency_id)
                 new = DependentDemand(
-                    min(old.priority, asked.priority), min(old.finish_by, asked.finish_by)
+                    min(old.priority, demand.priority), min(old.finish_by, demand.finish_by)
                 )
                 if new != old:
-                    self._set_demand(need, new)
-                    walk.append(need)
-
-    def _recompute_demand(self, ids: list[JobId]) -> None:
-        """A job after these is gone: what the others ask is found anew."""
-        walk = ids
-        while walk:
-            id = walk.pop()
-            asked = [
-                self._demand_of(heir)
-                for heir in self.graph.dependents.get(id, ())
-                if heir in self.jobs
+                    self._set_demand(dependency_id, new)
+                    to_visit.append(dependency_id)
+
+    def _recompute_demand(self, job_ids: list[JobId]) -> None:
+        """Find the demand on these jobs anew, as a dependent of theirs is gone."""
+        to_visit = job_ids
+        while to_visit:
+            job_id = to_visit.pop()
+            demands = [
+                self._demand_of(dependent_id)
+                for dependent_id in self.graph.dependents.get(job_id, ())
+                if dependent_id in self.jobs
             ]
             new = DependentDemand(
-                min((claim.priority for claim in asked), default=NO_DEMAND.priority),
-                min((claim.finish_by for claim in asked), default=NO_DEMAND.finish_by),
+                min((demand.priority for demand in demands), default=NO_DEMAND.priority),
+                min((demand.finish_by for demand in demands), default=NO_DEMAND.finish_by),
             )
-            if new != self.demand_on(id):
-                self._set_demand(id, new)
-                walk.extend(self.graph.dependencies.get(id, ()))
+            if new != self.demand_on(job_id):
+                self._set_demand(job_id, new)
+                to_visit.extend(self.graph.dependencies.get(job_id, ()))
 
-    def _set_demand(self, id: JobId, claim: DependentDemand) -> None:
-        if claim == NO_DEMAND:
-            self.demands.pop(id, None)
+    def _set_demand(self, job_id: JobId, demand: DependentDemand) -> None:
+        if demand == NO_DEMAND:
+            self.demands.pop(job_id, None)
         else:
-            self.demands[id] = claim
-        job = self.cluster.jobs.get(id) or self.jobs.get(id)
-        if job is not None and claim.priority < wire.PRIORITIES[job.spec.priority]:
+            self.demands[job_id] = demand
+        job = self.cluster.jobs.get(job_id) or self.jobs.get(job_id)
+        if job is not None and demand.priority < wire.PRIORITIES[job.spec.priority]:
             share, _ = self.class_demand.get(job.spec.job_class, (1.0, 0))
-            self.class_demand[job.spec.job_class] = (share, claim.priority)
-        if id in self.cluster.jobs:
+            self.class_demand[job.spec.job_class] = (share, demand.priority)
+        if job_id in self.cluster.jobs:
             self.cluster.standings_outdated = self.cluster.pass_wanted = True
--- a/umberward/scheduling/gang_reservation.py
+++ b/umberward/scheduling/gang_reservation.py
@@ -1,12 +1,12 @@
-"""Room that is gathered for a gang which has waited long. No I/O.
+"""Room that is gathered for a gang which has waited for long. No I/O.
 
 A gang of several machines starts when so many are free at once, in one zone if it asks for that. A
 stream of smaller gangs would take each machine as it gets free, and the large one would wait for as
 long as they come. So for a gang that has waited for a part of the four minutes within which all
-should begin, the machines that get free in one zone are held back until they are enough: from other
-work that it could not stop, unless that is over before the last machine is expected. Work that it
-may stop uses them meanwhile. In each zone one gang gathers at a time, the one that waits longest,
-so that two never hold half of what each of them needs.
+should begin, the machines that get free in one zone are held back until they are enough: from work
+that it could not preempt, unless that is over before the last machine is expected. Work that it may
+preempt uses them meanwhile. In each zone room is gathered for one gang at a time, the one that
+waits longest, so that two never hold half of what each of them needs.
 """
 
 from __future__ import annotations
@@ -19,18 +19,19 @@
 from umberward.core.types import ImageName, Instant, JobId, MachineId, Resources, ZoneName
 from umberward.scheduling.cluster_state import ClusterState
 from umberward.scheduling.job_timing import START_WITHIN_S
-from umberward.scheduling.jobs import Job, PreemptionKey, may_preempt
+from umberward.scheduling.jobs import Job, Placement, may_preempt
 from umberward.scheduling.machines import Machine
 
 log = logger(__name__)
 
-RESERVE_AFTER_S = 0.35 * START_WITHIN_S  # from when on room is gathered
+RESERVE_AFTER_S = 0.35 * START_WITHIN_S  # from this wait on room is gathered
 ZONE_CHANGE_GAIN_S = 10.0  # it is gathered in another zone if that is so much sooner
+MIN_REMAINING_RUN_S = 1.0  # of a task that runs for longer than estimated
 ANY_ZONE = ZoneName("")
 
 
 class GangSlot(NamedTuple):
-    """When a machine has room for the gang, and for how many of its tasks."""
+    """When a machine has room for the gang, and for how many of its tasks; sorted in this order."""
 
     available_in_s: float
     image_missing: bool
@@ -38,17 +39,42 @@
     task_count: int
 
 
+class _ZoneChoice(NamedTuple):
+    """The machines of one zone that the gang would use."""
+
+    available_in_s: float  # until the last of them has room; less in the zone chosen before
+    zone: ZoneName
+    slots: list[GangSlot]
+
+
 class GangReservations:
+    """Selects a zone for each gang that has waited for long, and holds its free machines back."""
+
     def __init__(self, cluster: ClusterState) -> None:
+        """Start without any reservation."""
         self.cluster = cluster
-        # Machines that are held back, for whom, and until when the last of them is expected.
+        # By machine held back: for which gang, and until when its last machine is expected.
         self.reserved: dict[MachineId, tuple[Job, Instant]] = {}
         self.zone_of_job: dict[JobId, ZoneName] = {}
 
     def update(self, waiting: list[Job], free: Mapping[MachineId, Resources], now: Instant) -> None:
+        """Select the machines to hold back in this pass; `free`: the room on each machine."""
         self.reserved.clear()
+        taken: set[ZoneName] = set()
+        zone_of_job: dict[JobId, ZoneName] = {}
+        for job in self._gangs_to_reserve_for(waiting):
+            zone = self._reserve_zone(job, taken, free, now)
+            if zone is not None:
+                taken.add(zone)
+                zone_of_job[job.id] = zone
+                if job.id not in self.zone_of_job:
+                    log.info("gang_room_reserved", job=job.id, tasks=job.size, zone=zone)
+        self.zone_of_job = zone_of_job
+
+    def _gangs_to_reserve_for(self, waiting: list[Job]) -> list[Job]:
+        """Return the gangs that have waited for long and could start, the oldest first."""
         wall = self.cluster.wall()
-        long = [
+        gangs = [
             job
             for job in waiting
             if job.gang
@@ -57,36 +83,42 @@
             and not (job.placements or job.unlocated_tasks or job.faulty)
             and self.cluster.quota.tasks_within_limit(job.team, job.need) >= job.size
         ]
-        long.sort(key=lambda job: (job.ready_at, job.id))
-        taken: set[ZoneName] = set()
-        zones = {}
-        for job in long:
-            zone = self._reserve_zone(job, taken, free, now)
-            if zone is not None:
-                taken.add(zone)
-                zones[job.id] = zone
-                if job.id not in self.zone_of_job:
-                    log.info("gang_room_reserved", job=job.id, tasks=job.size, zone=zone)
-        self.zone_of_job = zones
+        gangs.sort(key=lambda job: (job.ready_at, job.id))
+        return gangs
 
     def denied_machines(self, job: Job) -> set[MachineId]:
-        """The machines that the job may not use, as they are held back for others."""
-        takes = math.inf if job.service else self.cluster.expected_duration(job)
+        """Return the machines that the job may not use, as they are held back for others."""
+        duration_s = math.inf if job.service else self.cluster.expected_duration(job)
         return {
-            id
-            for id, (owner, until) in self.reserved.items()
+            machine_id
+            for machine_id, (owner, until) in self.reserved.items()
             if owner is not job
             and not may_preempt(owner.preemption_key, job.preemption_key)
-            and self.cluster.now + takes > until
+            and self.cluster.now + duration_s > until
         }
 
-    # ---- parts ---------------------------------------------------------------------------
-
     def _reserve_zone(
         self, job: Job, taken: set[ZoneName], free: Mapping[MachineId, Resources], now: Instant
     ) -> ZoneName | None:
+        """Hold the free machines of the best zone back; None: no zone ever has room for the gang.
+
+        `taken`: the zones in which room is gathered for other gangs.
+        """
         if taken and (ANY_ZONE in taken or not job.spec.same_zone):
             return None
+        choice = self._choose_zone(job, self._slots_by_zone(job, taken, free, now))
+        if choice is None:
+            return None
+        until = Instant(now + choice.slots[-1].available_in_s)
+        for slot in choice.slots:
+            if slot.available_in_s <= 0:
+                self.reserved[slot.machine_id] = (job, until)
+        return choice.zone
+
+    def _slots_by_zone(
+        self, job: Job, taken: set[ZoneName], free: Mapping[MachineId, Resources], now: Instant
+    ) -> dict[ZoneName, list[GangSlot]]:
+        """Return the machines that get room for the job, all as one zone if it may span zones."""
         found: dict[ZoneName, list[GangSlot]] = {}
         for offer in self.cluster.suitable_offers(job):
             zone = offer.zone if job.spec.same_zone else ANY_ZONE
@@ -96,67 +128,70 @@
                 slot = self._gang_slot(job, machine, free[machine.id], now)
                 if slot is not None:
                     found.setdefault(zone, []).append(slot)
-        best: tuple[float, ZoneName, list[GangSlot]] | None = None
-        for zone, slots in sorted(found.items()):
+        return found
+
+    def _choose_zone(
+        self, job: Job, slots_by_zone: dict[ZoneName, list[GangSlot]]
+    ) -> _ZoneChoice | None:
+        """Return the zone that has room for all of the gang first."""
+        best: _ZoneChoice | None = None
+        for zone, slots in sorted(slots_by_zone.items()):
             slots.sort()
             chosen: list[GangSlot] = []
-            left = job.size
-            while left > 0 and len(chosen) < len(slots):
+            missing_tasks = job.size
+            while missing_tasks > 0 and len(chosen) < len(slots):
                 chosen.append(slots[len(chosen)])
-                left -= chosen[-1].task_count
-            if left > 0:
+                missing_tasks -= chosen[-1].task_count
+            if missing_tasks > 0:
                 continue  # the zone never has room for it
-            eta = chosen[-1].available_in_s
+            available_in_s = chosen[-1].available_in_s
             if self.zone_of_job.get(job.id) == zone:
-                eta = max(0.0, eta - ZONE_CHANGE_GAIN_S)
-            if best is None or eta < best[0]:
-                best = (eta, zone, chosen)
-        if best is None:
-            return None
-        _, zone, chosen = best
-        until = Instant(now + chosen[-1].available_in_s)
-        for slot in chosen:
-            if slot.available_in_s <= 0:
-                self.reserved[slot.machine_id] = (job, until)
-        return zone
+                available_in_s = max(0.0, available_in_s - ZONE_CHANGE_GAIN_S)
+            if best is None or available_in_s < best.available_in_s:
+                best = _ZoneChoice(available_in_s, zone, chosen)
+        return best
 
     def _gang_slot(
         self, job: Job, machine: Machine, room: Resources, now: Instant
     ) -> GangSlot | None:
-        """None: it never has room for a task of the job while what runs there goes on."""
+        """Return when the machine has room; None: never while what runs there goes on."""
         key = job.preemption_key
-        for other, amount in machine.preemptable_by_key().items():
+        for other, load in machine.preemptable_by_key().items():
             if may_preempt(key, other):
-                room = room.plus(amount)
-        fits = job.need.count_within(room)
-        eta = 0.0
-        if not fits:
-            eta = self._available_in_s(job, machine, key, room, now)
-            if eta == math.inf:
+                room = room.plus(load)
+        task_count = job.need.count_within(room)
+        available_in_s = 0.0
+        if not task_count:
+            available_in_s = self._available_in_s(job, machine, room, now)
+            if available_in_s == math.inf:
                 return None
-            fits = 1
-        away = ImageName(job.spec.image) not in machine.images
-        return GangSlot(eta, away, machine.id, fits)
-
-    def _available_in_s(
-        self, job: Job, machine: Machine, key: PreemptionKey, room: Resources, now: Instant
-    ) -> float:
-        """In how many seconds enough of what it may not stop has ended."""
-        lasting = []
+            task_count = 1
+        image_missing = ImageName(job.spec.image) not in machine.images
+        return GangSlot(available_in_s, image_missing, machine.id, task_count)
+
+    def _available_in_s(self, job: Job, machine: Machine, room: Resources, now: Instant) -> float:
+        """Return the seconds until enough has ended of what the job may not preempt."""
+        key = job.preemption_key
+        ending = []
         for placement in machine.placements.values():
             if placement.stop_grace is None and may_preempt(key, placement.preemption_key):
                 continue
-            owner = self.cluster.jobs.get(placement.task.job)
-            left = 0.0
-            if owner is not None and placement.stop_grace is None:
-                if owner.service:
-                    continue
-                ran = 0.0 if placement.running_since is None else now - placement.running_since
-                left = max(1.0, self.cluster.estimate(owner) - ran)
-            lasting.append((left, placement.need))
-        lasting.sort()
-        for left, need in lasting:
+            remaining_s = self._remaining_s(placement, now)
+            if remaining_s < math.inf:
+                ending.append((remaining_s, placement.need))
+        ending.sort()
+        for remaining_s, need in ending:
             room = room.plus(need)
             if job.need.fits(room):
-                return left
+                return remaining_s
         return math.inf
+
+    def _remaining_s(self, placement: Placement, now: Instant) -> float:
+        """Return the expected seconds to the task's end; a replica never ends."""
+        owner = self.cluster.jobs.get(placement.task.job)
+        if owner is None or placement.stop_grace is not None:
+            return 0.0
+        if owner.service:
+            return math.inf
+        ran_s = 0.0 if placement.running_since is None else now - placement.running_since
+        return max(MIN_REMAINING_RUN_S, self.cluster.estimate(owner) - ran_s)
--- a/umberward/scheduling/spot_policy.py
+++ b/umberward/scheduling/spot_policy.py
@@ -1,14 +1,16 @@
-"""Which work waits for cheap machines rather than using dear ones. No I/O.
+"""Which work waits for affordable machines, spot ones above all, rather than dear ones. No I/O.
 
 A machine with accelerators costs ten times as much for each core as one without, and several times
 as much when it is no spot machine. Two kinds of work never need that:
 
-- Work of the lowest rank, until it may miss a goal that it can still reach. It uses dear machines
-  where other work keeps them anyway: what accelerated work leaves over, and the reserve. Else it
-  would fill each that gets free, so that none is ever empty and returned, and have more rented.
-- Accelerated work that has a deadline and may use spot machines, as long as the cheap machines,
-  taking it in the order of service, will have started it by when it must start. It leaves the
-  reserve alone as well: what has to save first would hold up the work that the reserve is for.
+- Work of the lowest priority, until it may miss a goal that it can still reach. It uses dear
+  machines where other work keeps them anyway: what accelerated work leaves over, and the headroom.
+  Else it would fill each that gets free, so that none is ever empty and returned, and have more
+  requested.
+- Accelerated work that has a deadline and may use spot machines, as long as the affordable
+  machines, taking it in the order of service, will have started it by when it must start. It leaves
+  the headroom alone as well: what has to save a checkpoint first would hold up the work that the
+  headroom is for.
 
 Elsewhere the difference in price is small next to what a missed deadline costs its user.
 """
@@ -16,10 +18,19 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Iterable, Mapping
-from typing import Any, NamedTuple
-
-from umberward.core.types import NO_RESOURCES, JobId, MachineOffer, Resources, WallTime
+from collections import Counter
+from collections.abc import Hashable, Iterable, Mapping
+from typing import NamedTuple
+
+from umberward.core.types import (
+    NO_RESOURCES,
+    JobId,
+    MachineOffer,
+    MachineTypeName,
+    Resources,
+    WallTime,
+    ZoneName,
+)
 from umberward.protocol import wire
 from umberward.protocol.wire import MachineType
 from umberward.scheduling.cluster_state import ClusterState
@@ -27,116 +38,146 @@
 from umberward.scheduling.jobs import Job
 from umberward.scheduling.machines import Machine
 
-SPOT_PRICE_RATIO_MAX = (
-    1.5  # up to so many times the lowest price a machine is cheap for accelerated work
-)
-LOWEST_PRIORITY_PRICE_RATIO_MAX = (
-    2.0  # ... and to so many times the lowest price of ordinary ones, for the lowest rank
-)
-MIN_WAIT_FOR_AFFORDABLE_S = 0.25 * START_WITHIN_S  # so long work of the lowest rank waits, or ...
-WAIT_SHARE_OF_START_TIME = 0.3  # ... for this part of the time in which it should start
+# Up to so many times the lowest price a machine is affordable, for accelerated work ...
+SPOT_PRICE_RATIO_MAX = 1.5
+# ... and for work of the lowest priority, of the prices of machines that are no spot machines.
+LOWEST_PRIORITY_PRICE_RATIO_MAX = 2.0
+MIN_WAIT_FOR_AFFORDABLE_S = 0.25 * START_WITHIN_S  # so long work of the lowest priority waits, or
+WAIT_SHARE_OF_START_TIME = 0.3  # ... for this share of the time in which it should start, if longer
 MIN_TASK_S = 1.0
 LOWEST_PRIORITY = max(wire.PRIORITIES.values())
+GUARANTEED = 0  # first part of a guaranteed job's standing
 
 
 class AffordableMachines(NamedTuple):
-    """What is cheap for a kind of jobs: a task's price for an hour, and the machines there are."""
+    """What is affordable for a kind of jobs."""
 
-    max_task_price: float
-    offers: frozenset[MachineOffer]
+    max_task_price: float  # for an hour
+    offers: frozenset[MachineOffer]  # among those of which there is a machine
     may_use_leftovers: bool  # whether it may fill what accelerated work leaves over on others
 
-    def usable_room(self, machine: Machine, free: Resources, sku: MachineType) -> Resources:
-        """What the job may use of a machine's free room."""
+    def usable_room(
+        self, machine: Machine, free: Resources, machine_type: MachineType
+    ) -> Resources:
+        """Return what the job may use of a machine's free room."""
         if machine.offer in self.offers:
             return free
-        if not self.may_use_leftovers or free.accelerators >= sku.accelerators:
+        if not self.may_use_leftovers or free.accelerators >= machine_type.accelerators:
             return NO_RESOURCES
         # Each accelerator that is free keeps its part of the machine.
-        part = free.accelerators / sku.accelerators
-        return free.minus(Resources(part * sku.cores, 0.0, part * sku.mem_gb))
+        part = free.accelerators / machine_type.accelerators
+        return free.minus(Resources(part * machine_type.cores, 0.0, part * machine_type.mem_gb))
+
+
+class _JobKind(NamedTuple):
+    """Jobs of one kind have the same affordable machines."""
+
+    placement_class: Hashable
+    accelerated: bool
 
 
 def task_price(cluster: ClusterState, job: Job, offer: MachineOffer) -> float:
-    """Of one of the job's tasks for an hour on such a machine, were it full of them."""
-    sku = cluster.machine_types.get(offer.type)
-    if sku is None or not cluster.allowed(job, *offer):
+    """Return the price of one of the job's tasks for an hour on such a machine, full of them.
+
+    It is infinite if the job may not run there.
+    """
+    machine_type = cluster.machine_types.get(offer.type)
+    if machine_type is None or not cluster.allowed(job, *offer):
         return math.inf
-    each = job.need.count_within(sku.capacity)
-    whole = sku.spot_price if offer.spot else sku.hourly_price
-    return math.inf if whole is None or not each else whole / each
+    tasks_per_machine = job.need.count_within(machine_type.capacity)
+    price = machine_type.spot_price if offer.spot else machine_type.hourly_price
+    return math.inf if price is None or not tasks_per_machine else price / tasks_per_machine
 
 
 def jobs_limited_to_affordable(
-    cluster: ClusterState, waiting: Iterable[Job], machines: Mapping[MachineOffer, int]
+    cluster: ClusterState, waiting: Iterable[Job], machine_counts: Mapping[MachineOffer, int]
 ) -> dict[JobId, AffordableMachines]:
-    """The jobs that use cheap machines only, for now; `machines`: how many there are of each kind.
-    `waiting`: in the order of service."""
+    """Return the jobs that use affordable machines only, for now, and what these are.
+
+    `waiting` is in the order of service; `machine_counts` has the machines there are of each offer.
+    """
     found: dict[JobId, AffordableMachines] = {}
-    kinds: dict[Any, AffordableMachines] = {}
-    slots: dict[Any, int] = {}  # how many of a kind's tasks cheap machines take
-    ahead: dict[Any, int] = {}
+    by_kind: dict[_JobKind, AffordableMachines] = {}
+    slots: dict[_JobKind, int] = {}  # how many of a kind's tasks the affordable machines take
+    tasks_ahead: Counter[_JobKind] = Counter()
     wall = cluster.wall()
     for job in waiting:
-        if job.service or job.gang or job.prompt:
-            continue
-        accelerated = job.need.accelerators > 0
-        if not accelerated and (job.priority < LOWEST_PRIORITY or job.standing[0] == 0):
-            continue  # what is guaranteed to a team has not to be cheap
-        if not accelerated and _may_miss_goal(cluster, job, wall):
+        if not _may_wait(cluster, job, wall):
             continue
-        kind = (job.placement_class, accelerated)
-        if kind not in kinds:
-            kinds[kind] = _affordable_machines(cluster, job, accelerated)
-        if accelerated:
-            cheap = kinds[kind]
+        kind = _JobKind(job.placement_class, job.need.accelerators > 0)
+        affordable = by_kind.get(kind)
+        if affordable is None:
+            affordable = by_kind[kind] = _affordable_machines(
+                cluster, job, accelerated=kind.accelerated
+            )
+        if kind.accelerated:
             if kind not in slots:
-                slots[kind] = _slots(cluster, job, cheap, machines)
-            ahead[kind] = ahead.get(kind, 0) + job.startable_count()
-            left = cluster.service_order(job, wall) - wall
-            if ahead[kind] > slots[kind] * left / max(MIN_TASK_S, cluster.estimate(job)):
+                slots[kind] = _slots(cluster, job, affordable, machine_counts)
+            tasks_ahead[kind] += job.startable_count()
+            left_s = cluster.service_order(job, wall) - wall
+            task_s = max(MIN_TASK_S, cluster.estimate(job))
+            if tasks_ahead[kind] > slots[kind] * left_s / task_s:
                 continue
-        found[job.id] = kinds[kind]
+        found[job.id] = affordable
     return found
 
 
-def _may_miss_goal(cluster: ClusterState, job: Job, wall: float) -> bool:
-    """Whether it has waited so long for cheap machines that it may miss a goal that it can still
-    reach. What has missed all of them has no use for dear ones."""
-    waited = wall - job.ready_at
-    if waited > WAITING_PRIORITY_S and not (job.has_begun or job.placements):
+def _may_wait(cluster: ClusterState, job: Job, wall: WallTime) -> bool:
+    """Tell whether the job is of the two kinds of work that wait for affordable machines."""
+    if job.service or job.gang or job.prompt:
+        return False
+    if job.need.accelerators > 0:
+        return True
+    if job.priority < LOWEST_PRIORITY or job.standing[0] == GUARANTEED:
+        return False  # what is guaranteed to a team need not be cheap
+    return not _may_miss_goal(cluster, job, wall)
+
+
+def _may_miss_goal(cluster: ClusterState, job: Job, wall: WallTime) -> bool:
+    """Tell whether the job has waited so long that it may miss a goal it can still reach.
+
+    A job that has missed all of them has no use for dear machines.
+    """
+    waited_s = wall - job.ready_at
+    if waited_s > WAITING_PRIORITY_S and not (job.has_begun or job.placements):
         return True  # it should begin, if only with some of its tasks
-    longest = max(
+    max_wait_s = max(
         MIN_WAIT_FOR_AFFORDABLE_S, WAIT_SHARE_OF_START_TIME * (cluster.start_by(job) - job.ready_at)
     )
-    return waited > longest and cluster.can_reach(job, WallTime(wall))
+    return waited_s > max_wait_s and cluster.can_reach(job, wall)
 
 
-def _affordable_machines(cluster: ClusterState, job: Job, accelerated: bool) -> AffordableMachines:
-    """From the cloud's list, whether rented or not."""
+def _affordable_machines(
+    cluster: ClusterState, job: Job, *, accelerated: bool
+) -> AffordableMachines:
+    """Find the lowest price in the cloud's list, whether there is such a machine or not."""
     lowest = min(
         (
-            task_price(cluster, job, MachineOffer(type_, zone, spot))  # type: ignore[arg-type]
-            for type_, sku in cluster.machine_types.items()
-            for zone in sku.zones
+            task_price(cluster, job, MachineOffer(MachineTypeName(name), ZoneName(zone), spot))
+            for name, machine_type in cluster.machine_types.items()
+            for zone in machine_type.zones
             for spot in ((True, False) if accelerated else (False,))
         ),
         default=math.inf,
     )
-    bound = lowest * (SPOT_PRICE_RATIO_MAX if accelerated else LOWEST_PRIORITY_PRICE_RATIO_MAX)
+    ratio = SPOT_PRICE_RATIO_MAX if accelerated else LOWEST_PRIORITY_PRICE_RATIO_MAX
+    max_task_price = lowest * ratio
     offers = frozenset(
-        offer for offer in cluster.offers if task_price(cluster, job, offer) <= bound
+        offer for offer in cluster.offers if task_price(cluster, job, offer) <= max_task_price
     )
-    return AffordableMachines(bound, offers, not accelerated)
+    return AffordableMachines(max_task_price, offers, may_use_leftovers=not accelerated)
 
 
 def _slots(
-    cluster: ClusterState, job: Job, cheap: AffordableMachines, machines: Mapping[MachineOffer, int]
+    cluster: ClusterState,
+    job: Job,
+    affordable: AffordableMachines,
+    machine_counts: Mapping[MachineOffer, int],
 ) -> int:
-    many = 0
-    for offer, count in machines.items():
-        if task_price(cluster, job, offer) <= cheap.max_task_price:
-            sku = cluster.machine_types[offer.type]
-            whole = sku.capacity
-            many += count * job.need.count_within(whole)
-    return many
+    """Return how many of the job's tasks the affordable machines take at once."""
+    slots = 0
+    for offer, count in machine_counts.items():
+        if task_price(cluster, job, offer) <= affordable.max_task_price:
+            capacity = cluster.machine_types[offer.type].capacity
+            slots += count * job.need.count_within(capacity)
+    return slots
