--- a/umberward/scheduling/cluster_state.py
+++ b/umberward/scheduling/cluster_state.py
@@ -85,13 +85,22 @@
         self.quota = Quota(cluster.teams)
         self.wall = wall
         self.rng = rng
-        # Fencing tokens
+        self.invariants = Invariants()
+        self.loaded = False  # the jobs and machines of the previous term have been read
+        self.all_settled = False  # what each machine runs is known, or it runs nothing any more
+        self.pass_wanted = True  # something changed that may let a task start
+        self._init_term(fencing_token, now)
+        self._init_jobs()
+        self._init_machines(now)
+        self._init_counters()
+        self.outbox: list[DirectCommand | Probe] = []  # to be sent by the leader's loop
+
+    def _init_term(self, fencing_token: FencingToken, now: Instant) -> None:
+        """Set the fencing tokens, and the times of the leader's monotonic clock."""
         self.fencing_token = fencing_token  # the one in use; rises with a rotation
         self.term_token = fencing_token  # the one with which the term began
         self.higher_token_seen = FencingToken(0)  # a higher one that a worker has seen
         self.token_rotation = TokenRotation()
-        self.invariants = Invariants()
-        # Times of the leader's monotonic clock
         self.started = now
         self.now = now
         self.last_wake = now  # when the clock was last read
@@ -99,13 +108,6 @@
         # Every cancellation before this time is known: when the latest listing of the jobs that
         # was answered had been asked for. None: this term has read none yet.
         self.jobs_read_at: Instant | None = None
-        self.loaded = False  # the jobs and machines of the previous term have been read
-        self.all_settled = False  # what each machine runs is known, or it runs nothing any more
-        self.pass_wanted = True  # something changed that may let a task start
-        self._init_jobs()
-        self._init_machines(now)
-        self._init_counters()
-        self.outbox: list[DirectCommand | Probe] = []  # to be sent by the leader's loop
 
     def _init_jobs(self) -> None:
         """Set the fields that concern jobs."""
--- a/umberward/scheduling/consolidation.py
+++ b/umberward/scheduling/consolidation.py
@@ -14,6 +14,7 @@
 from umberward.core.log import logger
 from umberward.core.types import ImageName, Instant, MachineId, MachineTypeName, Resources
 from umberward.scheduling.cluster_state import ClusterState
+from umberward.scheduling.headroom import HIGHEST_PRIORITY
 from umberward.scheduling.jobs import Job, Placement
 from umberward.scheduling.machine_selection import Candidates, choose_machines
 from umberward.scheduling.machines import Machine, machines_with_room
@@ -28,7 +29,6 @@
 MOVE_DOWNTIME_S = 0.3  # how long a replica is away that moves to where its image is
 MOVE_DOWNTIME_SHARE_MAX = 0.0005  # of all replica time: a quarter of what operators allow
 MIN_REPLICAS_AWAY = 0.01  # lower bound of the replicas away on average, so that moves do happen
-REPLICA_PRIORITY = 0
 
 
 class _Move(NamedTuple):
@@ -91,7 +91,7 @@
             and m.id not in headroom_machines
             and MOVE_PRICE_RATIO_MAX * self.unit_price(m.type) > lowest
             and all(
-                placement.priority == REPLICA_PRIORITY and placement.need.accelerators <= 0
+                placement.priority == HIGHEST_PRIORITY and placement.need.accelerators <= 0
                 for placement in m.placements.values()
             )
         ]
--- a/umberward/scheduling/gang_preemption.py
+++ b/umberward/scheduling/gang_preemption.py
@@ -6,12 +6,12 @@
 
 from umberward.core.types import ImageName, MachineId, Resources, ZoneName
 from umberward.scheduling.cluster_state import ClusterState
+from umberward.scheduling.gang_reservation import ANY_ZONE
 from umberward.scheduling.jobs import Job, Placement
 from umberward.scheduling.machines import Machine
 from umberward.scheduling.preemptable_work import PreemptableWork
 from umberward.scheduling.room_reservation import RoomReservations
 
-ANY_ZONE = ZoneName("")
 STOP_S = 0.1  # how long a victim takes to stop, besides its checkpoint
 
 
--- a/umberward/scheduling/headroom.py
+++ b/umberward/scheduling/headroom.py
@@ -28,7 +28,7 @@
 
 PEAK_DECAY_S = 60.0  # time constant with which the peak falls towards the present need
 BRIEF_TASK_SHARE = 0.3  # of the time in which accelerated work should start: a brief task's length
-HIGHEST_PRIORITY = 0
+HIGHEST_PRIORITY = min(PRIORITIES.values())
 
 # How much a core of other work keeps accelerated work out, by how long it is likely to stay.
 REPLICA_WEIGHT = 20.0
@@ -142,7 +142,7 @@
                 continue
             zone_cores = cores_by_zone.get(offer.zone, 0.0)
             for machine in machines.values():
-                room = free[machine.id].plus(self.yielding_room(machine))
+                room = free[machine.id].plus(self.preemptable_room(machine))
                 if room.accelerators >= self.need.accelerators:
                     candidates.append(self._candidate(machine, room, zone_cores))
         candidates.sort()
@@ -191,7 +191,7 @@
         """Tell whether such work is stopped at once when prompt accelerated work comes."""
         return priority > self.lowest_priority
 
-    def yielding_room(self, machine: Machine) -> Resources:
+    def preemptable_room(self, machine: Machine) -> Resources:
         """Return the room that preempting such work on the machine would make."""
         room = NO_RESOURCES
         for (_, priority), load in machine.load_by_priority().items():
--- a/umberward/scheduling/service_order.py
+++ b/umberward/scheduling/service_order.py
@@ -21,9 +21,9 @@
 from umberward.scheduling.cluster_state import ClusterState
 from umberward.scheduling.deadline_triage import DeadlineTriage
 from umberward.scheduling.dependencies import WaitingJobs
+from umberward.scheduling.headroom import HIGHEST_PRIORITY
 from umberward.scheduling.jobs import Job
 
-HIGHEST_PRIORITY = 0
 GUARANTEED = 0  # first part of a standing: served before all other work
 NOT_GUARANTEED = 1
 
--- a/umberward/scheduling/simulated_machines.py
+++ b/umberward/scheduling/simulated_machines.py
@@ -63,7 +63,7 @@
         free = free_by_machine[machine.id]
         preemptable = NO_RESOURCES
         if for_accelerated[machine.offer]:
-            preemptable = headroom.yielding_room(machine)
+            preemptable = headroom.preemptable_room(machine)
         if least is not None and least.fits(free.plus(preemptable)):
             simulated.append(SimulatedMachine(machine.offer, free, preemptable))
     if scheduler.reachability.many_unreachable():
--- a/umberward/scheduling/spot_policy.py
+++ b/umberward/scheduling/spot_policy.py
@@ -37,6 +37,7 @@
 from umberward.scheduling.job_timing import START_WITHIN_S, WAITING_PRIORITY_S
 from umberward.scheduling.jobs import Job
 from umberward.scheduling.machines import Machine
+from umberward.scheduling.service_order import GUARANTEED
 
 # Up to so many times the lowest price a machine is affordable, for accelerated work ...
 SPOT_PRICE_RATIO_MAX = 1.5
@@ -46,7 +47,6 @@
 WAIT_SHARE_OF_START_TIME = 0.3  # ... for this share of the time in which it should start, if longer
 MIN_TASK_S = 1.0
 LOWEST_PRIORITY = max(wire.PRIORITIES.values())
-GUARANTEED = 0  # first part of a guaranteed job's standing
 
 
 class AffordableMachines(NamedTuple):
