--- a/umberward/scheduling/consolidation.py
+++ b/umberward/scheduling/consolidation.py
@@ -1,9 +1,9 @@
-"""Replicas leave dear machines on which nothing else runs, so that these can be returned. No I/O.
+"""Replicas leave expensive machines on which nothing else runs. No I/O.
 
-In a burst replicas take whatever room there is, and they never end by themselves: a machine that
-costs a hundred times as much as theirs would be kept for them. They are moved to where their room
-costs less than half, one at a time and so rarely that nobody misses them; if there is no such room,
-machines are requested for it (`ScaleOutPlan.request_for_consolidation`).
+These can be returned then. In a burst replicas take whatever room there is, and they never end by
+themselves: a machine that costs a hundred times as much as theirs would be kept for them. They are
+moved to where their room costs less than half, one at a time and so rarely that nobody misses them;
+if there is no such room, machines are requested for it (`ScaleOutPlan.request_for_consolidation`).
 """
 
 from __future__ import annotations
@@ -71,14 +71,14 @@
             return
         self.check_not_before = Instant(now + CONSOLIDATE_INTERVAL_S)
         self.replicas_without_room = []
-        sources = self._dear_machines(headroom_machines, usable)
+        sources = self._expensive_machines(headroom_machines, usable)
         if not sources:
             return
         move = self._find_move(sources, usable, now)
         if move is not None:
             self._carry_out(move, now)
 
-    def _dear_machines(
+    def _expensive_machines(
         self, headroom_machines: set[MachineId], usable: list[Machine]
     ) -> list[Machine]:
         """Return the machines that only replicas keep, those that waste the most first."""
--- a/umberward/scheduling/headroom.py
+++ b/umberward/scheduling/headroom.py
@@ -1,10 +1,10 @@
 """Headroom: the room that is kept open for accelerated work. No I/O.
 
-Accelerated machines are few, dear and slow to come, and their work needs nearly all of one. So as
-many of them as such work needed lately are kept open or run empty, for other work uses only what
-an accelerated task leaves over; and none is kept when no such work comes any more. Only work that
-should start soon after it comes counts (`Job.prompt`): what has a deadline and no objective for its
-start can wait for a machine, and uses the headroom meanwhile if it is of lower priority.
+Accelerated machines are few, expensive and slow to boot, and their work needs nearly all of one.
+So as many of them as such work needed lately are kept open or run empty, for other work uses only
+what an accelerated task leaves over; and none is kept when no such work comes any more. Only work
+that should start soon after it comes counts (`Job.prompt`): what has a deadline and no objective
+for its start can wait for a machine, and uses the headroom meanwhile if it is of lower priority.
 """
 
 from __future__ import annotations
@@ -205,8 +205,8 @@
         """Return those of `open_machines` of which the job may use only what headroom leaves.
 
         Work of lower priority may fill them, as it is preempted when they are needed; and, while no
-        accelerated work waits, tasks that are over long before such work must start. So dear and
-        scarce machines do not stand idle meanwhile. `task_s`: how long a task of the job is
+        accelerated work waits, tasks that are over long before such work must start. So scarce and
+        expensive machines do not stand idle meanwhile. `task_s`: how long a task of the job is
         expected to take; `start_within_s`: how soon accelerated work should start.
         """
         if job.need.accelerators > 0 or job.priority > self.lowest_priority:
--- a/umberward/scheduling/machine_selection.py
+++ b/umberward/scheduling/machine_selection.py
@@ -136,8 +136,8 @@
         return (image_missing, accelerators, -machine.allocated.cores)
     kept_open = float(machine.id in cluster.headroom_machines)
     if job.need.accelerators > 0:
-        # It fills one dear machine after the other, those first that are kept open anyway: what
-        # gets empty can be returned.
+        # It fills one expensive machine after the other, those first that are kept open anyway:
+        # what gets empty can be returned.
         return (
             not_spot,
             1.0 - kept_open,
--- a/umberward/scheduling/offer_selection.py
+++ b/umberward/scheduling/offer_selection.py
@@ -16,7 +16,7 @@
 from umberward.scheduling.spot_policy import AffordableMachines
 
 PRICE_RATIO_MAX = 3.0  # up to so many times the lowest price, machines are requested at once
-AFFORDABLE_WAIT_SHARE = 0.3  # ... and dearer ones after this share of the time to the start
+AFFORDABLE_WAIT_SHARE = 0.3  # ... and more expensive ones after this share of the time to the start
 SPOT_LOSS_RATIO = 1.25  # a spot machine may be taken at any time, and its work is done again
 
 NO_PAUSE = (Instant(0.0), 0.0)
--- a/umberward/scheduling/placement_pass.py
+++ b/umberward/scheduling/placement_pass.py
@@ -243,7 +243,7 @@
                     self._choose(search, kind, state.free, barred, state)
 
     def _usable_room(self, search: JobSearch, state: PassState) -> dict[MachineId, Resources]:
-        """Return the room by machine that the job may use; less where others are too dear."""
+        """Return the room by machine that the job may use; less where others are too expensive."""
         affordable = state.affordable.get(search.job.id)
         if affordable is None:
             return state.free
--- a/umberward/scheduling/scale_out.py
+++ b/umberward/scheduling/scale_out.py
@@ -178,7 +178,7 @@
         return None if best is None else best[1]
 
     def request_for_consolidation(self) -> None:
-        """Request machines for replicas that should leave a dear machine and have no room."""
+        """Request machines for replicas that should leave a expensive machine and have no room."""
         for job, max_unit_price in self.scheduler.consolidation.replicas_without_room:
             if self._has_cheaper_room(job, max_unit_price):
                 continue  # it is on its way
--- a/umberward/scheduling/spot_policy.py
+++ b/umberward/scheduling/spot_policy.py
@@ -1,9 +1,9 @@
-"""Which work waits for affordable machines, spot ones above all, rather than dear ones. No I/O.
+"""Which work waits for affordable machines, spot ones above all. No I/O.
 
 A machine with accelerators costs ten times as much for each core as one without, and several times
 as much when it is no spot machine. Two kinds of work never need that:
 
-- Work of the lowest priority, until it may miss a goal that it can still reach. It uses dear
+- Work of the lowest priority, until it may miss a goal that it can still reach. It uses expensive
   machines where other work keeps them anyway: what accelerated work leaves over, and the headroom.
   Else it would fill each that gets free, so that none is ever empty and returned, and have more
   requested.
@@ -136,7 +136,7 @@
 def _may_miss_goal(cluster: ClusterState, job: Job, wall: WallTime) -> bool:
     """Tell whether the job has waited so long that it may miss a goal it can still reach.
 
-    A job that has missed all of them has no use for dear machines.
+    A job that has missed all of them has no use for expensive machines.
     """
     waited_s = wall - job.ready_at
     if waited_s > WAITING_PRIORITY_S and not (job.has_begun or job.placements):
