--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -96,7 +96,7 @@
     assert scene.scheduler.invariants.violations == {invariant: 1}
     assert [fields["invariant"] for fields in said] == [invariant.value]
     assert said[0]["task"] == TASK and "machine" in said[0]
-    sent = [order for item in scene.scheduler.outbox for order in getattr(item, "orders", ())]
+    sent = [order for item in scene.scheduler.outbox for order in getattr(item, "commands", ())]
     assert all(order.verb != "start" for order in sent)
 
 
