--- a/umberward/scheduling/job_records.py
+++ b/umberward/scheduling/job_records.py
@@ -1,9 +1,8 @@
-"""Takes what is read from the state service's job records into the scheduler. No I/O."""
+"""Takes the job records that were read from the state service into the scheduler. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import Any
 
 from umberward.core.log import logger
 from umberward.core.types import Instant, JobId, Version
@@ -14,10 +13,15 @@
 
 log = logger(__name__)
 
+ENDED_BEFORE_DEPENDENTS = 0.0  # a time of day before any submission
+
 
 def apply_changes(scheduler: Scheduler, changes: Sequence[wire.KeyChange]) -> None:
-    """News of a watch. Ends come first: whether a job is done or cancelled decides what those
-    after it do, and its live record goes in the same transaction."""
+    """Apply the changes that a watch has returned.
+
+    Final records come first: whether a job was done or cancelled decides what becomes of its
+    dependents, and its live record is deleted in the same transaction.
+    """
     apply_final_records(scheduler, changes)
     for change in changes:
         if change.deleted_key is not None and change.deleted_key.startswith(LIVE_JOBS_PREFIX):
@@ -27,40 +31,54 @@
 
 
 def apply_final_records(scheduler: Scheduler, changes: Sequence[wire.KeyChange]) -> None:
+    """Apply the final records among the changes that a watch has returned."""
     for change in changes:
         if change.put_key is not None and change.put_key.startswith(FINAL_JOBS_PREFIX):
-            apply_final_record(
-                scheduler,
-                JobId(change.put_key[len(FINAL_JOBS_PREFIX) :]),
-                change.data,
-                scheduler.wall(),
-            )
+            job_id = JobId(change.put_key[len(FINAL_JOBS_PREFIX) :])
+            apply_final_record(scheduler, job_id, change.data, scheduler.wall())
+
 
+def apply_job_record(scheduler: Scheduler, key: str, data: object, version: int) -> None:
+    """Apply the live record that the state service has under `key`.
 
-def apply_job_record(scheduler: Scheduler, path: str, data: Any, stamp: int) -> None:
+    A record that cannot be decoded is logged and otherwise ignored.
+    """
     try:
-        scheduler.put_job(wire.convert(data, JobRecord), Version(stamp))
+        scheduler.put_job(wire.convert(data, JobRecord), Version(version))
     except wire.MalformedMessageError as error:
-        log.error("record_malformed", key=path, error=error)
+        log.error("record_malformed", key=key, error=error)  # noqa: TRY400 - no traceback
 
 
-def apply_unknown_job(scheduler: Scheduler, id: JobId, found: VersionedValue, now: Instant) -> None:
-    """A live job that was in nobody's memory."""
+def apply_unknown_job(
+    scheduler: Scheduler, job_id: JobId, found: VersionedValue, now: Instant
+) -> None:
+    """Apply the live record of a job that the scheduler did not know.
+
+    `now` is a reading of the leader's steady clock. No task of a job with a malformed record can
+    start; its user sees the job as pending and can cancel it.
+    """
     try:
         scheduler.adopt_unknown_job(wire.convert(found.data, JobRecord), found.version, now)
     except (wire.MalformedMessageError, ValueError) as error:
-        # Nothing can be started of it; its user is told that it waits, and may cancel it.
-        log.error("record_malformed", job=id, error=error)
+        log.error("record_malformed", job=job_id, error=error)  # noqa: TRY400 - no traceback
+
 
+def apply_final_record(
+    scheduler: Scheduler,
+    job_id: JobId,
+    data: object,
+    default_ended_at: float = ENDED_BEFORE_DEPENDENTS,
+) -> None:
+    """Apply the record of how a job has ended.
 
-def apply_final_record(scheduler: Scheduler, id: JobId, data: Any, otherwise: float = 0.0) -> None:
-    """`otherwise`: when the job ended if its record does not say so, as none waited for it when
-    it was written; 0: before those that wait for it were submitted."""
+    `default_ended_at` is the time of day of the end if the record has none, which means that no
+    job depended on this one when the record was written.
+    """
     try:
         final = wire.convert(data, FinalJobRecord)
         if final.remaining is not None:
-            scheduler.count_remaining(id, final.remaining)
+            scheduler.count_remaining(job_id, final.remaining)
     except (wire.MalformedMessageError, ValueError) as error:
-        log.error("record_malformed", job=id, error=error)
+        log.error("record_malformed", job=job_id, error=error)  # noqa: TRY400 - no traceback
         return
-    scheduler.apply_job_end(id, final, final.ended_at or otherwise)
+    scheduler.apply_job_end(job_id, final, final.ended_at or default_ended_at)
--- a/umberward/scheduling/state_transaction.py
+++ b/umberward/scheduling/state_transaction.py
@@ -11,7 +11,8 @@
 from umberward.core.types import Key, Version
 from umberward.protocol import transactions, wire
 from umberward.protocol.wire import BLOCKS_PREFIX, FINAL_JOBS_PREFIX
-from umberward.scheduling.jobs import Job, StoredProgressRecord
+from umberward.scheduling.jobs import Job
+from umberward.scheduling.task_progress import StoredProgressRecord
 
 MAX_COUNTED_BYTES = 48 * 1024  # below the 64 KiB that the service takes as one request
 FINAL_RECORD_CHANGES = 2  # the final record is put and the live record is deleted
