--- /dev/null
+++ b/umberward/protocol/cloud_messages.py
@@ -0,0 +1,81 @@
+"""Messages of the cloud's machine API (PROTOCOL, "Controller nodes -> cloud").
+
+The table of wire words is in `umberward.protocol.wire`.
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from umberward.core.types import Resources
+from umberward.protocol.job_spec import Name, NonNegative, Positive
+
+
+class MachineType(
+    msgspec.Struct,
+    rename={
+        "name": "sku",
+        "hourly_price": "hourly",
+        "zones": "yards",
+        "image_cache_gb": "local_gb",
+        "image_pull_gb_per_s": "fetch_gb_per_s",
+        "spot_price": "low_price",
+    },
+):
+    """A machine type of the cloud (PROTOCOL, "GET /flavors"); prices are per hour."""
+
+    name: Name
+    cores: NonNegative
+    mem_gb: NonNegative
+    hourly_price: NonNegative
+    boot_s: NonNegative
+    zones: list[Name]
+    accelerators: NonNegative = 0.0
+    image_cache_gb: NonNegative = 0.0
+    image_pull_gb_per_s: Positive = 1.0
+    spot_price: NonNegative | None = None
+
+    @property
+    def capacity(self) -> Resources:
+        """The resources of an empty machine."""
+        return Resources(self.cores, self.accelerators, self.mem_gb)
+
+
+class MachineTypeList(msgspec.Struct, rename={"machine_types": "flavors"}):
+    """The cloud's response to GET /flavors."""
+
+    machine_types: list[MachineType]
+
+
+class CloudMachine(
+    msgspec.Struct,
+    rename={
+        "machine_id": "uid",
+        "machine_type": "flavor",
+        "zone": "yard",
+        "spot": "reclaimable",
+        "age_s": "held_s",
+    },
+):
+    """A machine in the cloud's list (PROTOCOL, "GET /hosts"); `age_s` counts from its request."""
+
+    machine_id: Name
+    address: str = ""
+    machine_type: str = ""
+    zone: str = ""
+    spot: bool = False
+    phase: str = "running"
+    age_s: float = 0.0
+
+
+class CloudMachinePage(msgspec.Struct, rename={"machines": "hosts"}):
+    """The cloud's response to GET /hosts; `more`: there are machines behind the last one."""
+
+    machines: list[CloudMachine]
+    more: bool = False
+
+
+class ScaleOutResponse(msgspec.Struct, rename={"machine_ids": "hosts"}):
+    """The cloud's response to POST /hosts: the machines that were rented."""
+
+    machine_ids: list[Name]
--- /dev/null
+++ b/umberward/protocol/state_records.py
@@ -0,0 +1,132 @@
+"""The records that the controllers store in the state service, and the prefixes of their keys.
+
+| stored word | field |
+| --- | --- |
+| `at` | `submitted_at` (JobRecord), `ended_at` (FinalJobRecord) |
+| `marked` | `placed_below` |
+| `base`, `done` | `done_below`, `done_bitmap` (FinalJobRecord: `done` is `done_count`) |
+| `needs`, `ready` | `dependencies`, `ready_at` |
+| `owner` | `team` |
+| `because`, `remains` | `cancelled_by`, `remaining` |
+| `node`, `jobs` | `controller`, `job_hash_range` |
+| `hosts` | `machines` |
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from umberward.protocol.job_spec import JobSpec
+
+JOBS_PREFIX = "jobs/"
+LIVE_JOBS_PREFIX = "jobs/live/"
+FINAL_JOBS_PREFIX = "jobs/past/"
+BLOCKS_PREFIX = "blocks/"
+SNAPSHOT_PREFIX = "hints/"
+
+
+class JobRecord(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={
+        "submitted_at": "at",
+        "placed_below": "marked",
+        "done_below": "base",
+        "done_bitmap": "done",
+        "dependencies": "needs",
+        "ready_at": "ready",
+    },
+):
+    """An unfinished job, under `LIVE_JOBS_PREFIX` and its id.
+
+    `submitted_at`: the time of day of the submission, in seconds, by the clock of the controller
+    that accepted the job.
+    `placed_below`: tasks below this number may have been placed by some leader; this is the
+    placement intent, which is stored before any of them starts.
+    `done_below`: all tasks below this number are done, and `done_bitmap` has the committed
+    completions from there on, in hexadecimal digits, lowest bit first.
+    `dependencies`: the jobs that were not done when this one was accepted (`pack_dependencies`),
+    until its first placement intent; `ready_at`: when the last of them was done, from then on.
+    Both are unset for jobs that depend on none.
+    """
+
+    spec: JobSpec
+    submitted_at: float
+    placed_below: int = 0
+    done_below: int = 0
+    done_bitmap: str = "0"
+    dependencies: str = ""
+    ready_at: float | None = None
+
+
+class RemainingTasks(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={"team": "owner", "placed_below": "marked", "done_below": "base", "done_bitmap": "done"},
+):
+    """Tasks of a cancelled job that may still be on machines.
+
+    They are there until their workers execute the kill command, or until the leases of their
+    workers expire. `placed_below`, `done_below` and `done_bitmap` are as the JobRecord had them;
+    the other fields are what each task uses, and the team whose quota it counts for.
+    """
+
+    team: str
+    cores: float
+    mem_gb: float
+    placed_below: int
+    accelerators: float = 0.0
+    done_below: int = 0
+    done_bitmap: str = "0"
+
+
+class FinalJobRecord(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={
+        "done_count": "done",
+        "ended_at": "at",
+        "cancelled_by": "because",
+        "remaining": "remains",
+    },
+):
+    """How a job has ended, under `FINAL_JOBS_PREFIX` and its id.
+
+    `ended_at`: the time of day, in seconds, if other jobs depended on it. `cancelled_by`: the
+    cancelled dependency because of which the job can never run. `remaining`: only of a cancelled
+    job with a team that has a limit, if any of its tasks may have been placed.
+    """
+
+    phase: str
+    done_count: int = 0
+    ended_at: float | None = None
+    cancelled_by: str = ""
+    remaining: RemainingTasks | None = None
+
+
+class LeaderRecord(msgspec.Struct, rename={"controller": "node"}):
+    """The leader: its lease deletes this record. `nonce` tells runs of one controller apart."""
+
+    controller: str
+    nonce: str
+
+
+class BlockRecord(msgspec.Struct, rename={"machines": "hosts"}):
+    """The machines of one block, under `BLOCKS_PREFIX` and its number.
+
+    `machines`: id -> [address, machine type, zone, spot].
+    """
+
+    machines: dict[str, tuple[str, str, str, bool]]
+
+
+class ControllerRecord(msgspec.Struct, rename={"controller": "node", "job_hash_range": "jobs"}):
+    """What a controller is leader of; its fencing token is the revision of this record.
+
+    `term` counts the tokens of one leadership; `job_hash_range` is the range of job hashes.
+    """
+
+    controller: str
+    nonce: str
+    term: int
+    job_hash_range: tuple[int, int]
--- a/umberward/protocol/wire.py
+++ b/umberward/protocol/wire.py
@@ -1,97 +1,191 @@
-"""The names on the wire, in one place: messages as typed structures, and their codecs."""
+"""Messages on the wire as typed structures, and their codecs.
+
+The interfaces to users, workers, the cloud and the state service use words of their own (PROTOCOL).
+They are mapped to the fields of the structures in this package, and nowhere else:
+
+| wire word | field |
+| --- | --- |
+| `uid` | `job_id` (JobSpec), `machine_id` (CloudMachine) |
+| `jobclass`, `owner` | `job_class`, `team` |
+| `shape`, `rank` | `kind`, `priority` |
+| `shards` | `task_count` (JobSpec), `tasks` (heartbeats) |
+| `shard`, `try` | `task_id`, `attempt` |
+| `bundle`, `pull_gb` | `image`, `image_gb` |
+| `expect_s`, `due_s` | `expected_runtime_s`, `deadline_s` |
+| `same_place`, `apart` | `same_zone`, `spread` |
+| `yard`, `yards` | `zone`, `zones` |
+| `flavor`, `flavors`, `sku` | `machine_type`, `machine_types`, `MachineType.name` |
+| `reclaimable`, `reclaim_in_s` | `spot`, `preemption_notice_s` |
+| `snapshot_every_s`, `snapshot_cost_s` | `checkpoint_interval_s`, `checkpoint_cost_s` |
+| `stored`, `drain_s` | `checkpointed`, `grace_s` |
+| `waits_on` | `dependencies` |
+| `host` | `machine_id` (heartbeats) |
+| `hosts` | `machines`, `machine_ids` |
+| `tenure`, `serial`, `epoch` | `incarnation`, `sequence`, `fencing_token` |
+| `hourly`, `low_price` | `hourly_price`, `spot_price` |
+| `local_gb`, `fetch_gb_per_s` | `image_cache_gb`, `image_pull_gb_per_s` |
+| `held_s` | `age_s` |
+| `path`, `stamp`, `charter` | `key`, `version`, `lease_id` |
+| `generation`, `news` | `revision`, `changes` |
+| `write`, `delete` | `put_key`, `deleted_key` |
+
+Words that are values are in `umberward.protocol.words`, stored records in
+`umberward.protocol.state_records`. All names of the package's messages can be imported from here.
+"""
 
 from __future__ import annotations
 
+import math
 from collections.abc import Callable, Iterable
-from typing import Annotated, Any, TypeVar
+from typing import TypeVar
 
 import msgspec
 
 from umberward.core.types import (
     JOB_PREFIX,
-    MAX_TASKS,
     Attempt,
     JobId,
-    Resources,
     TaskId,
     parse_job_id,
     parse_task_id,
 )
-
-MAX_BODY_BYTES = 64 * 1024
-MAX_MACHINES_PER_REQUEST = 50
-MAX_DELETIONS_PER_REQUEST = 100
-MAX_MACHINES_PER_PAGE = 500
-
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
-Positive = Annotated[float, msgspec.Meta(gt=0, le=1e9)]
-NonNegative = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
-
-ARRAY, GANG, SERVICE = "batch", "ensemble", "service"
-PRIORITIES = {"production": 0, "urgent": 1, "normal": 2, "idle": 3}
-
-START, KILL, FORGET = "start", "kill", "forget"
-PULLING_IMAGE, WAITING_FOR_GANG, RUNNING, CHECKPOINTING, EXITED = (
-    "pulling",
-    "gathering",
-    "running",
-    "flushing",
-    "exited",
+from umberward.protocol.cloud_messages import (
+    CloudMachine,
+    CloudMachinePage,
+    MachineType,
+    MachineTypeList,
+    ScaleOutResponse,
+)
+from umberward.protocol.job_spec import JobSpec, Name, NonNegative, Positive
+from umberward.protocol.state_messages import (
+    CommitResponse,
+    KeyChange,
+    KeyValue,
+    KeyValuePage,
+    LeaseResponse,
+    WatchResponse,
+)
+from umberward.protocol.state_records import (
+    BLOCKS_PREFIX,
+    FINAL_JOBS_PREFIX,
+    JOBS_PREFIX,
+    LIVE_JOBS_PREFIX,
+    SNAPSHOT_PREFIX,
+    BlockRecord,
+    ControllerRecord,
+    FinalJobRecord,
+    JobRecord,
+    LeaderRecord,
+    RemainingTasks,
+)
+from umberward.protocol.words import (
+    MAX_BODY_BYTES,
+    MAX_DELETIONS_PER_REQUEST,
+    MAX_MACHINES_PER_PAGE,
+    MAX_MACHINES_PER_REQUEST,
+    PRIORITIES,
+    CommandVerb,
+    JobKind,
+    JobPhase,
+    MachinePhase,
+    TaskPhase,
 )
-PENDING, DONE, CANCELLED = "pending", "done", "cancelled"
-BOOTING, FAILED = "booting", "failed"
 
-
-class JobSpec(
-    msgspec.Struct,
-    omit_defaults=True,
-    rename={
-        "job_id": "uid",
-        "job_class": "jobclass",
-        "team": "owner",
-        "kind": "shape",
-        "priority": "rank",
-        "task_count": "shards",
-        "image": "bundle",
-        "image_gb": "pull_gb",
-        "expected_runtime_s": "expect_s",
-        "same_zone": "same_place",
-        "spread": "apart",
-        "spot": "reclaimable",
-        "checkpoint_interval_s": "snapshot_every_s",
-        "checkpoint_cost_s": "snapshot_cost_s",
-        "machine_types": "flavors",
-        "zone": "yard",
-        "deadline_s": "due_s",
-        "dependencies": "waits_on",
-    },
-):
-    """A job as its user submits it."""
-
-    job_id: Name
-    job_class: Name
-    team: Name
-    kind: str
-    priority: str
-    task_count: Annotated[int, msgspec.Meta(ge=1, le=MAX_TASKS)]
-    cores: NonNegative
-    accelerators: NonNegative
-    mem_gb: NonNegative
-    image: Name
-    image_gb: NonNegative
-    expected_runtime_s: NonNegative
-    same_zone: bool
-    spread: bool
-    spot: bool
-    checkpoint_interval_s: NonNegative
-    checkpoint_cost_s: NonNegative
-    machine_types: list[Name] | None = None
-    zone: Name | None = None
-    deadline_s: Positive | None = None
-    dependencies: list[Name] | None = None  # never in a record: see JobRecord.needs
+__all__ = [
+    "ARRAY",
+    "BLOCKS_PREFIX",
+    "BOOTING",
+    "CANCELLED",
+    "CHECKPOINTING",
+    "DONE",
+    "EXITED",
+    "FAILED",
+    "FINAL_JOBS_PREFIX",
+    "FORGET",
+    "GANG",
+    "JOBS_PREFIX",
+    "KILL",
+    "LIVE_JOBS_PREFIX",
+    "MAX_BODY_BYTES",
+    "MAX_DELETIONS_PER_REQUEST",
+    "MAX_MACHINES_PER_PAGE",
+    "MAX_MACHINES_PER_REQUEST",
+    "PENDING",
+    "PRIORITIES",
+    "PULLING_IMAGE",
+    "RUNNING",
+    "SERVICE",
+    "SNAPSHOT_PREFIX",
+    "START",
+    "WAITING_FOR_GANG",
+    "BlockRecord",
+    "CloudMachine",
+    "CloudMachinePage",
+    "CommandVerb",
+    "CommitResponse",
+    "ControllerRecord",
+    "FinalJobRecord",
+    "Heartbeat",
+    "HeartbeatHeader",
+    "JobKind",
+    "JobPhase",
+    "JobRecord",
+    "JobSpec",
+    "KeyChange",
+    "KeyValue",
+    "KeyValuePage",
+    "LeaderRecord",
+    "LeaseResponse",
+    "MachinePhase",
+    "MachineType",
+    "MachineTypeList",
+    "MalformedMessageError",
+    "Name",
+    "NonNegative",
+    "Positive",
+    "RemainingTasks",
+    "ScaleOutResponse",
+    "TaskCommand",
+    "TaskPhase",
+    "TaskStatus",
+    "WatchResponse",
+    "convert",
+    "decode_heartbeat",
+    "decode_heartbeat_header",
+    "decode_job_spec",
+    "decoder",
+    "encode",
+    "json_size",
+    "pack_dependencies",
+    "to_builtins",
+    "unpack_dependencies",
+]
+
+# The members by their short names, as plain strings: the fields of messages are strings, too.
+ARRAY: str = JobKind.ARRAY
+GANG: str = JobKind.GANG
+SERVICE: str = JobKind.SERVICE
+START: str = CommandVerb.START
+KILL: str = CommandVerb.KILL
+FORGET: str = CommandVerb.FORGET
+PULLING_IMAGE: str = TaskPhase.PULLING_IMAGE
+WAITING_FOR_GANG: str = TaskPhase.WAITING_FOR_GANG
+RUNNING: str = TaskPhase.RUNNING
+CHECKPOINTING: str = TaskPhase.CHECKPOINTING
+EXITED: str = TaskPhase.EXITED
+PENDING: str = JobPhase.PENDING
+DONE: str = JobPhase.DONE
+CANCELLED: str = JobPhase.CANCELLED
+BOOTING: str = MachinePhase.BOOTING
+FAILED: str = MachinePhase.FAILED
 
 
 class TaskStatus(msgspec.Struct, rename={"task_id": "shard", "checkpointed": "stored"}):
+    """An attempt of a task in a heartbeat (PROTOCOL, "POST /hello").
+
+    `cause`: why it has exited; `checkpointed`: whether its progress was saved when it was stopped.
+    """
+
     task_id: str
     attempt: int = msgspec.field(name="try")
     phase: str
@@ -105,8 +199,10 @@
     omit_defaults=True,
     rename={"task_id": "shard", "grace_s": "drain_s"},
 ):
-    """What a worker is told to do with one attempt of a task (PROTOCOL, "Workers -> controller
-    nodes"). `drain_s`: of a kill, the seconds that it may take to save."""
+    """A command for one attempt of a task (PROTOCOL, "Workers -> controller nodes").
+
+    `grace_s`: of a kill, the seconds that the task may take to save a checkpoint.
+    """
 
     verb: str
     task_id: str
@@ -115,7 +211,7 @@
 
     @property
     def started_attempt(self) -> tuple[TaskId, Attempt] | None:
-        """The attempt that it starts; None: it starts none."""
+        """The attempt that the command starts; None: it is another command."""
         task = parse_task_id(self.task_id) if self.verb == START else None
         return None if task is None else (task, Attempt(self.attempt))
 
@@ -134,6 +230,13 @@
         "preemption_notice_s": "reclaim_in_s",
     },
 ):
+    """What a worker reports (PROTOCOL, "POST /hello").
+
+    `incarnation` grows whenever the worker's lease expires, and `sequence` with each heartbeat:
+    the larger pair is the newer one. `fencing_token`: the highest one that the worker has seen.
+    `preemption_notice_s`: seconds until the cloud takes the machine away, None: no notice.
+    """
+
     machine_id: Name
     address: Name
     machine_type: Name
@@ -157,7 +260,7 @@
         "preemption_notice_s": "reclaim_in_s",
     },
 ):
-    """A report of which the tasks, by far the most of it, are not looked at yet."""
+    """A heartbeat with its task list, by far the largest part, not decoded yet."""
 
     machine_id: Name
     incarnation: int
@@ -167,278 +270,111 @@
     preemption_notice_s: float | None = None
 
 
-class MachineType(
-    msgspec.Struct,
-    rename={
-        "name": "sku",
-        "hourly_price": "hourly",
-        "zones": "yards",
-        "image_cache_gb": "local_gb",
-        "image_pull_gb_per_s": "fetch_gb_per_s",
-        "spot_price": "low_price",
-    },
-):
-    name: Name
-    cores: NonNegative
-    mem_gb: NonNegative
-    hourly_price: NonNegative
-    boot_s: NonNegative
-    zones: list[Name]
-    accelerators: NonNegative = 0.0
-    image_cache_gb: NonNegative = 0.0
-    image_pull_gb_per_s: Positive = 1.0
-    spot_price: NonNegative | None = None
-
-    @property
-    def capacity(self) -> Resources:
-        """All that an empty machine has."""
-        return Resources(self.cores, self.accelerators, self.mem_gb)
-
-
-class MachineTypeList(msgspec.Struct, rename={"machine_types": "flavors"}):
-    machine_types: list[MachineType]
-
-
-class CloudMachine(
-    msgspec.Struct,
-    rename={
-        "machine_id": "uid",
-        "machine_type": "flavor",
-        "zone": "yard",
-        "spot": "reclaimable",
-        "age_s": "held_s",
-    },
-):
-    machine_id: Name
-    address: str = ""
-    machine_type: str = ""
-    zone: str = ""
-    spot: bool = False
-    phase: str = "running"
-    age_s: float = 0.0
-
-
-class CloudMachinePage(msgspec.Struct, rename={"machines": "hosts"}):
-    machines: list[CloudMachine]
-    more: bool = False
-
-
-class ScaleOutResponse(msgspec.Struct, rename={"machine_ids": "hosts"}):
-    machine_ids: list[Name]
-
-
-class KeyValue(msgspec.Struct, rename={"key": "path", "version": "stamp", "lease_id": "charter"}):
-    key: str
-    data: Any
-    version: int
-    lease_id: int | None = None
-
-
-class KeyValuePage(msgspec.Struct, rename={"revision": "generation"}):
-    entries: list[KeyValue]
-    revision: int
-    more: bool = False
-
-
-class KeyChange(
-    msgspec.Struct, rename={"put_key": "write", "deleted_key": "delete", "version": "stamp"}
-):
-    put_key: str | None = None
-    deleted_key: str | None = None
-    data: Any = None
-    version: int = 0
-
-
-class WatchResponse(msgspec.Struct, rename={"revision": "generation", "changes": "news"}):
-    revision: int
-    changes: list[KeyChange]
-
-
-class CommitResponse(msgspec.Struct, rename={"revision": "generation"}):
-    revision: int
-
-
-class LeaseResponse(msgspec.Struct, rename={"lease_id": "charter"}):
-    lease_id: int
-
-
-# Where the records of the state service stand.
-JOBS_PREFIX = "jobs/"
-LIVE_JOBS_PREFIX = "jobs/live/"
-FINAL_JOBS_PREFIX = "jobs/past/"
-BLOCKS_PREFIX = "blocks/"
-SNAPSHOT_PREFIX = "hints/"
-
-
-class JobRecord(
-    msgspec.Struct,
-    omit_defaults=True,
-    rename={
-        "submitted_at": "at",
-        "placed_below": "marked",
-        "done_below": "base",
-        "done_bitmap": "done",
-        "dependencies": "needs",
-        "ready_at": "ready",
-    },
-):
-    """What the state service keeps of a job under way.
-
-    `marked`: tasks below this number may have been placed by some holder.
-    `base`: all tasks below this number are done, and `done` is a hexadecimal bitmap of the
-    committed completions from there on, lowest bit first.
-    `needs`: the jobs that were not done when this one was accepted, until its first mark;
-    `ready`: when the last of them was done, from then on. Empty for jobs that wait for none.
-    """
-
-    spec: JobSpec
-    submitted_at: float
-    placed_below: int = 0
-    done_below: int = 0
-    done_bitmap: str = "0"
-    dependencies: str = ""
-    ready_at: float | None = None
-
-
-class RemainingTasks(
-    msgspec.Struct,
-    omit_defaults=True,
-    rename={"team": "owner", "placed_below": "marked", "done_below": "base", "done_bitmap": "done"},
-):
-    """Tasks of a cancelled job that may be on machines until they are told, or their sessions end.
-
-    `marked`, `base` and `done` as its JobRecord had them; the rest is what each of them uses.
-    """
-
-    team: str
-    cores: float
-    mem_gb: float
-    placed_below: int
-    accelerators: float = 0.0
-    done_below: int = 0
-    done_bitmap: str = "0"
-
-
-class FinalJobRecord(
-    msgspec.Struct,
-    omit_defaults=True,
-    rename={
-        "done_count": "done",
-        "ended_at": "at",
-        "cancelled_by": "because",
-        "remaining": "remains",
-    },
-):
-    """`at`: when it ended, if others waited for it; `because`: the cancelled job before it;
-    `remains`: of a cancelled job whose team has a limit, if any of its tasks may have been placed.
-    """
-
-    phase: str
-    done_count: int = 0
-    ended_at: float | None = None
-    cancelled_by: str = ""
-    remaining: RemainingTasks | None = None
-
-
-class LeaderRecord(msgspec.Struct, rename={"controller": "node"}):
-    controller: str
-    nonce: str
-
-
-class BlockRecord(msgspec.Struct, rename={"machines": "hosts"}):
-    """The machines of one block: id -> [address, type, zone, spot]."""
-
-    machines: dict[str, tuple[str, str, str, bool]]
-
-
-class ControllerRecord(msgspec.Struct, rename={"controller": "node", "job_hash_range": "jobs"}):
-    """What a controller holds. Its fencing token is the revision of the grant."""
-
-    controller: str
-    nonce: str
-    term: int
-    job_hash_range: tuple[int, int]
-
+T = TypeVar("T")
 
 encode = msgspec.msgpack.Encoder().encode
 to_builtins = msgspec.to_builtins
 
 
 class MalformedMessageError(Exception):
-    """A body that is not what the protocol says."""
+    """A message or a stored value is not what the protocol or the record's type says."""
 
 
-T = TypeVar("T")
-
+def decoder(message_type: type[T]) -> Callable[[bytes], T]:
+    """A function that decodes a MessagePack body into `message_type`."""
+    return msgspec.msgpack.Decoder(message_type).decode
 
-def decoder(kind: type[T]) -> Callable[[bytes], T]:
-    """A function that decodes a MessagePack body into `kind`."""
-    return msgspec.msgpack.Decoder(kind).decode
 
-
-def convert(data: object, kind: type[T]) -> T:
-    """Decoded data as `kind`. Raises Malformed."""
+def convert(data: object, record_type: type[T]) -> T:
+    """Decoded data as `record_type`. Raises MalformedMessageError."""
     try:
-        return msgspec.convert(data, kind)
+        return msgspec.convert(data, record_type)
     except msgspec.ValidationError as error:
         raise MalformedMessageError(str(error)) from None
 
 
 _decode_job_spec = decoder(JobSpec)
 _decode_heartbeat = decoder(Heartbeat)
-_decode_header = decoder(HeartbeatHeader)
+_decode_heartbeat_header = decoder(HeartbeatHeader)
 
 
 def decode_job_spec(body: bytes) -> JobSpec:
-    """Raises Malformed, with the reason, for anything that must get a 400."""
-    try:
-        spec = _decode_job_spec(body)
-    except (msgspec.DecodeError, msgspec.ValidationError, RecursionError, ValueError) as error:
-        raise MalformedMessageError(str(error)) from None
+    """A submitted job, with all its fields checked.
+
+    Raises MalformedMessageError, with the reason for the user, if the response must be a 400.
+    """
+    spec = _decode_body(_decode_job_spec, body)
+    problem = _invalid_field(spec)
+    if problem is not None:
+        raise MalformedMessageError(problem)
+    return spec
+
+
+def _invalid_field(spec: JobSpec) -> str | None:
+    """What is wrong with a field beyond its type and bounds; None: nothing."""
     if spec.kind not in (ARRAY, GANG, SERVICE):
-        raise MalformedMessageError("shape: not one of batch, ensemble, service")
+        return "shape: not one of batch, ensemble, service"
     if spec.priority not in PRIORITIES:
-        raise MalformedMessageError("rank: not one of production, urgent, normal, idle")
+        return "rank: not one of production, urgent, normal, idle"
+    if _has_nan_amount(spec):
+        return "an amount is not a number"
+    if spec.deadline_s is not None and math.isnan(spec.deadline_s):
+        return "due_s: not a number"
+    return _impossible_requirement(spec)
+
+
+def _has_nan_amount(spec: JobSpec) -> bool:
     # The bounds of a field do not catch NaN: it compares false with everything.
-    amounts = (spec.cores, spec.accelerators, spec.mem_gb, spec.image_gb, spec.expected_runtime_s)
-    if any(
-        value != value for value in amounts + (spec.checkpoint_interval_s, spec.checkpoint_cost_s)
-    ):
-        raise MalformedMessageError("an amount is not a number")
-    if spec.deadline_s is not None and spec.deadline_s != spec.deadline_s:
-        raise MalformedMessageError("due_s: not a number")
+    amounts = (
+        spec.cores,
+        spec.accelerators,
+        spec.mem_gb,
+        spec.image_gb,
+        spec.expected_runtime_s,
+        spec.checkpoint_interval_s,
+        spec.checkpoint_cost_s,
+    )
+    return any(math.isnan(amount) for amount in amounts)
+
+
+def _impossible_requirement(spec: JobSpec) -> str | None:
     if spec.cores <= 0 or spec.mem_gb <= 0:
-        raise MalformedMessageError("cores and mem_gb must be above 0")
+        return "cores and mem_gb must be above 0"
     if spec.machine_types is not None and not spec.machine_types:
-        raise MalformedMessageError("flavors: an empty list allows nothing")
+        return "flavors: an empty list allows nothing"
     if any(parse_job_id(name) is None for name in spec.dependencies or ()):
-        raise MalformedMessageError("waits_on: not a list of job ids")
-    return spec
+        return "waits_on: not a list of job ids"
+    return None
 
 
 def decode_heartbeat(body: bytes) -> Heartbeat:
-    try:
-        return _decode_heartbeat(body)
-    except (msgspec.DecodeError, msgspec.ValidationError, RecursionError, ValueError) as error:
-        raise MalformedMessageError(str(error)) from None
+    """A worker's heartbeat. Raises MalformedMessageError."""
+    return _decode_body(_decode_heartbeat, body)
 
 
 def decode_heartbeat_header(body: bytes) -> HeartbeatHeader:
+    """A worker's heartbeat without its tasks. Raises MalformedMessageError."""
+    return _decode_body(_decode_heartbeat_header, body)
+
+
+def _decode_body(decode: Callable[[bytes], T], body: bytes) -> T:
     try:
-        return _decode_header(body)
+        return decode(body)
+    # A body that is nested too deeply, or text that is not UTF-8, gets errors of Python itself.
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError, ValueError) as error:
         raise MalformedMessageError(str(error)) from None
 
 
-def pack_dependencies(ids: Iterable[JobId]) -> str:
-    """As short as it goes: hundreds of ids must fit into one record."""
-    return " ".join(id.removeprefix(JOB_PREFIX) for id in ids)
+def pack_dependencies(job_ids: Iterable[JobId]) -> str:
+    """Job ids as one text without their common prefix: hundreds must fit into one record."""
+    return " ".join(job_id.removeprefix(JOB_PREFIX) for job_id in job_ids)
 
 
 def unpack_dependencies(text: str) -> list[JobId]:
+    """The job ids of a text that `pack_dependencies` has made."""
     return [JobId(JOB_PREFIX + digits) for digits in text.split()]
 
 
-def json_size(data: Any) -> int:
-    """Size in the form that the state service's limits count."""
+def json_size(data: object) -> int:
+    """Size in bytes as JSON, the form for which PROTOCOL states its limits."""
     return len(msgspec.json.encode(data))
--- /dev/null
+++ b/umberward/protocol/words.py
@@ -0,0 +1,67 @@
+"""The words that messages use for kinds, phases and commands, and the limits on their sizes.
+
+Each enumeration's values are the words on the wire; a member equals the plain string that a message
+has. The sections of PROTOCOL are named at each.
+"""
+
+from __future__ import annotations
+
+import enum
+
+# PROTOCOL, introduction and "Controller nodes -> cloud".
+MAX_BODY_BYTES = 64 * 1024
+MAX_MACHINES_PER_REQUEST = 50
+MAX_DELETIONS_PER_REQUEST = 100
+MAX_MACHINES_PER_PAGE = 500
+
+
+class JobKind(enum.StrEnum):
+    """How the tasks of a job belong together ("POST /v1/jobs", `shape`)."""
+
+    ARRAY = "batch"  # independent tasks, each of which runs to completion
+    GANG = "ensemble"  # all tasks run at the same time or none does
+    SERVICE = "service"  # replicas that run until the job is cancelled
+
+
+# Priorities of jobs ("POST /v1/jobs", `rank`); the smallest number is the most urgent.
+PRIORITIES = {"production": 0, "urgent": 1, "normal": 2, "idle": 3}
+
+
+class CommandVerb(enum.StrEnum):
+    """What a worker does with one attempt of a task ("Workers -> controller nodes")."""
+
+    START = "start"
+    KILL = "kill"
+    FORGET = "forget"
+
+
+class TaskPhase(enum.StrEnum):
+    """The state of an attempt of a task in a heartbeat ("POST /hello")."""
+
+    PULLING_IMAGE = "pulling"
+    WAITING_FOR_GANG = "gathering"
+    RUNNING = "running"
+    CHECKPOINTING = "flushing"
+    EXITED = "exited"
+
+
+class JobPhase(enum.StrEnum):
+    """The state of a job as its user sees it ("GET /v1/jobs/{id}").
+
+    A running job has the word of `TaskPhase.RUNNING`. `DONE` is also the cause with which a
+    completed task has exited.
+    """
+
+    PENDING = "pending"
+    DONE = "done"
+    CANCELLED = "cancelled"
+
+
+class MachinePhase(enum.StrEnum):
+    """The state of a machine in the cloud's list ("GET /hosts").
+
+    A running machine has the word of `TaskPhase.RUNNING`.
+    """
+
+    BOOTING = "booting"
+    FAILED = "failed"
