--- a/umberward/core/log.py
+++ b/umberward/core/log.py
@@ -1,7 +1,7 @@
-"""Structured logs: an event's name and its fields, as lines for people or as JSON.
+"""Structured logs: the name of an event and its fields, as lines for people or as JSON.
 
-Built on `structlog`, which adds 16 ms to a start of 250 ms, and 0.4 MB. What is below the level
-costs a call of 1 us and no line.
+Built on `structlog`, which adds 16 ms to a start of 250 ms, and 0.4 MB of memory. An event below
+the level costs a call of 1 us and writes no line.
 """
 
 from __future__ import annotations
@@ -14,33 +14,41 @@
 import msgspec
 import structlog
 
-# The levels of the platform, by its names.
+# The levels of the platform by their names on the command line.
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
-SIMPLE = (str, int, float, bool, type(None))
+JSON_TYPES = (str, int, float, bool, type(None))  # values that stay as they are in JSON
 
 
-def logger(name: str) -> Any:
+# structlog's loggers take their type from the configuration, so it has no name here.
+def logger(name: str) -> Any:  # noqa: ANN401
+    """The logger of a module; `name` is the module's."""
     return structlog.get_logger(name)
 
 
-def configure(level: str, form: str, keep: bool = True) -> None:
-    """To be called by the program, before anything is logged: it is kept from the first line on."""
+def configure(level: str, form: str, *, keep: bool = True) -> None:
+    """Set the level and the form of all log lines; the program calls it before it logs anything.
+
+    `level`: one of LEVELS; `form`: "json" or "lines". With `keep`, loggers keep the configuration
+    of their first line, which makes them faster; a later call does not change them.
+    """
     structlog.configure(
         processors=[
             structlog.stdlib.add_log_level,
             structlog.processors.format_exc_info,
-            _json if form == "json" else _line,
+            _render_json if form == "json" else _render_line,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
-        logger_factory=_Lines,
+        logger_factory=_LineWriter,
         cache_logger_on_first_use=keep,
     )
-    # What libraries log, the event loop's among them, comes in the same form and at the same level.
-    logging.basicConfig(handlers=[_Forward()], level=LEVELS[level], force=True)
+    # Libraries, such as the event loop, log in the same form and at the same level.
+    logging.basicConfig(handlers=[_LibraryHandler()], level=LEVELS[level], force=True)
+
 
+class _LibraryHandler(logging.Handler):
+    """Passes the records of the standard library's logging on to this log."""
 
-class _Forward(logging.Handler):
     def emit(self, record: logging.LogRecord) -> None:
         fields = {"text": record.getMessage()}
         if record.exc_info and record.exc_info[1] is not None:
@@ -48,35 +56,37 @@
         logger(record.name).log(record.levelno, "said_by_library", **fields)
 
 
-class _Lines:
-    """Writes finished lines to standard error; the service has no other place for them."""
+class _LineWriter:
+    """Writes finished lines to standard error, the only place that a controller logs to."""
 
     def __init__(self, name: str = "") -> None:
         self.name = name
 
     def msg(self, line: str) -> None:
+        """Write a line of any level: structlog calls the method with the level's name."""
         sys.stderr.write(line + "\n")
 
     debug = info = warning = error = critical = exception = log = msg
 
 
-def _line(logger: _Lines, _: str, event: MutableMapping[str, Any]) -> str:
+def _render_line(writer: _LineWriter, _: str, event: MutableMapping[str, Any]) -> str:
     level, name = event.pop("level").upper(), event.pop("event")
-    trace = event.pop("exception", None)
-    fields = "".join(f" {field}={_plain(value)}" for field, value in event.items())
-    return f"{level} {logger.name}: {name}{fields}" + (f"\n{trace}" if trace else "")
+    traceback = event.pop("exception", None)
+    fields = "".join(f" {field}={_quote_if_needed(value)}" for field, value in event.items())
+    line = f"{level} {writer.name}: {name}{fields}"
+    return line if not traceback else f"{line}\n{traceback}"
 
 
-def _plain(value: object) -> str:
+def _quote_if_needed(value: object) -> str:
     text = str(value)
     return repr(text) if not text or any(sign in text for sign in ' ="\n') else text
 
 
-def _json(logger: _Lines, _: str, event: MutableMapping[str, Any]) -> str:
-    fields = {"level": event.pop("level"), "logger": logger.name, "event": event.pop("event")}
+def _render_json(writer: _LineWriter, _: str, event: MutableMapping[str, Any]) -> str:
+    fields = {"level": event.pop("level"), "logger": writer.name, "event": event.pop("event")}
     for field, value in event.items():
-        fields[field] = value if isinstance(value, SIMPLE) else str(value)
+        fields[field] = value if isinstance(value, JSON_TYPES) else str(value)
     return msgspec.json.encode(fields).decode()
 
 
-configure("error", "lines", keep=False)  # a library says nothing else unless it is told to
+configure("error", "lines", keep=False)  # used as a library, it reports only errors by default
--- a/umberward/core/rate_limited_log.py
+++ b/umberward/core/rate_limited_log.py
@@ -1,18 +1,26 @@
-"""A log of bounded rate: repeated events are counted, and said with the next line of theirs."""
+"""A log of bounded rate: repeated events are counted, and reported with their next line."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Protocol
 
 LINES_PER_S = 20  # of one event
+WINDOW_S = 1.0
+
+
+class InfoLogger(Protocol):
+    """The part of a logger of `umberward.core.log` that is used here."""
+
+    def info(self, event: str, **fields: Any) -> Any:  # noqa: ANN401 - as structlog has it
+        """Write one line."""
 
 
 class _EventWindow:
-    """What was said of one event within the second that began at `began`."""
+    """The lines of one event within the window that began at `began`."""
 
-    __slots__ = ("began", "lines", "left_out")
+    __slots__ = ("began", "left_out", "lines")
 
     def __init__(self, began: float) -> None:
         self.began = began
@@ -21,9 +29,11 @@
 
 
 class RateLimitedLog:
+    """A logger that writes at most so many lines of each event a second."""
+
     def __init__(
         self,
-        log: Any,
+        log: InfoLogger,
         lines_per_s: int = LINES_PER_S,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
@@ -31,22 +41,24 @@
         self.log = log
         self.lines_per_s = lines_per_s
         self.clock = clock
-        self._seconds: dict[str, _EventWindow] = {}
+        self._windows: dict[str, _EventWindow] = {}
+
+    def info(self, event: str, **fields: Any) -> None:  # noqa: ANN401 - any value can be logged
+        """Write a line, unless too many of this event were written within the last second.
 
-    def info(self, event: str, **fields: Any) -> None:
-        """As the logger's own; `left_out` is how many lines of this event came before and were not
-        written."""
+        The field `left_out` of a line is how many lines of its event were dropped before it.
+        """
         now = self.clock()
-        second = self._seconds.get(event)
-        if second is None:
-            second = self._seconds[event] = _EventWindow(now)
-        if now - second.began >= 1.0:
-            second.began, second.lines = now, 0
-        if second.lines >= self.lines_per_s:
-            second.left_out += 1
+        window = self._windows.get(event)
+        if window is None:
+            window = self._windows[event] = _EventWindow(now)
+        if now - window.began >= WINDOW_S:
+            window.began, window.lines = now, 0
+        if window.lines >= self.lines_per_s:
+            window.left_out += 1
             return
-        second.lines += 1
-        if second.left_out:
-            fields["left_out"] = second.left_out
-            second.left_out = 0
+        window.lines += 1
+        if window.left_out:
+            fields["left_out"] = window.left_out
+            window.left_out = 0
         self.log.info(event, **fields)
--- a/umberward/core/settings.py
+++ b/umberward/core/settings.py
@@ -16,27 +16,35 @@
 Count = Annotated[int, msgspec.Meta(ge=1, lt=1 << 40)]
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 
-
-MIN_VALUE_KB = 2.0  # a job's description, its marks and some of its completions
+MIN_VALUE_KB = 2.0  # a job's spec, its placement intents and some of its completions
+MIN_TRANSACTION_CHANGES = 2  # a job's end puts its final record and deletes its live record
 
 
 class SettingsError(Exception):
-    """One line that names the field and says what is wrong with it."""
+    """The settings are invalid: one line that names the file, the field and the problem."""
+
+    def __init__(self, source: Path | str, problem: str) -> None:
+        """`source`: the file; `problem`: the field, if it is known, and what is wrong with it."""
+        super().__init__(f"{source}: {problem}")
 
 
 class PeerSettings(msgspec.Struct, frozen=True):
+    """Another controller: its name, its zone and the address for messages between controllers."""
+
     label: Text
     site: Text
     addr: Text
 
 
 class Endpoints(msgspec.Struct, frozen=True):
+    """The addresses of the cloud and of the state service, as HOST:PORT."""
+
     cloud: Text
     state: Text
 
 
 class TeamQuota(msgspec.Struct, frozen=True):
-    """A maximum of 0 means that none is set."""
+    """The guaranteed and the maximum resources of a team; a maximum of 0: there is none."""
 
     name: Text
     cpus: NotNegative = 0.0
@@ -46,6 +54,11 @@
 
 
 class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
+    """A service-level objective of the jobs of one class, or of all if `job_class` is not set.
+
+    `within_s` is in seconds, `share` a part of the jobs, `times` a multiple of their deadlines.
+    """
+
     kind: Text
     job_class: str | None = None
     within_s: NotNegative | None = None
@@ -54,6 +67,13 @@
 
 
 class WorkerTimes(msgspec.Struct, frozen=True):
+    """Times in seconds that hold for all workers (PROTOCOL, "Workers -> controller nodes").
+
+    `report_s`: the interval of heartbeats; `lease_s`: the lease of a worker; `gang_wait_s` and
+    `gang_peer_s`: how long the tasks of a gang wait for each other before and after their start;
+    `cancel_s`: within which the tasks of a cancelled job must have ended.
+    """
+
     report_s: Positive
     lease_s: Positive
     gang_wait_s: Positive
@@ -62,7 +82,7 @@
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """Limits that come into force at some moment; what is left out stays as it is."""
+    """Limits that may come into force at any moment; those that are not set stay the same."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -71,6 +91,12 @@
 
 
 class StateLimits(msgspec.Struct, frozen=True):
+    """Limits of the state service for all controllers together.
+
+    `rps` and `write_rps` are per second, `value_kb` is per value, and `txn_ops` is the number of
+    changes in one transaction. `next`: limits that may come into force at any moment.
+    """
+
     rps: Positive
     write_rps: Positive
     value_kb: Positive
@@ -78,29 +104,35 @@
     next: NextLimits | None = None
 
     def strictest(self) -> StateLimits:
-        """The smaller of each limit: what fits these is never refused."""
+        """The smaller one of each limit: a request within these is never refused."""
         if self.next is None:
             return self
-        least = {
+        smaller_limits = {
             name: min(getattr(self, name), value)
             for name in self.next.__struct_fields__
             if (value := getattr(self.next, name)) is not None
         }
-        return msgspec.structs.replace(self, **least)
+        return msgspec.structs.replace(self, **smaller_limits)
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
+    """The cloud's limit on requests per second, and by how many seconds its list lags."""
+
     rps: Positive
     list_lag_s: NotNegative
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
+    """What a controller may use of its machine: CPUs, memory and open sockets."""
+
     cpu: Positive
     memory_mb: Positive
     sockets: Count
 
 
 class ClusterSettings(msgspec.Struct, frozen=True):
+    """What holds for the whole cluster; `skew_ms` bounds the difference of clocks."""
+
     size: Count
     zones: Annotated[list[Text], msgspec.Meta(min_length=1)]
     teams: list[TeamQuota]
@@ -113,7 +145,7 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True):
-    """What the platform hands to each controller."""
+    """The platform's settings file for one controller; addresses are HOST:PORT."""
 
     label: Text
     site: Text
@@ -137,6 +169,8 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
+    """All settings of a controller, with the addresses parsed; `peers` by their labels."""
+
     platform: PlatformSettings
     operator: OperatorSettings
     listen: Address
@@ -147,22 +181,46 @@
 
 
 def load(path: Path, properties: Path | None = None) -> Settings:
+    """The settings of a controller: the platform's file and, if given, the operators' properties.
+
+    Raises SettingsError if a file cannot be read or has an invalid field.
+    """
     try:
         raw = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
-        raise SettingsError(f"{path}: {error.strerror or error}") from None
+        raise SettingsError(path, error.strerror or str(error)) from None
     except UnicodeDecodeError as error:
-        raise SettingsError(f"{path}: not UTF-8 text: {error.reason}") from None
+        raise SettingsError(path, f"not UTF-8 text: {error.reason}") from None
     except tomllib.TOMLDecodeError as error:
-        raise SettingsError(f"{path}: not TOML: {error}") from None
+        raise SettingsError(path, f"not TOML: {error}") from None
     return validate(raw, load_operator(properties), str(path))
 
 
 def validate(raw: dict[str, Any], operator: OperatorSettings, source: str = "settings") -> Settings:
+    """The settings of a decoded TOML file. `source` names the file in the SettingsError raised."""
     try:
         platform = msgspec.convert(raw, PlatformSettings)
     except msgspec.ValidationError as error:
-        raise SettingsError(f"{source}: {_plain(error)}") from None
+        raise SettingsError(source, _field_first(error)) from None
+    addresses = _parse_addresses(platform, source)
+    _check_worker_times(platform.cluster.workers, source)
+    _check_state_limits("cluster.state", platform.cluster.state, source)
+    if platform.cluster.state.next is not None:
+        _check_state_limits("cluster.state.next", platform.cluster.state.next, source)
+    _check_names(platform, source)
+    return Settings(
+        platform=platform,
+        operator=operator,
+        listen=addresses["listen"],
+        peer_bind=addresses["peer_bind"],
+        cloud=addresses["endpoints.cloud"],
+        state=addresses["endpoints.state"],
+        peers={peer.label: addresses[f"peers.{peer.label}"] for peer in platform.peers},
+    )
+
+
+def _parse_addresses(platform: PlatformSettings, source: str) -> dict[str, Address]:
+    """All addresses of the settings by the names of their fields."""
     addresses: dict[str, Address] = {}
     for field, text in [
         ("listen", platform.listen),
@@ -174,67 +232,65 @@
         try:
             addresses[field] = parse_address(text)
         except ValueError as error:
-            raise SettingsError(f"{source}: {field}: {error}") from None
-    workers = platform.cluster.workers
+            raise SettingsError(source, f"{field}: {error}") from None
+    return addresses
+
+
+def _check_worker_times(workers: WorkerTimes, source: str) -> None:
     if workers.cancel_s <= workers.lease_s:
-        raise SettingsError(f"{source}: cluster.workers.cancel_s: must be above lease_s")
-    for where, limits in (
-        ("cluster.state", platform.cluster.state),
-        ("cluster.state.next", platform.cluster.state.next),
-    ):
-        if limits is None:
-            continue
-        if limits.value_kb is not None and limits.value_kb < MIN_VALUE_KB:
-            raise SettingsError(
-                f"{source}: {where}.value_kb: {limits.value_kb:g} is too little for one record,"
-                f" at least {MIN_VALUE_KB:g} are needed"
-            )
-        if limits.txn_ops is not None and limits.txn_ops < 2:
-            raise SettingsError(f"{source}: {where}.txn_ops: a job's end needs 2 changes at once")
+        raise SettingsError(source, "cluster.workers.cancel_s: must be above lease_s")
+
+
+def _check_state_limits(section: str, limits: StateLimits | NextLimits, source: str) -> None:
+    if limits.value_kb is not None and limits.value_kb < MIN_VALUE_KB:
+        raise SettingsError(
+            source,
+            f"{section}.value_kb: {limits.value_kb:g} is too little for one record,"
+            f" at least {MIN_VALUE_KB:g} are needed",
+        )
+    if limits.txn_ops is not None and limits.txn_ops < MIN_TRANSACTION_CHANGES:
+        raise SettingsError(source, f"{section}.txn_ops: a job's end needs 2 changes at once")
+
+
+def _check_names(platform: PlatformSettings, source: str) -> None:
     if platform.label in [peer.label for peer in platform.peers]:
-        raise SettingsError(f"{source}: peers: {platform.label} is this controller itself")
-    names = [team.name for team in platform.cluster.teams]
-    for name in names:
-        if names.count(name) > 1:
-            raise SettingsError(f"{source}: cluster.teams: {name} stands there twice")
-    return Settings(
-        platform=platform,
-        operator=operator,
-        listen=addresses["listen"],
-        peer_bind=addresses["peer_bind"],
-        cloud=addresses["endpoints.cloud"],
-        state=addresses["endpoints.state"],
-        peers={peer.label: addresses[f"peers.{peer.label}"] for peer in platform.peers},
-    )
+        raise SettingsError(source, f"peers: {platform.label} is this controller itself")
+    team_names = [team.name for team in platform.cluster.teams]
+    for name in team_names:
+        if team_names.count(name) > 1:
+            raise SettingsError(source, f"cluster.teams: {name} stands there twice")
 
 
 def load_operator(path: Path | None) -> OperatorSettings:
+    """The operators' settings from a Java properties file; None: the defaults.
+
+    Raises SettingsError if the file cannot be read or has an unknown or invalid property.
+    """
     if path is None:
         return OperatorSettings()
     try:
-        text = path.read_text(encoding="utf-8")
-        found = javaproperties.loads(text)
+        properties = javaproperties.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
-        raise SettingsError(f"{path}: {error.strerror or error}") from None
+        raise SettingsError(path, error.strerror or str(error)) from None
     except ValueError as error:
-        raise SettingsError(f"{path}: not a properties file: {error}") from None
-    known = set(OperatorSettings.__struct_fields__)
+        raise SettingsError(path, f"not a properties file: {error}") from None
+    known_fields = set(OperatorSettings.__struct_fields__)
     fields = {}
-    for name, value in found.items():
+    for name, value in properties.items():
         field = name.replace(".", "_")
-        if field not in known:
-            raise SettingsError(f"{path}: {name}: no such property")
+        if field not in known_fields:
+            raise SettingsError(path, f"{name}: no such property")
         fields[field] = value
     try:
         return msgspec.convert(fields, OperatorSettings, strict=False)
     except msgspec.ValidationError as error:
-        raise SettingsError(f"{path}: {_plain(error).replace('_', '.')}") from None
+        raise SettingsError(path, _field_first(error).replace("_", ".")) from None
 
 
-def _plain(error: msgspec.ValidationError) -> str:
-    """Put the field's name first: 'cluster.state.rps: Expected `float`, got `str`'."""
+def _field_first(error: msgspec.ValidationError) -> str:
+    """The error with the field's name first: 'cluster.state.rps: Expected `float`, got `str`'."""
     text = str(error)
-    what, dash, where = text.partition(" - at `$")
-    if dash:
-        return f"{where.rstrip('`').lstrip('.')}: {what}"
+    problem, separator, field = text.partition(" - at `$")
+    if separator:
+        return f"{field.rstrip('`').lstrip('.')}: {problem}"
     return text
--- a/umberward/core/types.py
+++ b/umberward/core/types.py
@@ -1,4 +1,4 @@
-"""Ids, versions and times. Each is its own type so that they cannot be mixed up."""
+"""Ids, versions, times and resources, each as a type of its own so that none is mistaken."""
 
 from __future__ import annotations
 
@@ -18,56 +18,66 @@
 
 Version = NewType("Version", int)  # version of a key in the state service; 0: no such key
 Revision = NewType("Revision", int)  # counter of all changes in the state service
-FencingToken = NewType("FencingToken", int)  # fencing token
-Incarnation = NewType("Incarnation", int)  # session of a worker
-SequenceNumber = NewType("SequenceNumber", int)
-Attempt = NewType("Attempt", int)
+FencingToken = NewType("FencingToken", int)  # workers ignore commands with a lower one than seen
+Incarnation = NewType("Incarnation", int)  # of a worker: grows whenever its lease expires
+SequenceNumber = NewType("SequenceNumber", int)  # of a worker's heartbeats within an incarnation
+Attempt = NewType("Attempt", int)  # tells the starts of one task apart
 LeaseId = NewType("LeaseId", int)
 
 Seconds = NewType("Seconds", float)
-Instant = NewType("Instant", float)  # a reading of the steady clock
-WallTime = NewType("WallTime", float)  # a reading of the time of day
+Instant = NewType("Instant", float)  # a reading of the process's steady clock, in seconds
+WallTime = NewType("WallTime", float)  # a time of day, in seconds as time.time() has them
 
-MAX_TASKS = 100_000
+MAX_TASKS = 100_000  # of one job
+MAX_PORT = 65535
+PARSED_TASK_IDS = 32768  # that are remembered: each heartbeat names the same tasks again
 JOB_PREFIX = "req-"
 _JOB_ID = re.compile(JOB_PREFIX + r"[0-9]{1,18}\Z")
 
 
 class TaskId(NamedTuple):
+    """A task by its job and its number from 0; as text `req-000412/3`."""
+
     job: JobId
     number: int
 
     def __str__(self) -> str:
+        """The form in messages."""
         return f"{self.job}/{self.number}"
 
 
 class Address(NamedTuple):
+    """A TCP address; as text HOST:PORT."""
+
     host: str
     port: int
 
     def __str__(self) -> str:
+        """The form in settings and messages."""
         return f"{self.host}:{self.port}"
 
 
 def parse_job_id(text: object) -> JobId | None:
+    """`text` as a job id; None: no job can have it."""
     if isinstance(text, str) and _JOB_ID.match(text):
         return JobId(text)
     return None
 
 
-@lru_cache(32768)  # each report names the same tasks again
+@lru_cache(PARSED_TASK_IDS)
 def parse_task_id(text: str) -> TaskId | None:
-    job, slash, index = text.rpartition("/")
-    if not slash or not index.isdecimal():
+    """`text` as a task id; None: it has no number after its last slash."""
+    job_id, slash, number = text.rpartition("/")
+    if not slash or not number.isdecimal():
         return None
-    return TaskId(JobId(job), int(index))
+    return TaskId(JobId(job_id), int(number))
 
 
 def parse_address(text: str) -> Address:
-    """Raises ValueError for anything but HOST:PORT."""
+    """`text` as an address. Raises ValueError for anything but HOST:PORT."""
     host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise ValueError(f"expected HOST:PORT, got {text!r}")
+    if not colon or not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
+        raise ValueError(f"expected HOST:PORT, got {text!r}")  # noqa: TRY003 - its only place
     return Address(host, int(port))
 
 
@@ -75,13 +85,14 @@
 
 
 class Resources(NamedTuple):
-    """What a task takes, or a machine has."""
+    """What a task needs, or what a machine has."""
 
     cores: float
     accelerators: float
     mem_gb: float
 
     def plus(self, other: Resources, times: int = 1) -> Resources:
+        """The sum with `times` times the other resources."""
         cores, accelerators, mem_gb = other
         return _make_resources(
             (
@@ -92,13 +103,15 @@
         )
 
     def minus(self, other: Resources, times: int = 1) -> Resources:
+        """The difference to `times` times the other resources."""
         return self.plus(other, -times)
 
     def minimum(self, other: Resources) -> Resources:
-        """The smaller of each part."""
+        """The smaller one of each resource."""
         return Resources(*map(min, self, other))
 
     def fits(self, room: Resources) -> bool:
+        """Whether these resources fit into `room`, but for rounding errors."""
         return (
             self[0] <= room[0] + ROUNDING_TOLERANCE
             and self[1] <= room[1] + ROUNDING_TOLERANCE
@@ -107,14 +120,14 @@
 
     def count_within(self, room: Resources) -> int:
         """How many tasks of this size fit into `room`."""
-        most = MAX_TASKS
-        for need, free in zip(self, room, strict=True):
-            if need > 0:
-                most = min(most, int((free + ROUNDING_TOLERANCE) / need))
-        return max(most, 0)
+        count = MAX_TASKS
+        for needed, free in zip(self, room, strict=True):
+            if needed > 0:
+                count = min(count, int((free + ROUNDING_TOLERANCE) / needed))
+        return max(count, 0)
 
 
-# Of all that a placing pass makes there is most of these: this is their quickest way.
+# A scheduling pass creates more of these than of anything else, and this is the fastest way.
 _make_resources = partial(tuple.__new__, Resources)
 NO_RESOURCES = Resources(0.0, 0.0, 0.0)
 
@@ -128,7 +141,7 @@
 
 
 class ScaleOutRequest(NamedTuple):
-    """So many machines of one offer; the claim makes sure that they are rented once."""
+    """A request for machines of one offer; its id ensures that they are rented only once."""
 
     request_id: ScaleOutRequestId
     offer: MachineOffer
