--- a/umberward/clients/cloud_client.py
+++ b/umberward/clients/cloud_client.py
@@ -58,7 +58,7 @@
         return {MachineTypeName(machine_type.name): machine_type for machine_type in offered}
 
     async def scale_out(
-        self, rental: ScaleOutRequest, still: Callable[[], bool]
+        self, request: ScaleOutRequest, still: Callable[[], bool]
     ) -> list[MachineId]:
         """Rent machines; returns those that were rented, which may be fewer than requested.
 
@@ -66,11 +66,11 @@
         executed: the same request can then be repeated, and rents nothing twice.
         """
         body = {
-            "claim": rental.request_id,
-            "flavor": rental.offer.type,
-            "yard": rental.offer.zone,
-            "reclaimable": rental.offer.spot,
-            "how_many": rental.machine_count,
+            "claim": request.request_id,
+            "flavor": request.offer.type,
+            "yard": request.offer.zone,
+            "reclaimable": request.offer.spot,
+            "how_many": request.machine_count,
         }
         response = await self._send("POST", "/hosts", body, still)
         if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
--- a/umberward/clients/state_client.py
+++ b/umberward/clients/state_client.py
@@ -175,14 +175,14 @@
     async def list_page(
         self,
         prefix: str,
-        last: str = "",
-        most: int = LIST_PAGE_SIZE,
+        after_key: str = "",
+        max_entries: int = LIST_PAGE_SIZE,
         priority: Priority = URGENT,
     ) -> wire.KeyValuePage:
-        """At most `most` entries with keys under `prefix` and behind the key `last`."""
-        target = f"/kv?prefix={quote(prefix)}&most={most}"
-        if last:
-            target += f"&from={quote(last)}"
+        """At most `max_entries` entries with keys under `prefix` and behind `after_key`."""
+        target = f"/kv?prefix={quote(prefix)}&most={max_entries}"
+        if after_key:
+            target += f"&from={quote(after_key)}"
         response = await self._send(
             _Request("GET", target, timeout_s=LIST_TIMEOUT_S, priority=priority)
         )
--- a/umberward/protocol/wire.py
+++ b/umberward/protocol/wire.py
@@ -161,23 +161,24 @@
     "unpack_dependencies",
 ]
 
-# The members by their short names, as plain strings: the fields of messages are strings, too.
-ARRAY: str = JobKind.ARRAY
-GANG: str = JobKind.GANG
-SERVICE: str = JobKind.SERVICE
-START: str = CommandVerb.START
-KILL: str = CommandVerb.KILL
-FORGET: str = CommandVerb.FORGET
-PULLING_IMAGE: str = TaskPhase.PULLING_IMAGE
-WAITING_FOR_GANG: str = TaskPhase.WAITING_FOR_GANG
-RUNNING: str = TaskPhase.RUNNING
-CHECKPOINTING: str = TaskPhase.CHECKPOINTING
-EXITED: str = TaskPhase.EXITED
-PENDING: str = JobPhase.PENDING
-DONE: str = JobPhase.DONE
-CANCELLED: str = JobPhase.CANCELLED
-BOOTING: str = MachinePhase.BOOTING
-FAILED: str = MachinePhase.FAILED
+# The words by their short names, as plain strings: heartbeats compare and encode many of them, and
+# a member of an enumeration costs more at both.
+ARRAY = JobKind.ARRAY.value
+GANG = JobKind.GANG.value
+SERVICE = JobKind.SERVICE.value
+START = CommandVerb.START.value
+KILL = CommandVerb.KILL.value
+FORGET = CommandVerb.FORGET.value
+PULLING_IMAGE = TaskPhase.PULLING_IMAGE.value
+WAITING_FOR_GANG = TaskPhase.WAITING_FOR_GANG.value
+RUNNING = TaskPhase.RUNNING.value
+CHECKPOINTING = TaskPhase.CHECKPOINTING.value
+EXITED = TaskPhase.EXITED.value
+PENDING = JobPhase.PENDING.value
+DONE = JobPhase.DONE.value
+CANCELLED = JobPhase.CANCELLED.value
+BOOTING = MachinePhase.BOOTING.value
+FAILED = MachinePhase.FAILED.value
 
 
 class TaskStatus(msgspec.Struct, rename={"task_id": "shard", "checkpointed": "stored"}):
