--- a/tests/guards.py
+++ b/tests/guards.py
@@ -615,7 +615,7 @@
         known = self.finals.get(id) or self.live.get(id)
         if known is not None and self.clock() - self.read_at <= job_state_cache.MAX_STALENESS_S:
             return known
-        return await whole(self, id, urgent)
+        return await whole(self, id, urgent=urgent)
 
     patch.setattr(JobStateCache, "state", state)
 
--- a/umberward/control/job_state_cache.py
+++ b/umberward/control/job_state_cache.py
@@ -1,14 +1,14 @@
-"""Every controller's copy of the jobs' states, made fresh on demand for all who ask at once.
+"""A controller's copy of all job states, refreshed on demand for all requests that wait.
 
 A poll must see whatever any controller has told a user before. Reading the state service for each
-poll would cost requests in proportion to the jobs; so all polls that wait share one request, sent
-after they came, which brings the changes since the last one.
+poll would cost requests in proportion to the jobs. Therefore all polls that wait share one request,
+sent after they arrived, which reads the changes since the previous one.
 """
 
 from __future__ import annotations
 
 import time
-from collections import OrderedDict, deque
+from collections import OrderedDict
 from collections.abc import Callable
 from typing import NamedTuple
 
@@ -17,10 +17,13 @@
 
 from umberward.clients import state_client
 from umberward.clients.state_client import StateClient
+from umberward.control.absent_jobs import AbsentJobs
+from umberward.control.revision_history import RevisionHistory
+from umberward.control.stored_jobs import done_task_count, final_key, live_key
 from umberward.core.actor import Question
 from umberward.core.log import logger
 from umberward.core.settings import Settings
-from umberward.core.types import JobId, Key, Revision
+from umberward.core.types import JobId, Revision
 from umberward.protocol import wire
 from umberward.protocol.wire import (
     CANCELLED,
@@ -35,30 +38,30 @@
 
 log = logger(__name__)
 
-REQUEST_SHARE = 0.2  # of the state service's requests, for all controllers' copies together
+REQUEST_SHARE = 0.2  # of the state service's request rate, for the caches of all controllers
 MAX_ANSWER_S = 1.2  # users wait 2 s for the answer to a poll
-MAX_STALENESS_S = (
-    0.4  # what was read so long ago is read again: we stood still, or were kept waiting
-)
-# Polls that come meanwhile are answered together; their users wait 2 s. Submissions do not wait.
+# What was read longer ago is read again: the process was paused, or a request was delayed.
+MAX_STALENESS_S = 0.4
+# Polls that arrive meanwhile are answered together; their users wait 2 s. Submissions do not wait.
 BATCH_WINDOW_S = 0.15
-IDLE_REFRESH_S = (
-    10.0  # without polls a copy is brought up to date so often, as old changes are dropped
-)
-RECENT_LISTING_S = (
-    5.0  # a copy that was listed so lately lacks nothing that its changes do not tell
-)
-REVISION_NOTE_INTERVAL_S = 1.0  # how often the revision of a moment is remembered
-NEVER_SUBMITTED = object()  # nobody has submitted the job
+# A cache without polls is refreshed this often, because the state service drops old changes.
+IDLE_REFRESH_S = 10.0
+# The changes make up for all that a listing may have missed, unless it is older than this.
+RECENT_LISTING_S = 5.0
+NO_HOLD_S = 0.0  # the state service answers at once, also if nothing has changed
+STALE_ANSWER = "what was read is out of date"
 
 
 class LiveJobState(NamedTuple):
-    """What users may know of a job under way."""
+    """What users may know of a job that has not ended."""
 
-    placed_below: int
+    placed_below: int  # tasks with lower numbers have been placed
     done_count: int
     service: bool
-    has_dependencies: bool  # it was accepted to wait for others
+    has_dependencies: bool  # it was accepted to wait for other jobs
+
+
+JobState = LiveJobState | FinalJobRecord
 
 
 class RefreshRequested(NamedTuple):
@@ -66,252 +69,281 @@
 
 
 class JobStateCache:
-    """An actor: questions that wait are answered together."""
+    """An actor that answers all waiting requests after one refresh.
+
+    `live` and `finals` hold the states by job id. `read_at` is when the latest refresh was sent and
+    `listed_at` when all live jobs were last listed, both by `clock`.
+    """
 
     def __init__(
         self, settings: Settings, store: StateClient, clock: Callable[[], float] = time.monotonic
     ) -> None:
+        """Create an empty cache; `clock` is a steady clock, in seconds."""
         self.store = store
         self.clock = clock
         cluster = settings.platform.cluster
-        self.pause = cluster.size / (cluster.state.rps * REQUEST_SHARE)
+        self.refresh_pause_s = cluster.size / (cluster.state.rps * REQUEST_SHARE)
         self.live: dict[JobId, LiveJobState] = {}
-        self.graph = DependencyGraph(self.live.__contains__)
+        self.dependency_graph = DependencyGraph(self.live.__contains__)
         self.finals: OrderedDict[JobId, FinalJobRecord] = OrderedDict()
-        # Ids that nobody had submitted when they were looked up; a submission shows as a change.
-        # While the look-up is under way its own mark stands there, and nothing is known yet.
-        self.absent: OrderedDict[JobId, object] = OrderedDict()
         self.max_finals = settings.operator.poll_cache
-        self.watched_revision: Revision | None = None
-        self.listed_at = 0.0  # when all live jobs were last read
-        self.read_at = 0.0  # when the latest changes were asked for
-        # All that was committed after a moment has a higher revision than the one beside it.
-        self.revisions: deque[tuple[float, Revision]] = deque()
-        self.revision_history_s = LeaseBounds(cluster.workers).takeover_s + IDLE_REFRESH_S
+        self.absent = AbsentJobs(self.max_finals)
+        self.watched_revision: Revision | None = None  # None: the live jobs must be listed
+        self.listed_at = 0.0
+        self.read_at = 0.0
+        takeover_s = LeaseBounds(cluster.workers).takeover_s
+        self.revision_history = RevisionHistory(takeover_s + IDLE_REFRESH_S)
         self.mailbox: curio.Queue = curio.Queue()
         self.urgent_request = curio.Event()
 
-    async def state(self, id: JobId, urgent: bool = False) -> LiveJobState | FinalJobRecord | None:
-        """Raises state.Unavailable or state.Unknown. None: no controller has accepted it.
+    # ---- questions ---------------------------------------------------------------------
 
-        What is not urgent waits for others that come within GATHER_S.
+    async def state(self, job_id: JobId, *, urgent: bool = False) -> JobState | None:
+        """The job's state at the time of the call or later; None: no controller has accepted it.
+
+        A question that is not urgent waits up to BATCH_WINDOW_S for others. Raises
+        StateUnavailableError or UnknownOutcomeError if the state service can't be read in time.
         """
-        asked = self.clock()
+        asked_at = self.clock()
         while True:
-            final = self.finals.get(id)
+            final = self.finals.get(job_id)
             if final is not None:
                 return final
-            failed = await self._request_refresh(urgent)
-            if failed is not None:
-                raise failed
-            # A final state may have been told to its user while we waited: it comes first.
-            found = await self._lookup(id)
+            await self._request_refresh(urgent=urgent)
+            state = await self._lookup(job_id)
             now = self.clock()
-            if isinstance(found, FinalJobRecord) or now - self.read_at <= MAX_STALENESS_S:
-                return found
-            if now - asked > MAX_ANSWER_S:
-                raise state_client.StateUnavailableError("what was read is out of date")
+            if isinstance(state, FinalJobRecord) or now - self.read_at <= MAX_STALENESS_S:
+                return state
+            if now - asked_at > MAX_ANSWER_S:
+                raise state_client.StateUnavailableError(STALE_ANSWER)
+
+    async def states(self, job_ids: list[JobId]) -> dict[JobId, JobState | None]:
+        """The states of many jobs, after a single refresh.
+
+        Each job that was accepted before the call is found. A job that ends meanwhile may show
+        either state. Raises the same errors as `state`.
+        """
+        await self._request_refresh(urgent=True)
+        return {job_id: await self._lookup(job_id) for job_id in job_ids}
+
+    def dependencies_of(self, job_id: JobId) -> list[JobId]:
+        """The jobs that this one still waits for, by the latest refresh."""
+        return sorted(self.dependency_graph.dependencies.get(job_id, ()))
 
     def revision_before(self, moment: float) -> Revision | None:
-        """A revision below all that was committed after that moment, by our clock; None: we have
-        not read so long ago."""
-        found = [revision for at, revision in self.revisions if at <= moment]
-        return found[-1] if found else None
-
-    def dependencies_of(self, id: JobId) -> list[JobId]:
-        """What the job still waits for, as far as it was read."""
-        return sorted(self.graph.dependencies.get(id, ()))
-
-    async def states(self, ids: list[JobId]) -> dict[JobId, LiveJobState | FinalJobRecord | None]:
-        """The same for many jobs, with one reading of what has changed. Whatever was accepted
-        before the question is found; what ends meanwhile may show either way."""
-        failed = await self._request_refresh(urgent=True)
-        if failed is not None:
-            raise failed
-        return {id: await self._lookup(id) for id in ids}
-
-    async def _request_refresh(self, urgent: bool) -> Exception | None:
+        """A revision below all that was committed after `moment`, by this process's clock.
+
+        None if the cache was not read that long ago.
+        """
+        return self.revision_history.before(moment)
+
+    def keep_final(self, job_id: JobId, final: FinalJobRecord) -> None:
+        """Add the state of a job that has ended; it never changes, so it needs no refresh."""
+        self.live.pop(job_id, None)
+        self.absent.discard(job_id)
+        self.dependency_graph.note_ended(job_id, final.phase)
+        # The remaining tasks concern the leader only, and users never see them.
+        self.finals[job_id] = msgspec.structs.replace(final, remaining=None)
+        while len(self.finals) > self.max_finals:
+            self.finals.popitem(last=False)
+
+    async def _request_refresh(self, *, urgent: bool) -> None:
+        """Wait for a refresh that is sent after this call. Raises the error of one that fails."""
         question = Question(RefreshRequested())
         await self.mailbox.put(question)
         if urgent:
             await self.urgent_request.set()
-        failed: Exception | None = await question.wait()
-        return failed
-
-    async def _lookup(self, id: JobId) -> LiveJobState | FinalJobRecord | None:
-        # A final state may have been told to its user while we waited: it comes first.
-        found = self.finals.get(id) or self.live.get(id)
-        if found is None and self.absent.get(id) is not NEVER_SUBMITTED:
-            return await self._lookup_stored(id)
-        if isinstance(found, LiveJobState) and found.has_dependencies and not found.placed_below:
-            # A job before it may have been cancelled: then this one is, whatever its own record
-            # says as yet, and every controller must say the same.
-            for need in self.graph.unresolved(id):
-                final = self.finals.get(need)
-                if final is not None:
-                    self.graph.note_ended(need, final.phase)
-                elif await self._lookup_stored(need) is None:
-                    raise state_client.StateUnavailableError(
-                        f"what became of {need} is not known yet"
-                    )
-            cause = self.graph.cancelled_by.get(id)
-            if cause is not None:
-                return FinalJobRecord(CANCELLED, cancelled_by=cause)
-            return self.finals.get(id, found)
-        return found
-
-    async def _lookup_stored(self, id: JobId) -> LiveJobState | FinalJobRecord | None:
-        """What the state service has of a job that our copy does not know as live."""
-        # Noted before it is looked up: whatever is submitted meanwhile takes the note away.
-        mark = object()
-        self.absent[id] = mark
-        while len(self.absent) > self.max_finals:
-            self.absent.popitem(last=False)
+        failure: Exception | None = await question.wait()
+        if failure is not None:
+            raise failure
+
+    # ---- lookups -----------------------------------------------------------------------
+
+    async def _lookup(self, job_id: JobId) -> JobState | None:
+        """The job's state by the latest refresh, with further requests where that is not enough."""
+        # Its user may have been told of a final state during the refresh: that one comes first.
+        state = self.finals.get(job_id) or self.live.get(job_id)
+        if state is None:
+            if self.absent.is_absent(job_id):
+                return None
+            return await self._lookup_stored(job_id)
+        if isinstance(state, LiveJobState) and state.has_dependencies and not state.placed_below:
+            return await self._lookup_waiting(job_id, state)
+        return state
+
+    async def _lookup_waiting(self, job_id: JobId, state: LiveJobState) -> JobState:
+        """The state of a job that waits for others, any of which may have been cancelled.
+
+        Then this job is cancelled too, whatever its own record says as yet, and every controller
+        must give the same answer.
+        """
+        for dependency in self.dependency_graph.unresolved(job_id):
+            final = self.finals.get(dependency)
+            if final is not None:
+                self.dependency_graph.note_ended(dependency, final.phase)
+            elif await self._lookup_stored(dependency) is None:
+                reason = f"what became of {dependency} is not known yet"
+                raise state_client.StateUnavailableError(reason)
+        cause = self.dependency_graph.cancelled_by.get(job_id)
+        if cause is not None:
+            return FinalJobRecord(CANCELLED, cancelled_by=cause)
+        return self.finals.get(job_id, state)
+
+    async def _lookup_stored(self, job_id: JobId) -> JobState | None:
+        """The state in the state service of a job that is not live by the latest refresh."""
+        lookup = self.absent.begin(job_id)
         try:
-            past = await self.store.get(Key(FINAL_JOBS_PREFIX + id))
-            live = None
-            if past is None and self.clock() - self.listed_at > RECENT_LISTING_S:
-                live = await self.store.get(Key(LIVE_JOBS_PREFIX + id))
+            stored_final = await self.store.get(final_key(job_id))
+            stored_live = None
+            if stored_final is None and self.clock() - self.listed_at > RECENT_LISTING_S:
+                stored_live = await self.store.get(live_key(job_id))
         except BaseException:
-            self.absent.pop(id, None)
+            self.absent.discard(job_id)
             raise
-        if past is None and live is not None:
-            # It was accepted and our copy does not have it: its user must never be told otherwise.
-            log.warning("job_missing_from_cache", job=id)
-            self._apply_live(LIVE_JOBS_PREFIX + id, live.data)
-            return self.live[id]
-        if past is None:
-            # Only now: somebody else who asked meanwhile must not take the mark for an answer.
-            if self.absent.get(id) is mark:
-                self.absent[id] = NEVER_SUBMITTED
-            return None
-        record = self._parse_final(past.data, Key(FINAL_JOBS_PREFIX + id))
-        if record is None:
-            raise state_client.StateUnavailableError(f"what is stored of {id} can't be read")
-        self.keep_final(id, record)
-        return record
-
-    def _parse_final(self, data: object, key: str) -> FinalJobRecord | None:
-        """None: it says nothing that could be told to anybody."""
-        try:
-            return wire.convert(data, FinalJobRecord)  # type: ignore[no-any-return]
-        except wire.MalformedMessageError as error:
-            log.error("record_malformed", key=key, error=error)
-        phase = data.get("phase") if isinstance(data, dict) else None
-        return FinalJobRecord(phase) if phase in (wire.DONE, CANCELLED) else None
-
-    def keep_final(self, id: JobId, final: FinalJobRecord) -> None:
-        """Final states never change, so they need no refreshing."""
-        self.live.pop(id, None)
-        self.absent.pop(id, None)
-        self.graph.note_ended(id, final.phase)
-        self.finals[id] = msgspec.structs.replace(final, remaining=None)  # no matter of users
-        while len(self.finals) > self.max_finals:
-            self.finals.popitem(last=False)
+        if stored_final is not None:
+            return self._keep_stored_final(job_id, stored_final.data)
+        if stored_live is not None:
+            # It was accepted, though the cache lacks it: its user must not be told otherwise.
+            log.warning("job_missing_from_cache", job=job_id)
+            self._apply_live(live_key(job_id), stored_live.data)
+            return self.live[job_id]
+        # Only now: another question meanwhile must not take a lookup under way for an answer.
+        self.absent.confirm(job_id, lookup)
+        return None
+
+    def _keep_stored_final(self, job_id: JobId, data: object) -> FinalJobRecord:
+        """Add a stored final record. Raises StateUnavailableError if it can't be read."""
+        final = _decode_final(data, final_key(job_id))
+        if final is None:
+            reason = f"what is stored of {job_id} can't be read"
+            raise state_client.StateUnavailableError(reason)
+        self.keep_final(job_id, final)
+        return final
+
+    # ---- refresh -----------------------------------------------------------------------
 
     async def run(self) -> None:
+        """Refresh the cache for questions, or now and then without any, until cancelled."""
         while True:
-            asked: list[Question] = []
-            first = await curio.ignore_after(IDLE_REFRESH_S, self.mailbox.get)
-            if first is not None:
-                asked.append(first)
-            self.urgent_request.clear()
-            while not self.mailbox.empty():
-                asked.append(await self.mailbox.get())
-            failed: Exception | None = None
-            try:
-                await self._refresh()
-            except (
-                state_client.StateUnavailableError,
-                state_client.UnknownOutcomeError,
-                state_client.RevisionCompactedError,
-            ) as error:
-                log.debug("job_states_not_read", error=error)
-                failed = state_client.StateUnavailableError(str(error))
-            except curio.CancelledError:
-                raise
-            except Exception as error:
-                # Who asked must not wait for ever, and the next reading begins anew.
-                log.exception("job_states_not_read")
-                self.watched_revision = None
-                failed = state_client.StateUnavailableError(str(error))
-            for question in asked:
-                await question.reply(failed)
-            await curio.sleep(self.pause)
+            questions = await self._receive_questions()
+            failure = await self._try_refresh()
+            for question in questions:
+                await question.reply(failure)
+            await curio.sleep(self.refresh_pause_s)
             await curio.ignore_after(BATCH_WINDOW_S, self.urgent_request.wait)
 
+    async def _receive_questions(self) -> list[Question]:
+        """Wait for a question and return all that are there; none after IDLE_REFRESH_S."""
+        questions: list[Question] = []
+        first = await curio.ignore_after(IDLE_REFRESH_S, self.mailbox.get)
+        if first is not None:
+            questions.append(first)
+        self.urgent_request.clear()
+        while not self.mailbox.empty():
+            questions.append(await self.mailbox.get())
+        return questions
+
+    async def _try_refresh(self) -> state_client.StateUnavailableError | None:
+        """Refresh the cache; return the error for those who asked, or None if it succeeded."""
+        try:
+            await self._refresh()
+        except (
+            state_client.StateUnavailableError,
+            state_client.UnknownOutcomeError,
+            state_client.RevisionCompactedError,
+        ) as error:
+            log.debug("job_states_not_read", error=error)
+            return state_client.StateUnavailableError(str(error))
+        except curio.CancelledError:
+            raise
+        except Exception as error:
+            # Those who asked must not wait for ever, and the next refresh starts from a listing.
+            log.exception("job_states_not_read")
+            self.watched_revision = None
+            return state_client.StateUnavailableError(str(error))
+        return None
+
     async def _refresh(self) -> None:
-        sent = self.clock()
+        sent_at = self.clock()
         await self._read_changes()
-        self.read_at = sent
-        self._note_revision()
-
-    def _note_revision(self) -> None:
-        now = self.clock()
-        known = self.revisions
-        if self.watched_revision is not None and (
-            not known or now - known[-1][0] > REVISION_NOTE_INTERVAL_S
-        ):
-            known.append((now, self.watched_revision))
-            while len(known) > 1 and now - known[1][0] > self.revision_history_s:
-                known.popleft()
+        self.read_at = sent_at
+        if self.watched_revision is not None:
+            self.revision_history.record(self.watched_revision, self.clock())
 
     async def _read_changes(self) -> None:
+        """Apply the changes since the latest refresh; list all live jobs if that is impossible."""
         if self.watched_revision is not None:
             try:
-                changes, self.watched_revision = await self.store.watch(
-                    JOBS_PREFIX, self.watched_revision, 0.0, MAX_ANSWER_S
-                )
+                await self._apply_changes_after(self.watched_revision)
             except state_client.RevisionCompactedError:
                 self.watched_revision = None
             else:
-                for change in changes:
-                    self._apply_change(change)
                 return
         self.listed_at = self.clock()
-        entries, after = await self.store.list_all(LIVE_JOBS_PREFIX)
+        entries, listed_revision = await self.store.list_all(LIVE_JOBS_PREFIX)
         self.live.clear()
         self.absent.clear()
-        self.graph.clear()
+        self.dependency_graph.clear()
         for entry in entries:
             self._apply_live(entry.key, entry.data)
-        # The pages were read one after the other: what changed meanwhile comes with the next
-        # changes, and must be known before anybody is answered.
+        # The pages of a listing are read one after the other. What changed meanwhile is among the
+        # next changes, and must be known before any question is answered.
+        await self._apply_changes_after(listed_revision)
+
+    async def _apply_changes_after(self, revision: Revision) -> None:
         changes, self.watched_revision = await self.store.watch(
-            JOBS_PREFIX, after, 0.0, MAX_ANSWER_S
+            JOBS_PREFIX, revision, NO_HOLD_S, MAX_ANSWER_S
         )
         for change in changes:
             self._apply_change(change)
 
     def _apply_change(self, change: wire.KeyChange) -> None:
         if change.deleted_key is not None and change.deleted_key.startswith(LIVE_JOBS_PREFIX):
-            id = JobId(change.deleted_key[len(LIVE_JOBS_PREFIX) :])
-            self.live.pop(id, None)
-            self.graph.note_gone(id)
+            job_id = JobId(change.deleted_key[len(LIVE_JOBS_PREFIX) :])
+            self.live.pop(job_id, None)
+            self.dependency_graph.note_gone(job_id)
         elif change.put_key is not None and change.put_key.startswith(LIVE_JOBS_PREFIX):
             self._apply_live(change.put_key, change.data)
         elif change.put_key is not None and change.put_key.startswith(FINAL_JOBS_PREFIX):
-            final = self._parse_final(change.data, change.put_key)
+            final = _decode_final(change.data, change.put_key)
             if final is not None:
                 self.keep_final(JobId(change.put_key[len(FINAL_JOBS_PREFIX) :]), final)
 
-    def _apply_live(self, path: str, data: object) -> None:
-        id = JobId(path[len(LIVE_JOBS_PREFIX) :])
-        self.absent.pop(id, None)
-        self.graph.note_live(id)
+    def _apply_live(self, key: str, data: object) -> None:
+        """Add or update a live job, from its key and its record."""
+        job_id = JobId(key[len(LIVE_JOBS_PREFIX) :])
+        self.absent.discard(job_id)
+        self.dependency_graph.note_live(job_id)
         try:
             record = wire.convert(data, JobRecord)
-            done = record.done_below + int(record.done_bitmap, 16).bit_count()
-            needs = wire.unpack_dependencies(record.dependencies) if record.dependencies else []
+            done_count = done_task_count(record)
+            packed = record.dependencies
+            dependencies = wire.unpack_dependencies(packed) if packed else []
         except (wire.MalformedMessageError, ValueError) as error:
-            # It was accepted all the same, and its user is told so.
-            log.error("record_malformed", key=path, error=error)
-            self.live[id] = LiveJobState(0, 0, service=False, has_dependencies=False)
+            # The job was accepted all the same, and its user is told so.
+            _log_malformed_record(key, error)
+            self.live[job_id] = LiveJobState(0, 0, service=False, has_dependencies=False)
             return
-        self.live[id] = LiveJobState(
-            record.placed_below, done, record.spec.kind == wire.SERVICE, bool(needs)
+        is_service = record.spec.kind == wire.SERVICE
+        self.live[job_id] = LiveJobState(
+            record.placed_below, done_count, is_service, bool(dependencies)
         )
-        if needs:
-            self.graph.add(id, needs)
+        if dependencies:
+            self.dependency_graph.add(job_id, dependencies)
         else:
-            self.graph.note_started(id)
+            self.dependency_graph.note_started(job_id)
+
+
+def _decode_final(data: object, key: str) -> FinalJobRecord | None:
+    """The final record, or as much of it as can be read; None if that is not even its phase."""
+    try:
+        return wire.convert(data, FinalJobRecord)
+    except wire.MalformedMessageError as error:
+        _log_malformed_record(key, error)
+    phase = data.get("phase") if isinstance(data, dict) else None
+    return FinalJobRecord(phase) if phase in (wire.DONE, CANCELLED) else None
+
+
+def _log_malformed_record(key: str, error: Exception) -> None:
+    """Log a record that can't be read, without a traceback: the fault is in the record."""
+    log.error("record_malformed", key=key, error=error)
