--- a/tests/guards.py
+++ b/tests/guards.py
@@ -9,9 +9,9 @@
 import pytest
 
 from umberward.control import job_api, job_state_cache
+from umberward.control.cancellation_announcer import CancellationAnnouncer
 from umberward.control.job_api import JobApi
 from umberward.control.job_state_cache import JobStateCache
-from umberward.control.peer_link import PeerLink
 from umberward.core.types import JobId
 from umberward.graphs import live
 from umberward.graphs.live import DagJob, LiveGraph
@@ -645,7 +645,7 @@
 
 
 def tells_others(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(PeerLink, "announce", lambda *_: None)
+    patch.setattr(CancellationAnnouncer, "announce", lambda *_: None)
 
 
 GUARDS: dict[str, Patch] = {
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -12,9 +12,9 @@
 import pytest
 from world import FakeState, raw_settings
 
-from umberward.control import peer_link as peers_module
+from umberward.control import cancellation_announcer
 from umberward.control.controller import Controller
-from umberward.control.peer_link import PeerLink
+from umberward.control.peer_link import PeerCallbacks, PeerLink
 from umberward.core.settings import OperatorSettings, validate
 from umberward.core.types import Address, ControllerName, FencingToken, Instant, MachineId, Version
 from umberward.leader.leader_election import LeaderElection
@@ -53,15 +53,12 @@
         membership,
         Others(told),
         rng,
-        lambda: None,
-        _nothing,
-        _nothing,
-        _nothing,  # type: ignore[arg-type]
+        PeerCallbacks(lambda: None, _nothing, _nothing, _nothing),  # type: ignore[arg-type]
     )
 
 
 def _hear(told: dict[int, Any]) -> bool:
-    return curio.run(_peers(told).peers_receive_heartbeats)  # type: ignore[no-any-return]
+    return curio.run(_peers(told).contacts.peers_receive_heartbeats)  # type: ignore[no-any-return]
 
 
 HEARS = {"contact_age": 0.4, "heard_age": 0.3, "leader": None}
@@ -105,17 +102,17 @@
     told: dict[int, Any], seen: int, found: str | None
 ) -> None:
     peers = _peers(told)
-    peers.membership.leader = ControllerName("k11")
-    peers.membership.leader_version = Version(7)
+    peers.election.leader = ControllerName("k11")
+    peers.election.leader_version = Version(7)
 
     async def ask() -> None:
-        await peers._refresh_contacts()
+        await peers.contacts.refresh()
 
     curio.run(ask)
-    assert peers.leader_for(seen) == found
+    assert peers.contacts.leader_for(seen) == found
     # With the state service at hand, what we read there counts, also after a raised token.
-    peers.membership.renewed_at = Instant(time.monotonic())
-    assert peers.leader_for(50) == "k11"
+    peers.election.renewed_at = Instant(time.monotonic())
+    assert peers.contacts.leader_for(50) == "k11"
 
 
 def test_a_leader_gives_up_when_a_worker_has_seen_a_higher_token() -> None:
@@ -155,13 +152,15 @@
 ) -> None:
     heard: list[Any] = []
     said: list[str] = []
-    monkeypatch.setattr(peers_module.log, "warning", lambda event, **_: said.append(event))
+    monkeypatch.setattr(
+        cancellation_announcer.log, "warning", lambda event, **_: said.append(event)
+    )
     peers = _peers({})
 
     async def cancelled(ids: Any) -> None:
         heard.extend(ids)
 
-    peers.on_cancelled = cancelled
+    peers.cancellations.on_cancelled = cancelled
 
     async def play(sent: bytes) -> int:
         return (await peers.serve(Request("POST", "/peer/cancelled", "", sent))).status
@@ -249,7 +248,7 @@
         await curio.sleep(0.05)
         # The leader was not reached a moment ago: nobody is held up by that once more.
         assert (await hello(5.0)).status == 421
-        node.peers.forward_not_before = 0.0
+        node.peers.forwarder.retry_not_before = 0.0
         carried = await hello(5.0)
         assert (carried.status, carried.body) == (200, b"what the leader says")
         assert (await hello(0.0)).status == 200
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -10,7 +10,7 @@
 from world import SKUS, raw_settings
 
 from umberward.control.controller import Controller
-from umberward.control.peer_link import PeerContact
+from umberward.control.peer_contacts import PeerContact
 from umberward.core.settings import OperatorSettings, validate
 from umberward.core.types import Instant, JobId, MachineId
 from umberward.protocol.http import Request
@@ -86,9 +86,9 @@
     now = time.monotonic()
     node.election.renewed_at = Instant(now - silent_s)
     if silent_s > 1.0:
-        node.peers.contact_asked_since = now - silent_s
+        node.peers.contacts.asked_since = now - silent_s
     if told is not None:
-        node.peers.contacts["k1"] = PeerContact(now, told, 0.1, None)
+        node.peers.contacts.by_peer["k1"] = PeerContact(now, told, 0.1, None)
     assert _ask(node, "GET", "/ready") == ready
 
 
--- a/tests/test_stored_bytes.py
+++ b/tests/test_stored_bytes.py
@@ -15,7 +15,7 @@
 import msgspec
 import pytest
 
-from umberward.control.peer_link import CancelledJobs
+from umberward.control.peer_messages import CancelledJobs
 from umberward.graphs import records
 from umberward.leader import failover_snapshot
 from umberward.protocol import wire
--- a/umberward/control/controller.py
+++ b/umberward/control/controller.py
@@ -16,13 +16,13 @@
 from umberward.control.job_api import JobApi, JobApiHooks
 from umberward.control.job_state_cache import JobStateCache
 from umberward.control.machine_types import MachineTypeLoader
-from umberward.control.peer_link import PeerLink
+from umberward.control.peer_link import PeerCallbacks, PeerLink
+from umberward.control.peer_messages import DelegationRequest
 from umberward.control.readiness import Readiness
 from umberward.control.request_router import RequestRouter
 from umberward.core.log import logger
 from umberward.core.settings import Settings
 from umberward.core.types import (
-    ControllerName,
     FencingToken,
     Instant,
     JobId,
@@ -86,10 +86,12 @@
             self.election,
             self.client,
             self.rng,
-            self._take_snapshot,
-            self._delegate,
-            self._serve_forwarded_heartbeat,
-            self._cancel_jobs,
+            PeerCallbacks(
+                self._take_snapshot,
+                self._delegate,
+                self._serve_forwarded_heartbeat,
+                self._cancel_jobs,
+            ),
         )
         self.heartbeat_api = HeartbeatApi(
             self, self.election, self.peers, self._name_connection, clock
@@ -106,7 +108,7 @@
 
     def _create_router(self) -> RequestRouter:
         readiness = Readiness(
-            self.election, self.job_states, self.peers, self.machine_types, self.clock
+            self.election, self.job_states, self.peers.contacts, self.machine_types, self.clock
         )
         job_api = JobApi(
             self.settings,
@@ -114,7 +116,7 @@
             self.job_states,
             self.machine_types,
             _wall_clock,
-            JobApiHooks(readiness.is_state_reachable, self.peers.announce),
+            JobApiHooks(readiness.is_state_reachable, self.peers.cancellations.announce),
         )
         return RequestRouter(self.heartbeat_api, job_api, self._create_graph_api(), readiness)
 
@@ -136,8 +138,8 @@
             self.job_states.run,
             self.machine_type_loader.run,
             self.peers.run,
-            self.peers.request_delegations,
-            self.peers.announce_cancellations,
+            self.peers.delegation.run,
+            self.peers.cancellations.run,
         ]
         async with curio.TaskGroup() as group:
             for part in parts:
@@ -158,9 +160,9 @@
             fencing_token,
             self.rng,
             self.job_states.finals.get,
-            self.peers.peers_receive_heartbeats,
+            self.peers.contacts.peers_receive_heartbeats,
             self.job_states.revision_before,
-            self.peers.recent_snapshot(),
+            self.peers.snapshots.recent(),
         )
         self.leader_task = await curio.spawn(
             _restart_on_failure, self.leader_loop.serve, daemon=True
@@ -173,7 +175,7 @@
         log.info("leadership_lost")
         snapshot = self._take_snapshot()
         if snapshot is not None:
-            self.peers.keep_snapshot(snapshot)  # this controller may lead again
+            self.peers.snapshots.keep(snapshot)  # this controller may lead again
         task, self.leader_task, self.leader_loop = self.leader_task, None, None
         await task.cancel(blocking=False)
 
@@ -197,21 +199,16 @@
         assert self.leader_loop is not None
         return self.leader_loop.ask(HeartbeatReceived(header, body))
 
-    async def _delegate(
-        self,
-        delegate: ControllerName,
-        last_seen_serial: int,
-        unused: bool,  # noqa: FBT001 - a field of the message, not a mode
-    ) -> Delegation | None:
+    async def _delegate(self, request: DelegationRequest) -> Delegation | None:
         """The machines that a peer may answer in a partition; None if this controller can't say."""
         if self.leader_loop is None:
             return None
-        request = DelegationRequested(delegate, last_seen_serial, unused)
-        delegation: Delegation | None = await self.leader_loop.ask(request)
+        message = DelegationRequested(*request)
+        delegation: Delegation | None = await self.leader_loop.ask(message)
         return delegation
 
     async def _cancel_jobs(self, job_ids: list[JobId]) -> None:
-        """Tell the leader's event loop of jobs whose cancellation a peer has confirmed."""
+        """Pass jobs that a peer has confirmed as cancelled to the leader's event loop."""
         if self.leader_loop is not None:
             await self.leader_loop.tell(JobsCancelledByPeer(job_ids))
 
--- a/umberward/control/heartbeat_api.py
+++ b/umberward/control/heartbeat_api.py
@@ -87,16 +87,16 @@
             # to this controller.
             if request.origin is not None:
                 await self.name_connection(request.origin, header.machine_id)
-            self.peers.note_heartbeat()
+            self.peers.contacts.note_heartbeat()
         response = await self._answer_as_leader(header, request.body)
         if response is not None:
             return response
-        if self.local_leader.leader_loop is None and self.peers.may_answer_worker(
+        if self.local_leader.leader_loop is None and self.peers.delegation.may_answer_worker(
             header.machine_id, header.fencing_token
         ):
             # The leader and the state service are out of reach: the zone is partitioned, or worse.
             return _keep_session(header.fencing_token, [])
-        leader = self.peers.leader_for(header.fencing_token) if is_new else None
+        leader = self.peers.contacts.leader_for(header.fencing_token) if is_new else None
         if leader is None:
             return _no_leader()
         return await self._forward_or_redirect(machine_id, leader, request.body)
@@ -115,7 +115,7 @@
         """The leader's own answer for a worker that cannot reach it, else a redirect."""
         now = Instant(self.clock())
         if self.forwarding.should_forward(machine_id, leader, now):
-            response = await self.peers.forward_heartbeat(leader, body)
+            response = await self.peers.forwarder.forward(leader, body)
             if response is not None:
                 return response
             self.forwarding.forward_failed(machine_id, leader, now)
--- /dev/null
+++ b/umberward/control/heartbeat_forwarder.py
@@ -0,0 +1,51 @@
+"""Sends workers' heartbeats on to a leader that the workers can't reach themselves."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable, Mapping
+from http import HTTPStatus
+
+import curio
+
+from umberward.control.peer_messages import HEARTBEAT_PATH
+from umberward.core.log import logger
+from umberward.core.types import Address, ControllerName
+from umberward.protocol.http import Client, NoResponseError, RequestNotSentError, Response
+
+log = logger(__name__)
+
+FORWARD_TIMEOUT_S = 1.5  # the worker waits 4 s for the answer
+RETRY_PAUSE_S = 2.0  # none is forwarded this long after one that was not answered
+MAX_IN_FLIGHT = 16
+
+
+class HeartbeatForwarder:
+    """Limits how many heartbeats are on their way to the leader."""
+
+    def __init__(
+        self, addresses: Mapping[str, Address], client: Client, clock: Callable[[], float]
+    ) -> None:
+        """Create a forwarder to the peers at `addresses`; `clock` is steady, in seconds."""
+        self.addresses = addresses
+        self.client = client
+        self.clock = clock
+        self.slots = curio.Semaphore(MAX_IN_FLIGHT)
+        self.retry_not_before = -math.inf
+
+    async def forward(self, leader: ControllerName, body: bytes) -> Response | None:
+        """The leader's answer to a heartbeat; None if it was not reached or does not lead."""
+        address = self.addresses.get(leader)
+        # A leader that has failed must not delay all the workers that still turn to it.
+        if address is None or self.slots.locked() or self.clock() < self.retry_not_before:
+            return None
+        async with self.slots:
+            try:
+                response = await self.client.request(
+                    address, "POST", HEARTBEAT_PATH, body, FORWARD_TIMEOUT_S
+                )
+            except (RequestNotSentError, NoResponseError) as error:
+                log.debug("heartbeat_not_forwarded", error=error)
+                self.retry_not_before = self.clock() + RETRY_PAUSE_S
+                return None
+        return Response(200, response.body) if response.status == HTTPStatus.OK else None
--- a/umberward/control/job_admission.py
+++ b/umberward/control/job_admission.py
@@ -1,4 +1,4 @@
-"""Whether a submitted job can be accepted, as far as this can be told without any request."""
+"""Whether a submitted job can be accepted, as far as this can be judged without any request."""
 
 from __future__ import annotations
 
--- a/umberward/control/job_api.py
+++ b/umberward/control/job_api.py
@@ -63,8 +63,8 @@
     """How the job API is connected with other parts of the controller.
 
     `state_reachable`: whether the state service can be reached at all; if not, each request that
-    needs it is refused at once. `on_cancelled` is called with each job that a user is told is
-    cancelled.
+    needs it is refused at once. `on_cancelled` is called with each job whose cancellation is
+    confirmed to a user.
     """
 
     state_reachable: Callable[[], bool] = lambda: True
@@ -167,7 +167,7 @@
                 if known is not None:
                     return known
             except state_client.RateBudgetError:
-                raise  # its wait is told to the user
+                raise  # the response names its wait
             except state_client.StateUnavailableError:
                 if attempt == MAX_SUBMIT_ATTEMPTS:
                     raise
@@ -246,7 +246,7 @@
         return final_response(job_id, final)
 
     def _report_cancellation(self, job_id: JobId) -> None:
-        """Report that the user is told of a cancellation, also of one that was only read."""
+        """Report a cancellation that is confirmed to the user, also one that was only read."""
         final = self.job_states.finals.get(job_id)
         if final is not None and final.phase == CANCELLED:
             log.info("cancelled_by_user", job=job_id)
--- a/umberward/control/job_state_cache.py
+++ b/umberward/control/job_state_cache.py
@@ -1,8 +1,8 @@
 """A controller's copy of all job states, refreshed on demand for all requests that wait.
 
-A poll must see whatever any controller has told a user before. Reading the state service for each
-poll would cost requests in proportion to the jobs. Therefore all polls that wait share one request,
-sent after they arrived, which reads the changes since the previous one.
+A poll must see whatever any controller has returned to a user before. Reading the state service for
+each poll would cost requests in proportion to the jobs. Therefore all polls that wait share one
+request, sent after they arrived, which reads the changes since the previous one.
 """
 
 from __future__ import annotations
@@ -161,7 +161,7 @@
 
     async def _lookup(self, job_id: JobId) -> JobState | None:
         """The job's state by the latest refresh, with further requests where that is not enough."""
-        # Its user may have been told of a final state during the refresh: that one comes first.
+        # A final state may have been returned to its user during the refresh: it takes precedence.
         state = self.finals.get(job_id) or self.live.get(job_id)
         if state is None:
             if self.absent.is_absent(job_id):
@@ -203,7 +203,7 @@
         if stored_final is not None:
             return self._keep_stored_final(job_id, stored_final.data)
         if stored_live is not None:
-            # It was accepted, though the cache lacks it: its user must not be told otherwise.
+            # It was accepted, though the cache lacks it: no answer may say that it was not.
             log.warning("job_missing_from_cache", job=job_id)
             self._apply_live(live_key(job_id), stored_live.data)
             return self.live[job_id]
@@ -320,7 +320,7 @@
             packed = record.dependencies
             dependencies = wire.unpack_dependencies(packed) if packed else []
         except (wire.MalformedMessageError, ValueError) as error:
-            # The job was accepted all the same, and its user is told so.
+            # The job was accepted all the same, so polls must find it.
             _log_malformed_record(key, error)
             self.live[job_id] = LiveJobState(0, 0, service=False, has_dependencies=False)
             return
--- /dev/null
+++ b/umberward/control/peer_delegation.py
@@ -0,0 +1,85 @@
+"""Keeps a delegation of lease renewal at hand, and uses it while the zone is partitioned.
+
+umberward.scheduling.lease_delegation has the rules and their argument.
+"""
+
+from __future__ import annotations
+
+import random
+from http import HTTPStatus
+
+import curio
+
+from umberward.control import peer_messages
+from umberward.control.peer_contacts import PEER_TIMEOUT_S, PeerContacts
+from umberward.control.peer_messages import DelegationRequest, InvalidPeerMessageError
+from umberward.core.log import logger
+from umberward.core.settings import Settings
+from umberward.core.types import Address, ControllerName, Instant, MachineId
+from umberward.protocol.http import Client, NoResponseError, RequestNotSentError
+from umberward.scheduling.lease_delegation import Delegate, Delegation
+
+log = logger(__name__)
+
+REQUEST_INTERVAL_S = 1.0  # how often the leader is asked for a delegation
+INTERVAL_JITTER = (0.9, 1.1)  # factors of the interval
+
+
+class PeerDelegation:
+    """This controller as the delegate of whoever leads, for the machines of its own zone."""
+
+    def __init__(
+        self, settings: Settings, contacts: PeerContacts, client: Client, rng: random.Random
+    ) -> None:
+        """Create a delegate without a delegation; `client` sends the requests to the leader."""
+        cluster = settings.platform.cluster
+        self.name = ControllerName(settings.platform.label)
+        self.addresses = settings.peers
+        self.contacts = contacts
+        self.election = contacts.election
+        self.clock = contacts.clock
+        self.client = client
+        self.rng = rng
+        self.delegate = Delegate(cluster.workers)
+        self.is_answering = False  # workers of the zone, in place of the leader
+        self.multiple_zones = len(cluster.zones) > 1  # else no zone can be cut off from the others
+
+    async def run(self) -> None:
+        """Ask the leader again and again, until cancelled."""
+        while True:
+            await curio.sleep(REQUEST_INTERVAL_S * self.rng.uniform(*INTERVAL_JITTER))
+            address = self.addresses.get(str(self.election.leader))
+            if address is not None and self.multiple_zones:
+                await self._request(address)
+
+    async def _request(self, leader: Address) -> None:
+        request = DelegationRequest(self.name, self.delegate.serial, self.delegate.unused)
+        asked_at = Instant(self.clock())
+        try:
+            response = await self.client.request(
+                leader, "GET", request.to_target(), b"", PEER_TIMEOUT_S
+            )
+            if response.status == HTTPStatus.OK:
+                delegation = peer_messages.decode(response.body, Delegation)
+                self.delegate.accept(delegation, asked_at, Instant(self.clock()))
+        except (RequestNotSentError, NoResponseError, InvalidPeerMessageError) as error:
+            log.debug("delegation_not_available", error=error)
+
+    def may_answer_worker(self, machine_id: str, fencing_token: int) -> bool:
+        """Whether this controller may keep the session of a worker with this token alive.
+
+        It may only while it is cut off from the state service and from the leader.
+        """
+        if not self.contacts.lacks_state_contact():
+            self.is_answering = False
+            return False
+        now = Instant(self.clock())
+        may_answer = self.delegate.may_answer(MachineId(machine_id), fencing_token, now)
+        if may_answer and not self.is_answering:
+            self.is_answering = True
+            log.warning(
+                "delegated_lease_renewal",
+                machines=len(self.delegate.machine_ids),
+                known_age_s=round(now - self.delegate.jobs_read_at, 1),
+            )
+        return may_answer
--- a/umberward/control/readiness.py
+++ b/umberward/control/readiness.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sized
 
 from umberward.control.job_state_cache import JobStateCache
-from umberward.control.peer_link import STATE_CONTACT_TIMEOUT_S, PeerLink
+from umberward.control.peer_contacts import STATE_CONTACT_TIMEOUT_S, PeerContacts
 from umberward.core.log import logger
 from umberward.leader.leader_election import LeaderElection
 
@@ -19,7 +19,7 @@
         self,
         election: LeaderElection,
         job_states: JobStateCache,
-        peers: PeerLink,
+        peer_contacts: PeerContacts,
         machine_types: Sized,
         clock: Callable[[], float],
     ) -> None:
@@ -29,7 +29,7 @@
         """
         self.election = election
         self.job_states = job_states
-        self.peers = peers
+        self.peer_contacts = peer_contacts
         self.machine_types = machine_types
         self.clock = clock
         self.isolation_logged = False
@@ -45,11 +45,11 @@
             return False
         contact_age_s = self.clock() - self.election.renewed_at
         has_contact = contact_age_s < STATE_CONTACT_TIMEOUT_S
-        is_isolated = not has_contact and self.peers.is_isolated()
+        is_isolated = not has_contact and self.peer_contacts.is_isolated()
         self._log_isolation(is_isolated, contact_age_s)
         if has_contact:
             return True
-        return not (is_isolated or self.peers.others_have_contact())
+        return not (is_isolated or self.peer_contacts.others_have_contact())
 
     def _log_isolation(self, is_isolated: bool, contact_age_s: float) -> None:  # noqa: FBT001 - a value that is logged, not a mode
         if is_isolated == self.isolation_logged:
--- /dev/null
+++ b/umberward/control/snapshot_exchange.py
@@ -0,0 +1,86 @@
+"""Passes the leader's failover snapshot to the other controllers, any of which may lead next."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from http import HTTPStatus
+
+from umberward.control.peer_contacts import PEER_TIMEOUT_S
+from umberward.control.peer_messages import SNAPSHOT_PATH
+from umberward.core.log import logger
+from umberward.core.types import Address
+from umberward.leader import failover_snapshot
+from umberward.leader.failover_snapshot import FailoverSnapshot
+from umberward.leader.leader_election import LeaderElection
+from umberward.protocol.http import Client, NoResponseError, RequestNotSentError, Response
+
+log = logger(__name__)
+
+FETCH_INTERVAL_S = 2.0  # how often the leader is asked for its snapshot
+ENCODED_REUSE_S = 0.9 * FETCH_INTERVAL_S  # one encoding serves peers that ask at about this time
+
+
+class SnapshotExchange:
+    """Keeps the latest snapshot of whoever led last, and serves this controller's own.
+
+    All times are of this process's steady clock, in seconds.
+    """
+
+    def __init__(
+        self,
+        addresses: Mapping[str, Address],
+        election: LeaderElection,
+        client: Client,
+        take_own_snapshot: Callable[[], FailoverSnapshot | None],
+    ) -> None:
+        """Create an exchange with the peers at `addresses`.
+
+        `take_own_snapshot` returns what this controller has learnt; None if it does not lead.
+        """
+        self.addresses = addresses
+        self.election = election
+        self.client = client
+        self.clock = election.clock
+        self.take_own_snapshot = take_own_snapshot
+        self.latest: FailoverSnapshot | None = None
+        self.latest_at = 0.0
+        self.encoded = b""
+        self.encoded_at = 0.0
+
+    def keep(self, snapshot: FailoverSnapshot) -> None:
+        """Keep the snapshot unless one of a later leader is there."""
+        if self.latest is None or snapshot.fencing_token >= self.latest.fencing_token:
+            self.latest, self.latest_at = snapshot, self.clock()
+
+    def recent(self) -> tuple[FailoverSnapshot, float] | None:
+        """The last leader's snapshot and its age in seconds; None if there is none or it is old."""
+        age_s = self.clock() - self.latest_at
+        if self.latest is None or age_s > failover_snapshot.MAX_SNAPSHOT_AGE_S:
+            return None
+        return self.latest, age_s
+
+    async def fetch(self) -> None:
+        """Fetch the leader's snapshot, if another controller leads."""
+        address = self.addresses.get(str(self.election.leader))
+        if address is None:
+            return
+        try:
+            response = await self.client.request(address, "GET", SNAPSHOT_PATH, b"", PEER_TIMEOUT_S)
+        except (RequestNotSentError, NoResponseError) as error:
+            log.debug("snapshot_not_available", error=error)
+            return
+        if response.status != HTTPStatus.OK:
+            return
+        snapshot = failover_snapshot.decode_snapshot(response.body)
+        if snapshot is not None:
+            self.keep(snapshot)
+
+    def serve(self) -> Response:
+        """Respond with this controller's own snapshot, or 404 if it has none."""
+        if self.clock() - self.encoded_at > ENCODED_REUSE_S:
+            snapshot = self.take_own_snapshot()
+            if snapshot is None:
+                return Response(404)
+            self.encoded = failover_snapshot.encode_snapshot(snapshot)
+            self.encoded_at = self.clock()
+        return Response(200, self.encoded)
