--- a/umberward/control/controller.py
+++ b/umberward/control/controller.py
@@ -22,6 +22,7 @@
 from umberward.control.request_router import RequestRouter
 from umberward.core.log import logger
 from umberward.core.settings import Settings
+from umberward.core.tasks import TaskScope
 from umberward.core.types import (
     FencingToken,
     Instant,
@@ -77,22 +78,12 @@
         self.machine_types: dict[MachineTypeName, MachineType] = {}
         self.leader_loop: LeaderLoop | None = None
         self.leader_task: curio.Task | None = None
+        self.leader_tasks = TaskScope()  # owns the leader's task, also one that still ends
         self.job_states = JobStateCache(settings, self.store, clock)
         self.election = LeaderElection(
             settings, self.store, self.rng, self._start_leading, self._stop_leading, clock
         )
-        self.peers = PeerLink(
-            settings,
-            self.election,
-            self.client,
-            self.rng,
-            PeerCallbacks(
-                self._take_snapshot,
-                self._delegate,
-                self._serve_forwarded_heartbeat,
-                self._cancel_jobs,
-            ),
-        )
+        self.peers = self._create_peer_link()
         self.heartbeat_api = HeartbeatApi(
             self, self.election, self.peers, self._name_connection, clock
         )
@@ -106,6 +97,15 @@
         )
         self.server = Server(settings.listen, self.router.serve, shared_sockets, self.client)
 
+    def _create_peer_link(self) -> PeerLink:
+        callbacks = PeerCallbacks(
+            self._take_snapshot,
+            self._delegate,
+            self._serve_forwarded_heartbeat,
+            self._cancel_jobs,
+        )
+        return PeerLink(self.settings, self.election, self.client, self.rng, callbacks)
+
     def _create_router(self) -> RequestRouter:
         readiness = Readiness(
             self.election, self.job_states, self.peers.contacts, self.machine_types, self.clock
@@ -141,7 +141,8 @@
             self.peers.delegation.run,
             self.peers.cancellations.run,
         ]
-        async with curio.TaskGroup() as group:
+        # The scope outlives the group, where the election runs that starts the leader's task.
+        async with self.leader_tasks, curio.TaskGroup() as group:
             for part in parts:
                 await group.spawn(_restart_on_failure, part)
 
@@ -164,8 +165,8 @@
             self.job_states.revision_before,
             self.peers.snapshots.recent(),
         )
-        self.leader_task = await curio.spawn(
-            _restart_on_failure, self.leader_loop.serve, daemon=True
+        self.leader_task = await self.leader_tasks.spawn(
+            _restart_on_failure, self.leader_loop.serve
         )
 
     async def _stop_leading(self) -> None:
--- a/umberward/control/heartbeat_api.py
+++ b/umberward/control/heartbeat_api.py
@@ -92,7 +92,7 @@
         if response is not None:
             return response
         if self.local_leader.leader_loop is None and self.peers.delegation.may_answer_worker(
-            header.machine_id, header.fencing_token
+            machine_id, header.fencing_token
         ):
             # The leader and the state service are out of reach: the zone is partitioned, or worse.
             return _keep_session(header.fencing_token, [])
--- a/umberward/control/peer_delegation.py
+++ b/umberward/control/peer_delegation.py
@@ -65,7 +65,7 @@
         except (RequestNotSentError, NoResponseError, InvalidPeerMessageError) as error:
             log.debug("delegation_not_available", error=error)
 
-    def may_answer_worker(self, machine_id: str, fencing_token: int) -> bool:
+    def may_answer_worker(self, machine_id: MachineId, fencing_token: int) -> bool:
         """Whether this controller may keep the session of a worker with this token alive.
 
         It may only while it is cut off from the state service and from the leader.
@@ -74,7 +74,7 @@
             self.is_answering = False
             return False
         now = Instant(self.clock())
-        may_answer = self.delegate.may_answer(MachineId(machine_id), fencing_token, now)
+        may_answer = self.delegate.may_answer(machine_id, fencing_token, now)
         if may_answer and not self.is_answering:
             self.is_answering = True
             log.warning(
