--- a/umberward/control/job_api.py
+++ b/umberward/control/job_api.py
@@ -1,7 +1,7 @@
 """What users request of any controller: to submit, poll or cancel a job.
 
 Each answer is at least as recent as its request: it is given from records that never change, or
-from what the state service held after the request arrived.
+from what the state service contained after the request arrived.
 """
 
 from __future__ import annotations
--- a/umberward/control/readiness.py
+++ b/umberward/control/readiness.py
@@ -46,12 +46,13 @@
         contact_age_s = self.clock() - self.election.renewed_at
         has_contact = contact_age_s < STATE_CONTACT_TIMEOUT_S
         is_isolated = not has_contact and self.peer_contacts.is_isolated()
-        self._log_isolation(is_isolated, contact_age_s)
+        self._log_isolation(contact_age_s, is_isolated=is_isolated)
         if has_contact:
             return True
         return not (is_isolated or self.peer_contacts.others_have_contact())
 
-    def _log_isolation(self, is_isolated: bool, contact_age_s: float) -> None:  # noqa: FBT001 - a value that is logged, not a mode
+    def _log_isolation(self, contact_age_s: float, *, is_isolated: bool) -> None:
+        """Log when this controller becomes isolated, and when it no longer is."""
         if is_isolated == self.isolation_logged:
             return
         self.isolation_logged = is_isolated
