--- a/tests/guards.py
+++ b/tests/guards.py
@@ -9,9 +9,9 @@
 import pytest
 
 from umberward.control import job_api, job_state_cache
+from umberward.control.cancellation_announcer import CancellationAnnouncer
 from umberward.control.job_api import JobApi
 from umberward.control.job_state_cache import JobStateCache
-from umberward.control.peer_link import PeerLink
 from umberward.core.types import JobId
 from umberward.graphs import live
 from umberward.graphs.live import DagJob, LiveGraph
@@ -619,7 +619,7 @@
         known = self.finals.get(id) or self.live.get(id)
         if known is not None and self.clock() - self.read_at <= job_state_cache.MAX_STALENESS_S:
             return known
-        return await whole(self, id, urgent)
+        return await whole(self, id, urgent=urgent)
 
     patch.setattr(JobStateCache, "state", state)
 
@@ -649,7 +649,7 @@
 
 
 def tells_others(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(PeerLink, "announce", lambda *_: None)
+    patch.setattr(CancellationAnnouncer, "announce", lambda *_: None)
 
 
 GUARDS: dict[str, Patch] = {
