--- a/umberward/leader/failover_snapshot.py
+++ b/umberward/leader/failover_snapshot.py
@@ -1,16 +1,18 @@
-"""What a leader has learnt and no record holds, told to the other controllers. No I/O.
-
-Which machine has which image, how long work of a class takes, how much accelerated work comes,
-which machines are on their way, what fails: a new leader that had to learn all that anew would
-start replicas where their image is missing and rent what was rented already. Hints are only ever
-used to choose better: no rule rests on them, and they may be old, or be missing altogether. The
-others ask for them every few seconds; for the case that all controllers end at once, what changes
-slowly also stands in the state service, a part at a time, as writes are scarce.
+"""What a leader has learnt and no stored record holds, as it is handed to the next leader. No I/O.
+
+Which machine has which image, how long tasks of a class run, how much accelerated work comes, which
+machines are on their way, what fails: a new leader that had to learn all that anew would start
+replicas where their image is missing and request machines that were requested already. A snapshot
+serves better choices only: no rule rests on it, and it may be old or missing altogether.
+
+The other controllers ask the leader for it every few seconds. For the case that all controllers end
+at once, what changes slowly also stands in the state service. It is stored a part at a time, as
+writes are scarce there.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from typing import NamedTuple
 
 import cbor2
 import msgspec
@@ -29,7 +31,33 @@
 from umberward.scheduling.autoscaler import Autoscaler, PendingMachine
 from umberward.scheduling.scheduler import Scheduler
 
-MAX_SNAPSHOT_AGE_S = 120.0  # hints that are older than this are not used: too much has changed
+MAX_SNAPSHOT_AGE_S = 120.0  # too much has changed since an older snapshot was taken
+
+
+class ImageEntry(NamedTuple):
+    """An image that some machine has cached."""
+
+    name: str
+    size_gb: float
+
+
+class BootingMachine(NamedTuple):
+    """A rented machine that has not sent a heartbeat yet."""
+
+    machine_type: str
+    zone: str
+    spot: bool
+    pending_s: float  # since it was rented
+
+
+class CapacityPause(NamedTuple):
+    """An offer that the cloud had no capacity for, and that is not requested for a while."""
+
+    machine_type: str
+    zone: str
+    spot: bool
+    remaining_s: float  # until it may be requested again
+    pause_s: float  # the whole pause, from which the next one is computed
 
 
 class FailoverSnapshot(
@@ -46,138 +74,201 @@
         "no_capacity": "refused",
     },
 ):
+    """A leader's knowledge at one moment. Times are relative to that moment."""
+
     fencing_token: int
-    images: list[tuple[str, float]]  # name, GB
-    # machine -> its images by their place in the list, least recently used first
+    images: list[ImageEntry]
+    # Machine -> its images as indexes into `images`, least recently used first.
     machine_images: dict[str, list[int]]
-    runtime_ratio: dict[str, float] = {}  # class -> run time seen by what was estimated
-    headroom_peak: float = 0.0  # accelerated tasks there were at once
-    accelerated_spec: wire.JobSpec | None = None  # a job of that kind
-    quarantined: list[str] = []
-    faulty_jobs: dict[str, int] = {}  # job -> how often it was tried since it was blamed
-    booting: dict[str, tuple[str, str, bool, float]] = {}  # machine -> type, zone, spot, age
-    no_capacity: list[
-        tuple[str, str, bool, float, float]
-    ] = []  # offer, rest and length of the pause
-
-
-def take_snapshot(scheduler: Scheduler, provisioner: Autoscaler, now: Instant) -> FailoverSnapshot:
-    numbers: dict[ImageName, int] = {}
-    images: list[tuple[str, float]] = []
-    machines: dict[str, list[int]] = {}
-    for machine in scheduler.machines.values():
-        found = machines[machine.id] = []
-        for image, gb in machine.images.items():
-            if image not in numbers:
-                numbers[image] = len(images)
-                images.append((image, gb))
-            found.append(numbers[image])
+    runtime_ratio: dict[str, float] = {}  # job class -> observed run time / expected run time
+    headroom_peak: float = 0.0  # the most accelerated tasks at once
+    accelerated_spec: wire.JobSpec | None = None  # an example of an accelerated job
+    quarantined: list[str] = []  # machines
+    faulty_jobs: dict[str, int] = {}  # job -> retries since its failures were attributed to it
+    booting: dict[str, BootingMachine] = {}
+    no_capacity: list[CapacityPause] = []
+
+
+# ---- the leader's side -------------------------------------------------------------------
+
+
+def take_snapshot(scheduler: Scheduler, autoscaler: Autoscaler, now: Instant) -> FailoverSnapshot:
+    """Return what the leader knows at `now`, by its steady clock."""
+    images, machine_images = _index_images(scheduler)
     return FailoverSnapshot(
         fencing_token=scheduler.fencing_token,
         images=images,
-        machine_images=machines,
+        machine_images=machine_images,
         runtime_ratio=dict(scheduler.runtime_ratios),
         headroom_peak=scheduler.headroom.peak,
         accelerated_spec=scheduler.headroom.spec,
-        quarantined=[str(m.id) for m in scheduler.machines.values() if m.quarantined],
+        quarantined=[
+            str(machine.id) for machine in scheduler.machines.values() if machine.quarantined
+        ],
         faulty_jobs={str(job.id): job.retry_count for job in scheduler.jobs.values() if job.faulty},
         booting={
-            str(id): (str(e.offer.type), str(e.offer.zone), e.offer.spot, now - e.since)
-            for id, e in provisioner.pending.items()
+            str(machine_id): BootingMachine(
+                str(pending.offer.type),
+                str(pending.offer.zone),
+                pending.offer.spot,
+                now - pending.since,
+            )
+            for machine_id, pending in autoscaler.pending.items()
         },
         no_capacity=[
-            (str(offer.type), str(offer.zone), offer.spot, until - now, pause)
-            for offer, (until, pause) in provisioner.no_capacity_until.items()
+            CapacityPause(str(offer.type), str(offer.zone), offer.spot, until - now, pause_s)
+            for offer, (until, pause_s) in autoscaler.no_capacity_until.items()
             if until > now
         ],
     )
 
 
+def _index_images(scheduler: Scheduler) -> tuple[list[ImageEntry], dict[str, list[int]]]:
+    """All cached images, and for each machine the indexes of those that it has."""
+    indexes: dict[ImageName, int] = {}
+    images: list[ImageEntry] = []
+    machine_images: dict[str, list[int]] = {}
+    for machine in scheduler.machines.values():
+        machine_indexes = machine_images[machine.id] = []
+        for image, size_gb in machine.images.items():
+            if image not in indexes:
+                indexes[image] = len(images)
+                images.append(ImageEntry(image, size_gb))
+            machine_indexes.append(indexes[image])
+    return images, machine_images
+
+
+def split_snapshot(
+    snapshot: FailoverSnapshot, max_machines: int, max_bytes: int
+) -> list[FailoverSnapshot]:
+    """Return what is worth storing, in parts.
+
+    A part has at most `max_machines` machines and `max_bytes` bytes as JSON. The first has what is
+    not about single machines. What is too large for a part of its own is left out.
+    """
+    general = FailoverSnapshot(
+        snapshot.fencing_token,
+        [],
+        {},
+        snapshot.runtime_ratio,
+        round(snapshot.headroom_peak, 1),  # rounded, as each change costs a write
+        snapshot.accelerated_spec,
+    )
+    parts = [general] if wire.json_size(general) <= max_bytes else []
+    names = sorted(snapshot.machine_images)
+    chunks = [names[first : first + max_machines] for first in range(0, len(names), max_machines)]
+    while chunks:
+        chunk = chunks.pop(0)
+        part = _snapshot_of_machines(snapshot, chunk)
+        if wire.json_size(part) <= max_bytes:
+            parts.append(part)
+        elif len(chunk) > 1:
+            half = len(chunk) // 2
+            chunks[:0] = [chunk[:half], chunk[half:]]
+    return parts
+
+
+def _snapshot_of_machines(snapshot: FailoverSnapshot, names: list[str]) -> FailoverSnapshot:
+    """The images of these machines only."""
+    used = sorted({index for name in names for index in snapshot.machine_images[name]})
+    new_indexes = {index: position for position, index in enumerate(used)}
+    return FailoverSnapshot(
+        fencing_token=snapshot.fencing_token,
+        images=[snapshot.images[index] for index in used],
+        machine_images={
+            name: [new_indexes[index] for index in snapshot.machine_images[name]] for name in names
+        },
+    )
+
+
+# ---- the next leader's side --------------------------------------------------------------
+
+
 def restore_snapshot(
-    hints: FailoverSnapshot, age: float, scheduler: Scheduler, provisioner: Autoscaler, now: Instant
+    snapshot: FailoverSnapshot,
+    age_s: float,
+    scheduler: Scheduler,
+    autoscaler: Autoscaler,
+    now: Instant,
 ) -> None:
-    """To be called when blocks and jobs were read: what is known by now is not overwritten."""
-    for name, numbers in hints.machine_images.items():
+    """Add what the snapshot knows; what this leader has learnt already takes precedence.
+
+    To be called when blocks and jobs are loaded, with the seconds since the snapshot was taken.
+    """
+    _restore_images(snapshot, scheduler)
+    scheduler.runtime_ratios = {**snapshot.runtime_ratio, **scheduler.runtime_ratios}
+    spec = snapshot.accelerated_spec
+    if spec is not None:
+        scheduler.headroom.restore(
+            spec, Resources(spec.cores, spec.accelerators, spec.mem_gb), snapshot.headroom_peak
+        )
+    _restore_failures(snapshot, scheduler, now)
+    _restore_pending_machines(snapshot, age_s, scheduler, autoscaler, now)
+    for pause in snapshot.no_capacity:
+        offer = _offer(pause)
+        until = Instant(now + pause.remaining_s - age_s)
+        autoscaler.no_capacity_until.setdefault(offer, (until, pause.pause_s))
+
+
+def _restore_images(snapshot: FailoverSnapshot, scheduler: Scheduler) -> None:
+    for name, indexes in snapshot.machine_images.items():
         machine = scheduler.machines.get(MachineId(name))
         if machine is None:
             continue
-        seen = machine.images
+        learnt = machine.images
         machine.images = {
-            ImageName(hints.images[number][0]): hints.images[number][1]
-            for number in numbers
-            if 0 <= number < len(hints.images)
+            ImageName(snapshot.images[index].name): snapshot.images[index].size_gb
+            for index in indexes
+            if 0 <= index < len(snapshot.images)
         }
-        sku = scheduler.machine_types.get(machine.type)
-        for image, gb in seen.items():
-            machine.cache_image(image, gb, sku.image_cache_gb if sku is not None else 0.0)
-    scheduler.runtime_ratios = {**hints.runtime_ratio, **scheduler.runtime_ratios}
-    spec = hints.accelerated_spec
-    if spec is not None:
-        scheduler.headroom.restore(
-            spec, Resources(spec.cores, spec.accelerators, spec.mem_gb), hints.headroom_peak
-        )
-    for name in hints.quarantined:
+        # Cached anew, so that these are the most recently used ones.
+        machine_type = scheduler.machine_types.get(machine.type)
+        cache_gb = machine_type.image_cache_gb if machine_type is not None else 0.0
+        for image, size_gb in learnt.items():
+            machine.cache_image(image, size_gb, cache_gb)
+
+
+def _restore_failures(snapshot: FailoverSnapshot, scheduler: Scheduler, now: Instant) -> None:
+    for name in snapshot.quarantined:
         machine = scheduler.machines.get(MachineId(name))
         if machine is not None:
             machine.quarantined_since = now
             machine.availability_changed()
-    for name, holds in hints.faulty_jobs.items():
+    for name, retry_count in snapshot.faulty_jobs.items():
         job = scheduler.jobs.get(JobId(name))
         if job is not None:
-            scheduler.failure_attribution.restore_faulty_job(job, holds, now)
-    for name, (type_, zone, spot, booting) in hints.booting.items():
-        if MachineId(name) not in scheduler.machines:
-            offer = MachineOffer(MachineTypeName(type_), ZoneName(zone), spot)
-            since = Instant(now - booting - age)
-            provisioner.pending.setdefault(MachineId(name), PendingMachine(offer, since))
-    for type_, zone, spot, rest, pause in hints.no_capacity:
-        offer = MachineOffer(MachineTypeName(type_), ZoneName(zone), spot)
-        provisioner.no_capacity_until.setdefault(offer, (Instant(now + rest - age), pause))
-
-
-def split_snapshot(hints: FailoverSnapshot, machines: int, limit: int) -> list[FailoverSnapshot]:
-    """What is worth storing, in parts with so many machines and bytes at most. The first has what
-    is not about single machines."""
-    rest = FailoverSnapshot(
-        hints.fencing_token,
-        [],
-        {},
-        hints.runtime_ratio,
-        round(hints.headroom_peak, 1),
-        hints.accelerated_spec,
-    )
-    found = [rest] if wire.json_size(rest) <= limit else []
-    names = sorted(hints.machine_images)
-    chunks = [names[first : first + machines] for first in range(0, len(names), machines)]
-    while chunks:
-        chunk = chunks.pop(0)
-        made = _snapshot_of_machines(hints, chunk)
-        if wire.json_size(made) <= limit:
-            found.append(made)
-        elif len(chunk) > 1:
-            half = len(chunk) // 2
-            chunks[:0] = [chunk[:half], chunk[half:]]
-    return found
+            scheduler.failure_attribution.restore_faulty_job(job, retry_count, now)
 
 
-def _snapshot_of_machines(hints: FailoverSnapshot, names: list[str]) -> FailoverSnapshot:
-    """What is known of these machines."""
-    used = sorted({number for name in names for number in hints.machine_images[name]})
-    places = {number: place for place, number in enumerate(used)}
-    return FailoverSnapshot(
-        fencing_token=hints.fencing_token,
-        images=[hints.images[number] for number in used],
-        machine_images={name: [places[n] for n in hints.machine_images[name]] for name in names},
-    )
+def _restore_pending_machines(
+    snapshot: FailoverSnapshot,
+    age_s: float,
+    scheduler: Scheduler,
+    autoscaler: Autoscaler,
+    now: Instant,
+) -> None:
+    for name, booting in snapshot.booting.items():
+        machine_id = MachineId(name)
+        if machine_id not in scheduler.machines:
+            rented_at = Instant(now - booting.pending_s - age_s)
+            pending = PendingMachine(_offer(booting), rented_at)
+            autoscaler.pending.setdefault(machine_id, pending)
+
+
+def _offer(entry: BootingMachine | CapacityPause) -> MachineOffer:
+    return MachineOffer(MachineTypeName(entry.machine_type), ZoneName(entry.zone), entry.spot)
+
+
+# ---- between controllers -----------------------------------------------------------------
 
 
-def encode_snapshot(hints: FailoverSnapshot) -> bytes:
-    made: Any = msgspec.to_builtins(hints)
-    return bytes(cbor2.dumps(made))
+def encode_snapshot(snapshot: FailoverSnapshot) -> bytes:
+    """Return the snapshot as one controller sends it to another: in CBOR."""
+    return bytes(cbor2.dumps(msgspec.to_builtins(snapshot)))
 
 
 def decode_snapshot(body: bytes) -> FailoverSnapshot | None:
-    """None if it cannot be read: another version may run there."""
+    """Return the snapshot; None if it cannot be read, as the peer may run another version."""
     try:
         return msgspec.convert(cbor2.loads(body), FailoverSnapshot)
     except (cbor2.CBORDecodeError, msgspec.ValidationError, ValueError, TypeError):
