--- a/umberward/leader/machine_scaler.py
+++ b/umberward/leader/machine_scaler.py
@@ -1,45 +1,53 @@
-"""Carries out what is to be rented and returned, as long as its holder leads."""
+"""Carries out the autoscaler's decisions at the cloud, as long as this controller leads."""
 
 from __future__ import annotations
 
-import time
-
 import curio
 
 from umberward.clients.cloud_client import CloudClient, CloudUnavailableError, NoCapacityError
 from umberward.core.log import logger
-from umberward.core.types import Instant, MachineId
+from umberward.core.types import Instant, MachineId, ScaleOutRequest
+from umberward.leader.clock import monotonic_now
 from umberward.leader.leader_election import LeaderElection
 from umberward.protocol import wire
 from umberward.protocol.http import NoResponseError
 from umberward.scheduling.autoscaler import Autoscaler
+from umberward.scheduling.machines import Machine
 from umberward.scheduling.scheduler import Scheduler
 
 log = logger(__name__)
 
-SCALING_INTERVAL_S = 0.3  # how often it is asked what to rent and to return
-DECISION_PAUSE_RATIO = 10.0  # ... and so many times as long as the answer took
+SCALING_INTERVAL_S = 0.3  # from one decision to the next, or longer:
+DECISION_PAUSE_RATIO = 10.0  # so many times as long as the last decision took
 MACHINE_TYPES_REFRESH_S = 30.0
-MACHINE_LIST_INTERVAL_S = 8.0  # how often the list of machines is read
+MACHINE_LIST_INTERVAL_S = 8.0
+FAILURE_PAUSE_S = 0.5  # after a request to the cloud that failed
 
 
 class MachineScaler:
+    """Rents and returns machines, and reads the cloud's lists of machines and machine types."""
+
     def __init__(
         self,
-        membership: LeaderElection,
+        election: LeaderElection,
         cloud: CloudClient,
         scheduler: Scheduler,
-        provisioner: Autoscaler,
+        autoscaler: Autoscaler,
     ) -> None:
-        self.election = membership
+        """Create a scaler that does nothing until `run` is called."""
+        self.election = election
         self.cloud = cloud
         self.scheduler = scheduler
-        self.autoscaler = provisioner
-        self.decision_s = 0.0  # seconds that it took to find what to rent and to return
+        self.autoscaler = autoscaler
+        self.decision_s = 0.0  # computing time of the latest decisions
+        self._machines_listed_at = Instant(0.0)
+        self._machine_types_read_at = Instant(0.0)
 
     async def run(self) -> None:
-        listed = 0.0
-        refreshed = _now()
+        """Scale in and out, until cancelled."""
+        # The controller has read the machine types shortly before this.
+        self._machine_types_read_at = monotonic_now()
+        self._machines_listed_at = Instant(0.0)
         while True:
             await curio.sleep(max(SCALING_INTERVAL_S, DECISION_PAUSE_RATIO * self.decision_s))
             self.decision_s = 0.0
@@ -48,78 +56,96 @@
             try:
                 await self._scale_in()
                 await self._scale_out()
-                if _now() - listed > MACHINE_LIST_INTERVAL_S:
-                    listed = _now()
-                    await self._reconcile_machine_list()
-                if _now() - refreshed > MACHINE_TYPES_REFRESH_S:
-                    refreshed = _now()
-                    self.scheduler.machine_types.update(await self.cloud.machine_types())
-                    self.scheduler.machine_types_changed()
+                await self._read_lists()
             except CloudUnavailableError as error:
                 log.debug("cloud_failed", error=error)
-                await curio.sleep(0.5)
+                await curio.sleep(FAILURE_PAUSE_S)
+
+    # ---- scaling in --------------------------------------------------------------------
 
     async def _scale_in(self) -> None:
-        now = _now()
+        """Drain machines that are not needed or lost, and delete those that are drained."""
+        now = monotonic_now()
         idle = self.autoscaler.machines_to_return(now)
         lost = self.autoscaler.machines_to_abandon(now)
-        self.decision_s += _now() - now
+        self.decision_s += monotonic_now() - now
         for machine in idle + lost:
-            log.info(
-                "machine_draining",
-                machine=machine.id,
-                type=machine.type,
-                hears=not machine.unreachable,
-                reports=machine.no_heartbeats_since is None,
-            )
-            machine.returning = True
-            machine.availability_changed()
-        ids = self.autoscaler.machines_to_delete(now)[: wire.MAX_DELETIONS_PER_REQUEST]
-        if ids:
-            log.info("machine_terminated", machines=" ".join(ids))
-            await self.cloud.terminate(ids, self.election.is_leader)
-            self._note_removed(ids)
-
-    def _note_removed(self, ids: list[MachineId]) -> None:
-        self.scheduler.remove_machines(ids, _now())
-        self.autoscaler.machines_removed(ids)
+            self._drain(machine)
+        machine_ids = self.autoscaler.machines_to_delete(now)[: wire.MAX_DELETIONS_PER_REQUEST]
+        if machine_ids:
+            log.info("machine_terminated", machines=" ".join(machine_ids))
+            await self.cloud.terminate(machine_ids, self.election.is_leader)
+            self._machines_removed(machine_ids)
+
+    def _drain(self, machine: Machine) -> None:
+        log.info(
+            "machine_draining",
+            machine=machine.id,
+            type=machine.type,
+            hears=not machine.unreachable,
+            reports=machine.no_heartbeats_since is None,
+        )
+        machine.returning = True
+        machine.availability_changed()
+
+    def _machines_removed(self, machine_ids: list[MachineId]) -> None:
+        self.scheduler.remove_machines(machine_ids, monotonic_now())
+        self.autoscaler.machines_removed(machine_ids)
+
+    # ---- scaling out -------------------------------------------------------------------
 
     async def _scale_out(self) -> None:
-        now = _now()
-        rentals = self.autoscaler.scale_out_requests(now)
-        self.decision_s += _now() - now
-        for rental in rentals:
+        now = monotonic_now()
+        requests = self.autoscaler.scale_out_requests(now)
+        self.decision_s += monotonic_now() - now
+        for request in requests:
             log.info(
                 "machine_requested",
-                many=rental.machine_count,
-                claim=rental.request_id,
-                **rental.offer._asdict(),
+                many=request.machine_count,
+                claim=request.request_id,
+                **request.offer._asdict(),
             )
-            while self.election.is_leader():
-                try:
-                    ids = await self.cloud.scale_out(rental, self.election.is_leader)
-                except NoCapacityError:
-                    log.info("no_capacity", **rental.offer._asdict())
-                    self.autoscaler.no_capacity(rental.offer, _now())
-                    break
-                except NoResponseError:
-                    # It may have been carried out: the same claim tells, and rents nothing twice.
-                    await curio.sleep(0.5)
-                    continue
-                self.autoscaler.machines_rented(rental, ids, _now())
-                break
+            await self._rent(request)
+
+    async def _rent(self, request: ScaleOutRequest) -> None:
+        """Send the request until its result is known, as long as this controller leads.
+
+        Raises CloudUnavailableError.
+        """
+        while self.election.is_leader():
+            try:
+                machine_ids = await self.cloud.scale_out(request, self.election.is_leader)
+            except NoCapacityError:
+                log.info("no_capacity", **request.offer._asdict())
+                self.autoscaler.no_capacity(request.offer, monotonic_now())
+                return
+            except NoResponseError:
+                # It may have been carried out. Sent again with the same id it rents nothing twice,
+                # and its answer names the machines.
+                await curio.sleep(FAILURE_PAUSE_S)
+            else:
+                self.autoscaler.machines_rented(request, machine_ids, monotonic_now())
+                return
+
+    # ---- the cloud's lists -------------------------------------------------------------
+
+    async def _read_lists(self) -> None:
+        """Read the machines and the machine types, each if it is due."""
+        if monotonic_now() - self._machines_listed_at > MACHINE_LIST_INTERVAL_S:
+            self._machines_listed_at = monotonic_now()
+            await self._reconcile_machine_list()
+        if monotonic_now() - self._machine_types_read_at > MACHINE_TYPES_REFRESH_S:
+            self._machine_types_read_at = monotonic_now()
+            self.scheduler.machine_types.update(await self.cloud.machine_types())
+            self.scheduler.machine_types_changed()
 
     async def _reconcile_machine_list(self) -> None:
-        hosts = await self.cloud.list_machines()
-        failed = self.autoscaler.reconcile_machine_list(hosts, _now())
-        if failed:
-            # A failed machine runs nothing any more; it stays listed until it is deleted.
-            log.info("machines_failed", machines=" ".join(failed))
-            self._note_removed(failed)
+        machines = await self.cloud.list_machines()
+        failed_ids = self.autoscaler.reconcile_machine_list(machines, monotonic_now())
+        if failed_ids:
+            # A failed machine runs nothing any more; it stays in the list until it is deleted.
+            log.info("machines_failed", machines=" ".join(failed_ids))
+            self._machines_removed(failed_ids)
             await self.cloud.terminate(
-                failed[: wire.MAX_DELETIONS_PER_REQUEST], self.election.is_leader
+                failed_ids[: wire.MAX_DELETIONS_PER_REQUEST], self.election.is_leader
             )
-
-
-def _now() -> Instant:
-    return Instant(time.monotonic())
