--- a/umberward/leader/command_sender.py
+++ b/umberward/leader/command_sender.py
@@ -73,13 +73,6 @@
             await self.spawn(self._send_command, command)
 
     async def _send_command(self, command: DirectCommand) -> None:
-        heartbeat = None
-        outcome_unknown = False
-        body = {
-            "epoch": command.fencing_token,
-            "tenure": command.incarnation,
-            "orders": command.commands,
-        }
         sent_at = monotonic_now()
         log.debug(
             "command_sent",
@@ -90,19 +83,9 @@
             jobs_read_s=self.job_read_age_s(sent_at),
         )
         try:
-            response = await self.client.request(
-                parse_address(command.address),
-                "POST",
-                "/do",
-                wire.encode(body),
-                COMMAND_TIMEOUT_S,
-                still=self._send_condition(command),
-            )
-            if response.status in HEARTBEAT_STATUSES:
-                heartbeat = wire.decode_heartbeat(response.body)
-            outcome_unknown = response.status not in KNOWN_OUTCOME_STATUSES
+            completed = await self._request(command)
         except RequestNotSentError:
-            pass  # so nothing was executed
+            completed = CommandCompleted(command, None, outcome_unknown=False)
         except (NoResponseError, wire.MalformedMessageError, ValueError) as error:
             bounded_log.info(
                 "command_timed_out",
@@ -113,8 +96,34 @@
                 orders=_describe_commands(command.commands),
                 error=type(error).__name__,
             )
-            outcome_unknown = True
-        await self.context.mailbox.tell(CommandCompleted(command, heartbeat, outcome_unknown))
+            completed = CommandCompleted(command, None, outcome_unknown=True)
+        await self.context.mailbox.tell(completed)
+
+    async def _request(self, command: DirectCommand) -> CommandCompleted:
+        """Send the command and return what the worker's response says.
+
+        Raises RequestNotSentError, NoResponseError, MalformedMessageError, or ValueError for an
+        address that is none.
+        """
+        body = {
+            "epoch": command.fencing_token,
+            "tenure": command.incarnation,
+            "orders": command.commands,
+        }
+        response = await self.client.request(
+            parse_address(command.address),
+            "POST",
+            "/do",
+            wire.encode(body),
+            COMMAND_TIMEOUT_S,
+            still=self._send_condition(command),
+        )
+        heartbeat = None
+        if response.status in HEARTBEAT_STATUSES:
+            heartbeat = wire.decode_heartbeat(response.body)
+        return CommandCompleted(
+            command, heartbeat, outcome_unknown=response.status not in KNOWN_OUTCOME_STATUSES
+        )
 
     def _send_condition(self, command: DirectCommand) -> Callable[[], bool]:
         """What must hold at the moment of sending.
--- a/umberward/leader/leader_election.py
+++ b/umberward/leader/leader_election.py
@@ -18,7 +18,7 @@
 from umberward.clients import state_client
 from umberward.clients.state_client import StateClient
 from umberward.core.log import logger
-from umberward.core.settings import Settings
+from umberward.core.settings import Settings, WorkerTimes
 from umberward.core.types import (
     ControllerName,
     FencingToken,
@@ -80,15 +80,8 @@
         self.store = store
         self.lease_seconds = settings.operator.lease_seconds
         self.clock = clock
-        workers = platform.cluster.workers
-        self.bounds = LeaseBounds(workers)
-        if self.bounds.keepalive_s < MIN_KEEPALIVE_S:
-            log.warning(
-                "no_keepalive_without_state_service",
-                reason="cluster.workers.cancel_s leaves none above cluster.workers.lease_s",
-                cancel_s=workers.cancel_s,
-                lease_s=workers.lease_s,
-            )
+        self.bounds = LeaseBounds(platform.cluster.workers)
+        self._warn_if_keepalive_too_short(platform.cluster.workers)
         self.rng = rng
         self.on_elected = on_elected
         self.on_lost = on_lost
@@ -102,6 +95,15 @@
         self.leader_version = Version(0)  # of the leader key
         self.campaign_not_before = 0.0
 
+    def _warn_if_keepalive_too_short(self, workers: WorkerTimes) -> None:
+        if self.bounds.keepalive_s < MIN_KEEPALIVE_S:
+            log.warning(
+                "no_keepalive_without_state_service",
+                reason="cluster.workers.cancel_s leaves none above cluster.workers.lease_s",
+                cancel_s=workers.cancel_s,
+                lease_s=workers.lease_s,
+            )
+
     # ---- what the leader may do --------------------------------------------------------
 
     def is_leader(self) -> bool:
--- a/umberward/leader/leader_loop.py
+++ b/umberward/leader/leader_loop.py
@@ -101,17 +101,15 @@
     ) -> None:
         """Prepare the leadership that began with `fencing_token`; `serve` runs it.
 
-        `known_final(job_id)`: a final record that this controller has a copy of.
-        `peers_receive_heartbeats()`: asks the other controllers whether any worker reaches them.
-        `revision_before(instant)`: a revision below all that was committed after this instant.
-        `peer_snapshot`: the former leader's snapshot and its age in seconds, if a peer or this
-        controller has it.
+        `known_final`, `revision_before`: see `FinalRecordLookup` and `StateSync`.
+        `peers_receive_heartbeats`: asks the other controllers whether any worker reaches them.
+        `peer_snapshot`: the former leader's, and its age in seconds, if this controller has it.
         """
         super().__init__()
         now = monotonic_now()
         self.election = election
         self.peers_receive_heartbeats = peers_receive_heartbeats
-        # Snapshots of former leaders, each with its age in seconds when this leadership began.
+        # Each with its age in seconds when this leadership began.
         self.snapshots = [] if peer_snapshot is None else [peer_snapshot]
         self.scheduler = Scheduler(settings, machine_types, fencing_token, now, wall_now, rng)
         request_prefix = f"{settings.platform.label}-{fencing_token}"
@@ -121,20 +119,17 @@
         self.commands = CommandSender(context, client, self._spawn)
         self.writer = TransactionWriter(context)
         self.snapshot_store = SnapshotStore(context, self.autoscaler)
-        self.state_sync = StateSync(
-            context,
-            self.graph_controller,
-            revision_before,
-            self._load_stored_snapshots,
-            self._send_effects,
-        )
+        self.state_sync = self._create_state_sync(context, revision_before)
         self.final_lookup = FinalRecordLookup(context, known_final)
         self.sweeper = LiveJobSweeper(context)
         self.scaler = MachineScaler(election, cloud, self.scheduler, self.autoscaler)
         self._next_pass_at = 0.0
         self._checking_peers = False
         self._tasks: curio.TaskGroup | None = None  # while `serve` runs
-        self._handlers: dict[type, MessageHandler] = {
+        self._handlers = self._message_handlers()
+
+    def _message_handlers(self) -> dict[type, MessageHandler]:
+        return {
             HeartbeatReceived: self._heartbeat_received,
             CommandCompleted: self._command_completed,
             ProbeCompleted: self._probe_completed,
@@ -149,6 +144,17 @@
             TimerTick: self._timer_tick,
         }
 
+    def _create_state_sync(
+        self, context: LeaderContext, revision_before: Callable[[float], Revision | None]
+    ) -> StateSync:
+        return StateSync(
+            context,
+            self.graph_controller,
+            revision_before,
+            self._load_stored_snapshots,
+            self._send_effects,
+        )
+
     def _create_graph_controller(
         self, settings: Settings, store: StateClient
     ) -> GraphController | None:
@@ -351,8 +357,11 @@
 
     async def _send_effects(self) -> None:
         """Start sending the scheduler's outbox, and writing what it has to write."""
-        await self.commands.send_outbox()
-        await self.writer.request_write()
+        # Checked here, as most heartbeats leave nothing to do and a call to no avail costs time.
+        if self.scheduler.outbox:
+            await self.commands.send_outbox()
+        if self.scheduler.writer.has_work(monotonic_now()):
+            await self.writer.request_write()
 
     async def _yield_to_reachable_peer(self) -> None:
         """Step down if workers reach another controller: none has reached this one."""
--- a/umberward/leader/machine_scaler.py
+++ b/umberward/leader/machine_scaler.py
@@ -45,7 +45,7 @@
 
     async def run(self) -> None:
         """Scale in and out, until cancelled."""
-        # The controller has read the machine types shortly before this.
+        # The controller itself reads the machine types when it starts.
         self._machine_types_read_at = monotonic_now()
         self._machines_listed_at = Instant(0.0)
         while True:
--- a/umberward/leader/transaction_writer.py
+++ b/umberward/leader/transaction_writer.py
@@ -38,9 +38,8 @@
         self._requested = curio.Event()
 
     async def request_write(self) -> None:
-        """Wake the writer if the scheduler has something to write."""
-        if self.context.scheduler.writer.has_work(monotonic_now()):
-            await self._requested.set()
+        """Wake the writer: the scheduler has something to write."""
+        await self._requested.set()
 
     async def run(self) -> None:
         """Write whatever is due, until cancelled."""
