--- a/umberward/leader/leader_context.py
+++ b/umberward/leader/leader_context.py
@@ -16,8 +16,9 @@
 class LeaderContext:
     """The objects that nearly every task of the leader loop works with.
 
-    Tasks read the scheduler directly, and change it through messages to `mailbox`, unless a comment
-    there says why not.
+    Tasks change the scheduler through messages to `mailbox`, so that a scheduling pass and the
+    effects follow. Where a task calls it directly, a comment there says why. All of them run in one
+    thread and switch only where they await something, so a call of the scheduler is atomic.
     """
 
     election: LeaderElection
--- a/umberward/leader/machine_scaler.py
+++ b/umberward/leader/machine_scaler.py
@@ -25,7 +25,11 @@
 
 
 class MachineScaler:
-    """Rents and returns machines, and reads the cloud's lists of machines and machine types."""
+    """Rents and returns machines, and reads the cloud's lists of machines and machine types.
+
+    The scheduler and the autoscaler are called directly and not by messages to the leader loop:
+    each decision must know the result of the one before it.
+    """
 
     def __init__(
         self,
--- a/umberward/leader/state_sync.py
+++ b/umberward/leader/state_sync.py
@@ -84,6 +84,11 @@
             await self.graph_controller.load()
 
     async def _load_blocks(self) -> None:
+        """Give the stored machines to the scheduler.
+
+        This is done directly and not by messages: no scheduling pass is due before the jobs are
+        loaded, and the caller sends the probes that follow.
+        """
         entries, _ = await self.context.store.list_all(BLOCKS_PREFIX)
         for entry in entries:
             number = int(entry.key[len(BLOCKS_PREFIX) :])
