--- a/umberward/leader/leader_loop.py
+++ b/umberward/leader/leader_loop.py
@@ -94,14 +94,13 @@
         machine_types: dict[MachineTypeName, MachineType],
         fencing_token: FencingToken,
         rng: random.Random,
-        known_final: Callable[[JobId], FinalJobRecord | None],
+        known_final: Callable[[JobId], FinalJobRecord | None],  # see FinalRecordLookup
         peers_receive_heartbeats: Callable[[], Awaitable[bool]],
-        revision_before: Callable[[float], Revision | None],
+        revision_before: Callable[[float], Revision | None],  # see StateSync
         peer_snapshot: tuple[FailoverSnapshot, float] | None = None,
     ) -> None:
         """Prepare the leadership that began with `fencing_token`; `serve` runs it.
 
-        `known_final`, `revision_before`: see `FinalRecordLookup` and `StateSync`.
         `peers_receive_heartbeats`: asks the other controllers whether any worker reaches them.
         `peer_snapshot`: the former leader's, and its age in seconds, if this controller has it.
         """
@@ -109,11 +108,10 @@
         now = monotonic_now()
         self.election = election
         self.peers_receive_heartbeats = peers_receive_heartbeats
-        # Each with its age in seconds when this leadership began.
         self.snapshots = [] if peer_snapshot is None else [peer_snapshot]
         self.scheduler = Scheduler(settings, machine_types, fencing_token, now, wall_now, rng)
-        request_prefix = f"{settings.platform.label}-{fencing_token}"
-        self.autoscaler = Autoscaler(self.scheduler, request_prefix, now)
+        prefix = f"{settings.platform.label}-{fencing_token}"  # of the ids of scale-out requests
+        self.autoscaler = Autoscaler(self.scheduler, prefix, now)
         self.graph_controller = self._create_graph_controller(settings, store)
         context = LeaderContext(election, store, self.scheduler, self, rng)
         self.commands = CommandSender(context, client, self._spawn)
@@ -270,7 +268,7 @@
         """Restore what former leaders knew, and let scheduling begin."""
         self.scheduler.cancellations_unread = recent_final is None
         job_records.apply_final_records(self.scheduler, recent_final or ())
-        for snapshot, age_s in self.snapshots:
+        for snapshot, age_s in self.snapshots:  # aged so when this leadership began
             now = monotonic_now()
             failover_snapshot.restore_snapshot(
                 snapshot,
