--- a/umberward/graphs/graph_controller.py
+++ b/umberward/graphs/graph_controller.py
@@ -1,4 +1,8 @@
-"""The leader's graphs: read from the state service, handed to its scheduler, ended, cleaned up."""
+"""The leader's task that keeps its graphs in step with the state service.
+
+It reads accepted graphs and passes them to the leader's message loop, stores the end of finished
+graphs, and removes submissions that were never completed. All functions run in the leader process.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 from umberward.clients.state_client import StateClient
 from umberward.core.log import logger
 from umberward.core.types import Key, Revision, Version
-from umberward.graphs.graph_state import GraphState
+from umberward.graphs.graph_state import GraphEnd, GraphState
 from umberward.graphs.model import GraphId
 from umberward.graphs.records import LIVE, GraphRecord, IncompleteGraphError
 from umberward.graphs.store import delete_stale, give_up_old, read_progress, read_tasks
@@ -20,41 +24,67 @@
 
 log = logger(__name__)
 
-WATCH_S = 2.0
-FIRST_LOOK_S = 0.05
-ENDS_S = 0.2  # how often it is looked for graphs that are over
-CLEAN_S = 30.0
+WATCH_TIMEOUT_S = 2.0
+FIRST_LOAD_POLL_S = 0.05
+WATCH_RETRY_S = 0.3
+FINISH_INTERVAL_S = 0.2  # how often finished graphs are looked for
+CLEAN_INTERVAL_S = 30.0
+
+# The failures of a commit after which the step is tried again at its next turn.
+COMMIT_ERRORS = (
+    state_client.StateUnavailableError,
+    state_client.UnknownOutcomeError,
+    state_client.CompareAndSwapError,
+)
 
 
 class GraphPut(NamedTuple):
-    args: tuple[Any, ...]  # of Board.put
+    """Message to the leader's loop: an accepted graph was read.
+
+    `args` are the arguments of `GraphState.add`.
+    """
+
+    args: tuple[Any, ...]
 
 
 class GraphGone(NamedTuple):
+    """Message to the leader's loop: the live record of graph `id` no longer exists."""
+
     id: GraphId
 
 
 class GraphController:
-    """Runs for one term of leadership; the board is changed by messages to the holder only."""
+    """Follows the stored graphs for one term of leadership.
+
+    The graph state is changed only by messages to the leader's loop, never by this controller's
+    own tasks.
+    """
 
     def __init__(
         self,
         store: StateClient,
-        board: GraphState,
+        graph_state: GraphState,
         tell: Callable[[Any], Awaitable[Any]],
-        condition: Callable[[], tuple[Key, Version]],
-        leading: Callable[[], bool],
+        leadership_condition: Callable[[], tuple[Key, Version]],
+        is_leader: Callable[[], bool],
     ) -> None:
+        """Create a controller that has read nothing yet.
+
+        `tell` sends a message to the leader's loop, which passes it to `handle`.
+        `leadership_condition` returns the condition that fails once another process leads.
+        """
         self.store = store
-        self.graph_state = board
+        self.graph_state = graph_state
         self.tell = tell
-        self.leadership_condition = condition
-        self.is_leader = leading
-        self.known_graphs: set[GraphId] = set()  # graphs that the board has, or has in its mail
-        self.watched_revision: Revision | None = None  # all changes until then have been told
-
-    def handle(self, message: Any) -> bool:
-        """Handle the message if it is about graphs."""
+        self.leadership_condition = leadership_condition
+        self.is_leader = is_leader
+        # Graphs that the graph state has, or whose GraphPut is in the loop's queue.
+        self.known_graphs: set[GraphId] = set()
+        # All changes up to this revision were sent to the loop; None: a full load is due.
+        self.watched_revision: Revision | None = None
+
+    def handle(self, message: object) -> bool:
+        """Apply a message about graphs; return False if the message is not about graphs."""
         if isinstance(message, GraphPut):
             self.graph_state.add(*message.args)
         elif isinstance(message, GraphGone):
@@ -64,26 +94,30 @@
         return True
 
     async def load(self) -> None:
-        """All accepted graphs. Must be done before the holder's jobs are taken for complete: what
-        workers run of a graph that is not known is stopped."""
+        """Read all accepted graphs and send them to the loop.
+
+        This must be done before the leader's job states count as complete: workers are told to
+        stop tasks of a graph that the leader does not know.
+        """
         self.watched_revision = None
-        entries, after = await self.store.list_all(LIVE)
+        entries, revision = await self.store.list_all(LIVE)
         listed = set()
         for entry in entries:
-            listed.add(GraphId(entry.key[len(LIVE) :]))
-            await self._take(entry.key, entry.data, entry.version)
-        for id in self.known_graphs - listed:
-            await self._gone(id)
-        self.watched_revision = after
+            listed.add(_graph_id(entry.key))
+            await self._add_graph(entry.key, entry.data, entry.version)
+        for graph_id in self.known_graphs - listed:
+            await self._remove_graph(graph_id)
+        self.watched_revision = revision
 
     async def watch(self) -> None:
-        """Follow what controllers accept and cancel, from where the first `load` has ended.
+        """Follow what controllers accept and cancel, from the end of the first `load`; runs
+        until cancelled.
 
-        Nobody else may read meanwhile: a graph that was read before its cancellation and told
-        after it would start once more.
+        No other task may read meanwhile: a graph that was read before its cancellation, and sent
+        to the loop after it, would start once more.
         """
         while self.watched_revision is None:
-            await curio.sleep(FIRST_LOOK_S)
+            await curio.sleep(FIRST_LOAD_POLL_S)
         while True:
             try:
                 await self.follow()
@@ -91,72 +125,84 @@
                 self.watched_revision = None
             except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
                 log.debug("graphs_not_read", error=error)
-                self.watched_revision = None  # what was only half taken in is read again
-                await curio.sleep(0.3)
+                # Some of the changes may have been sent and others not: all are read again.
+                self.watched_revision = None
+                await curio.sleep(WATCH_RETRY_S)
 
     async def follow(self) -> None:
-        """Tell the next changes."""
+        """Wait for the next changes and send them to the loop; load all graphs if that is due.
+
+        Raises what `StateClient.watch` and `StateClient.list_all` raise.
+        """
         if self.watched_revision is None:
             await self.load()
             return
-        news, after = await self.store.watch(LIVE, self.watched_revision, WATCH_S)
-        for change in news:
+        changes, revision = await self.store.watch(LIVE, self.watched_revision, WATCH_TIMEOUT_S)
+        for change in changes:
             if change.deleted_key is not None:
-                await self._gone(GraphId(change.deleted_key[len(LIVE) :]))
+                await self._remove_graph(_graph_id(change.deleted_key))
             elif change.put_key is not None:
-                await self._take(change.put_key, change.data, change.version)
-        self.watched_revision = after
+                await self._add_graph(change.put_key, change.data, change.version)
+        self.watched_revision = revision
 
-    async def _gone(self, id: GraphId) -> None:
-        self.known_graphs.discard(id)
-        await self.tell(GraphGone(id))
+    async def _remove_graph(self, graph_id: GraphId) -> None:
+        """Send the loop the message that the graph's live record was deleted."""
+        self.known_graphs.discard(graph_id)
+        await self.tell(GraphGone(graph_id))
 
-    async def _take(self, path: str, data: Any, stamp: int) -> None:
-        id = GraphId(path[len(LIVE) :])
-        if id in self.known_graphs:
+    async def _add_graph(self, key: str, data: object, version: int) -> None:
+        """Read the rest of a graph and send it to the loop, unless the graph is known already.
+
+        A malformed graph is logged and left out: it must not stop the others.
+        """
+        graph_id = _graph_id(key)
+        if graph_id in self.known_graphs:
             return
         try:
             record = wire.convert(data, GraphRecord)
-            tasks = await read_tasks(self.store, id, record)
-            progress = await read_progress(self.store, id)
+            tasks = await read_tasks(self.store, graph_id, record)
+            progress = await read_progress(self.store, graph_id)
         except (wire.MalformedMessageError, IncompleteGraphError, ValueError) as error:
-            log.error("graph_malformed", graph=id, error=error)
+            # The cause is in the stored data, so a traceback would tell nothing.
+            log.error("graph_malformed", graph=graph_id, error=error)  # noqa: TRY400
             return
-        self.known_graphs.add(id)
-        await self.tell(GraphPut((id, record, Version(stamp), tasks, progress)))
+        self.known_graphs.add(graph_id)
+        await self.tell(GraphPut((graph_id, record, Version(version), tasks, progress)))
 
     async def finish(self) -> None:
+        """Store the end of every finished graph; runs until cancelled."""
         while True:
-            await curio.sleep(ENDS_S)
+            await curio.sleep(FINISH_INTERVAL_S)
             for end in self.graph_state.finished():
                 if not self.is_leader():
                     break
-                try:
-                    await self.store.commit(
-                        [self.leadership_condition(), *end.conditions], end.writes
-                    )
-                except (
-                    state_client.StateUnavailableError,
-                    state_client.UnknownOutcomeError,
-                    state_client.CompareAndSwapError,
-                ) as error:
-                    log.debug("graph_not_ended", graph=end.id, error=error)
-                    continue  # if it was: its live record's deletion tells
-                log.info("graph_ended", graph=end.id)
-                await self._gone(end.id)
+                await self._store_end(end)
+
+    async def _store_end(self, end: GraphEnd) -> None:
+        """Store the end of one graph under the condition that this process still leads."""
+        try:
+            conditions = [self.leadership_condition(), *end.conditions]
+            await self.store.commit(conditions, end.writes)
+        except COMMIT_ERRORS as error:
+            # If the commit did take effect, the deletion of the live record is seen by `watch`.
+            log.debug("graph_not_ended", graph=end.id, error=error)
+            return
+        log.info("graph_ended", graph=end.id)
+        await self._remove_graph(end.id)
 
     async def clean(self) -> None:
-        """Remove what never became a graph."""
+        """Remove submissions that never became a graph; runs until cancelled."""
         while True:
-            await curio.sleep(CLEAN_S)
+            await curio.sleep(CLEAN_INTERVAL_S)
             if not self.is_leader():
                 continue
             try:
                 await give_up_old(self.store, time.time())
                 await delete_stale(self.store)
-            except (
-                state_client.StateUnavailableError,
-                state_client.UnknownOutcomeError,
-                state_client.CompareAndSwapError,
-            ) as error:
+            except COMMIT_ERRORS as error:
                 log.debug("graphs_not_cleaned", error=error)
+
+
+def _graph_id(live_key: str) -> GraphId:
+    """The graph that a key below `graphs/live/` belongs to."""
+    return GraphId(live_key[len(LIVE) :])
--- a/umberward/graphs/graph_state.py
+++ b/umberward/graphs/graph_state.py
@@ -1,4 +1,4 @@
-"""All graphs under way, beside the scheduler that runs their tasks. No I/O."""
+"""All unfinished graphs of the leader, beside the scheduler that runs their tasks. No I/O."""
 
 from __future__ import annotations
 
@@ -16,9 +16,11 @@
 
 log = logger(__name__)
 
+NO_GRACE_S = 0.0  # a withdrawn task is over, so it has no checkpoint to save
+
 
 class GraphEnd(NamedTuple):
-    """A graph is over: one transaction says so."""
+    """The transaction that stores the end of graph `id`."""
 
     id: GraphId
     conditions: list[tuple[Key, Version]]
@@ -26,71 +28,86 @@
 
 
 class GraphState:
+    """The leader's unfinished graphs, each with its arrays admitted to the scheduler."""
+
     def __init__(self, scheduler: Scheduler) -> None:
+        """Create a state without graphs; `scheduler` runs the tasks of those added later."""
         self.scheduler = scheduler
         self.graphs: dict[GraphId, LiveGraph] = {}
 
     def add(
         self,
-        id: GraphId,
+        graph_id: GraphId,
         record: GraphRecord,
-        stamp: Version,
+        version: Version,
         tasks: list[Task],
         progress: records.Progress,
     ) -> None:
-        """An accepted graph, with what is stored of its progress."""
-        if id in self.graphs:
+        """Admit an accepted graph to the scheduler; does nothing if the graph is known.
+
+        `version` is that of the graph's live record, `progress` what is stored of its arrays.
+        Raises ValueError for tasks that form no graph.
+        """
+        if graph_id in self.graphs:
             return
-        scheduler = self.scheduler
         graph = LiveGraph(
-            id,
+            graph_id,
             record,
-            stamp,
+            version,
             Shape(tasks),
             progress,
-            scheduler.value_limit,
-            self._task_ready,
-            scheduler.writer.note_completions,
+            self.scheduler.value_limit,
+            self._request_pass,
+            self.scheduler.writer.note_completions,
             self._withdraw,
         )
-        self.graphs[id] = graph
+        self.graphs[graph_id] = graph
+        self._admit_jobs(graph)
+        log.info("graph_taken", graph=graph_id, tasks=len(graph.shape), arrays=len(graph.jobs))
+
+    def _admit_jobs(self, graph: LiveGraph) -> None:
+        """Pass the graph's arrays to the scheduler."""
         for job in graph.jobs:
-            scheduler.admit_job(job)
+            self.scheduler.admit_job(job)
             if job.progress_unstored:
-                scheduler.writer.note_completions(job)
-        if scheduler.all_settled:
-            # No machine is left on which a former holder's task could be found.
+                self.scheduler.writer.note_completions(job)
+        if self.scheduler.all_settled:
+            # No machine is left on which a task started by a former leader could be found.
             for job in graph.jobs:
                 job.requeue_unlocated()
-        log.info("graph_taken", graph=id, tasks=len(graph.shape), arrays=len(graph.jobs))
 
-    def remove(self, id: GraphId) -> None:
-        """The graph's live record is gone: it is over, or was cancelled by some controller."""
-        graph = self.graphs.pop(id, None)
+    def remove(self, graph_id: GraphId) -> None:
+        """Forget a graph with a deleted live record: it has ended or a controller cancelled it."""
+        graph = self.graphs.pop(graph_id, None)
         if graph is not None:
             for job in graph.jobs:
                 self.scheduler.remove_job(job.id)
 
     def finished(self) -> list[GraphEnd]:
-        """Graphs whose end is to be stored."""
-        found = []
-        for graph in self.graphs.values():
-            if graph.ended:
-                key = records.live_key(graph.id)
-                end = graph.end(self.scheduler.wall())
-                writes = [
-                    transactions.put(records.past_key(graph.id), end),
-                    transactions.delete(key),
-                ]
-                # What stands in the arrays' records must be what was counted.
-                found.append(GraphEnd(graph.id, [(key, graph.stamp)], writes))
-        return found
-
-    def _task_ready(self, job: Job) -> None:
+        """Return the transactions that store the end of each finished graph."""
+        return [self._end_of(graph) for graph in self.graphs.values() if graph.ended]
+
+    def _end_of(self, graph: LiveGraph) -> GraphEnd:
+        """Build the transaction that moves a graph from its live to its past record.
+
+        Its condition is the live record's version: a cancellation in between must win.
+        """
+        live_key = records.live_key(graph.id)
+        writes = [
+            transactions.put(records.past_key(graph.id), graph.end(self.scheduler.wall())),
+            transactions.delete(live_key),
+        ]
+        # What the end record counts must agree with the arrays' records; `LiveGraph.ended` waits
+        # until these are stored.
+        return GraphEnd(graph.id, [(live_key, graph.stamp)], writes)
+
+    def _request_pass(self, job: Job) -> None:
+        """Have the scheduler place this array's startable tasks in its next pass."""
         self.scheduler.unplaced[job.id] = job
         self.scheduler.pass_wanted = True
 
-    def _withdraw(self, job: Job, number: int) -> None:
-        placement = job.placements.get(number)
+    def _withdraw(self, job: Job, index: int) -> None:
+        """Stop a task that is over, if it has a placement."""
+        placement = job.placements.get(index)
         if placement is not None:
-            self.scheduler.stop(placement, 0.0)
+            self.scheduler.stop(placement, NO_GRACE_S)
