--- /dev/null
+++ b/umberward/graphs/graph_reader.py
@@ -0,0 +1,104 @@
+"""Reads graphs for a controller's answers, and caches what can no longer change."""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from typing import NamedTuple
+
+from umberward.clients import state_client
+from umberward.clients.state_client import StateClient
+from umberward.core.log import logger
+from umberward.graphs import records
+from umberward.graphs.errors import GraphRejectedError
+from umberward.graphs.model import GraphId, Shape
+from umberward.graphs.records import EndRecord, GraphRecord, IncompleteGraphError, Progress
+from umberward.graphs.store import read_progress, read_tasks
+from umberward.protocol import wire
+
+# Split from `graph_api`; the logger name is part of the log lines, which stay as they were.
+log = logger("umberward.graphs.graph_api")
+
+MAX_CACHED_SHAPES = 8
+MAX_CACHED_ENDED_GRAPHS = 200
+
+
+class StoredGraph(NamedTuple):
+    """A graph as it stands in the state service; `end` is None while it is live."""
+
+    graph: GraphRecord
+    end: EndRecord | None
+    progress: Progress
+
+
+class _CachedShape(NamedTuple):
+    """A shape, with the digests of the content that it was built from."""
+
+    digests: list[str]
+    shape: Shape
+
+
+class GraphReader:
+    """Reads graphs from the state service.
+
+    All methods raise what `StateClient` raises when the service does not answer.
+    """
+
+    def __init__(self, store: StateClient) -> None:
+        """Create a reader with empty caches."""
+        self.store = store
+        self._shapes: OrderedDict[GraphId, _CachedShape] = OrderedDict()
+        self._ended_graphs: OrderedDict[GraphId, StoredGraph] = OrderedDict()
+
+    async def record(self, graph_id: GraphId) -> GraphRecord | EndRecord | None:
+        """Return the graph's live or past record; None: no such graph was accepted.
+
+        One transaction moves a graph from live to past, so the live key is read first.
+        """
+        if graph_id in self._ended_graphs:
+            return self._ended_graphs[graph_id].end
+        entry = await self.store.get(records.live_key(graph_id))
+        if entry is not None:
+            return wire.convert(entry.data, GraphRecord)
+        entry = await self.store.get(records.past_key(graph_id))
+        if entry is not None:
+            return wire.convert(entry.data, EndRecord)
+        return None
+
+    async def find(self, graph_id: GraphId) -> StoredGraph:
+        """Return the graph with its progress; raise GraphRejectedError (404) if there is none."""
+        if graph_id in self._ended_graphs:
+            return self._ended_graphs[graph_id]
+        # Progress is read first: while the live record stands, progress read before it is recent
+        # enough, and once the live record is gone the progress no longer changes.
+        progress = await read_progress(self.store, graph_id)
+        record = await self.record(graph_id)
+        if record is None:
+            raise GraphRejectedError(404, "no such graph")
+        if isinstance(record, GraphRecord):
+            return StoredGraph(record, None, progress)
+        # The last progress may have been stored after the read above.
+        progress = await read_progress(self.store, graph_id)
+        ended_graph = StoredGraph(record.graph, record, progress)
+        self._ended_graphs[graph_id] = ended_graph
+        while len(self._ended_graphs) > MAX_CACHED_ENDED_GRAPHS:
+            self._ended_graphs.popitem(last=False)
+        return ended_graph
+
+    async def shape(self, graph_id: GraphId, record: GraphRecord) -> Shape:
+        """Return the shape of an accepted graph.
+
+        Raises StateUnavailableError, so that the user asks again, if its content is malformed.
+        """
+        cached = self._shapes.get(graph_id)
+        if cached is not None and cached.digests == record.digests:
+            return cached.shape
+        try:
+            shape = Shape(await read_tasks(self.store, graph_id, record))
+        except (IncompleteGraphError, ValueError, wire.MalformedMessageError) as error:
+            # The cause is in the stored data, so a traceback would tell nothing.
+            log.error("graph_malformed", graph=graph_id, error=error)  # noqa: TRY400
+            raise state_client.StateUnavailableError(str(error)) from None
+        self._shapes[graph_id] = _CachedShape(record.digests, shape)
+        while len(self._shapes) > MAX_CACHED_SHAPES:
+            self._shapes.popitem(last=False)
+        return shape
