--- a/tests/guards.py
+++ b/tests/guards.py
@@ -13,8 +13,9 @@
 from umberward.control.job_state_cache import JobStateCache
 from umberward.control.peer_link import PeerLink
 from umberward.core.types import JobId
-from umberward.graphs import live
-from umberward.graphs.live import DagJob, LiveGraph
+from umberward.graphs import graph_job
+from umberward.graphs.graph_job import DagJob
+from umberward.graphs.live import LiveGraph
 from umberward.leader import failover_snapshot, leader_loop
 from umberward.leader.leader_election import LeaderElection
 from umberward.protocol.http import Client
@@ -308,7 +309,7 @@
 def graph_excused(patch: pytest.MonkeyPatch) -> None:
     """Failures count against their task, whatever is known of their machines."""
     patch.setattr(DagJob, "_used", lambda self, index: len(self.failed_attempts[index]))
-    patch.setattr(live, "EXTRA_ATTEMPTS", 0)
+    patch.setattr(graph_job, "EXTRA_ATTEMPTS", 0)
 
 
 def graph_inferred(patch: pytest.MonkeyPatch) -> None:
--- a/umberward/graphs/graph_api.py
+++ b/umberward/graphs/graph_api.py
@@ -65,7 +65,7 @@
         self._max_transaction_writes = settings.platform.cluster.state.strictest().txn_ops
         self._reader = GraphReader(store)
         self._submission = GraphSubmission(
-            settings, store, self._reader, machine_types, wall, rng, self.poll
+            settings, self._reader, machine_types, wall, rng, self.poll
         )
         self._handlers: dict[_Route, Callable[[_Request], Awaitable[Response]]] = {
             _Route("POST", names_graph=False, action=""): self._serve_submit,
--- a/umberward/graphs/graph_state.py
+++ b/umberward/graphs/graph_state.py
@@ -7,7 +7,7 @@
 from umberward.core.log import logger
 from umberward.core.types import Key, Version
 from umberward.graphs import records
-from umberward.graphs.live import LiveGraph
+from umberward.graphs.live import AcceptedGraph, LiveGraph, SchedulerCallbacks
 from umberward.graphs.model import GraphId, Shape, Task
 from umberward.graphs.records import GraphRecord
 from umberward.protocol import transactions
@@ -51,15 +51,15 @@
         if graph_id in self.graphs:
             return
         graph = LiveGraph(
-            graph_id,
-            record,
-            version,
+            AcceptedGraph(graph_id, record, version),
             Shape(tasks),
             progress,
             self.scheduler.value_limit,
-            self._request_pass,
-            self.scheduler.writer.note_completions,
-            self._withdraw,
+            SchedulerCallbacks(
+                request_pass=self._request_pass,
+                progress_changed=self.scheduler.writer.note_completions,
+                withdraw=self._withdraw,
+            ),
         )
         self.graphs[graph_id] = graph
         self._admit_jobs(graph)
@@ -99,7 +99,7 @@
         ]
         # What the end record counts must agree with the arrays' records; `LiveGraph.ended` waits
         # until these are stored.
-        return GraphEnd(graph.id, [(live_key, graph.stamp)], writes)
+        return GraphEnd(graph.id, [(live_key, graph.version)], writes)
 
     def _request_pass(self, job: Job) -> None:
         """Have the scheduler place this array's startable tasks in its next pass."""
--- a/umberward/graphs/graph_submission.py
+++ b/umberward/graphs/graph_submission.py
@@ -18,7 +18,6 @@
 import msgspec
 
 from umberward.clients import state_client
-from umberward.clients.state_client import StateClient
 from umberward.core.log import logger
 from umberward.core.settings import Settings
 from umberward.core.types import Key, MachineTypeName, Version, WallTime
@@ -71,10 +70,9 @@
     raises.
     """
 
-    def __init__(  # noqa: PLR0913 - it needs all collaborators of the API, given once at start
+    def __init__(
         self,
         settings: Settings,
-        store: StateClient,
         reader: GraphReader,
         machine_types: dict[MachineTypeName, MachineType],
         wall: Callable[[], WallTime],
@@ -86,7 +84,7 @@
         `machine_types` is shared with its owner and empty until the controller knows the cluster.
         `wall` is this controller's clock. `poll` answers with the state of a known graph.
         """
-        self._store = store
+        self._store = reader.store
         self._reader = reader
         self._machine_types = machine_types
         self._wall = wall
