--- a/umberward/graphs/files.py
+++ b/umberward/graphs/files.py
@@ -13,12 +13,12 @@
 from umberward.core.settings import TeamQuota
 from umberward.core.types import MachineTypeName
 from umberward.graphs import model
-from umberward.graphs.model import File, GraphId, Part
+from umberward.graphs.model import File, GraphId, Part, Task
 from umberward.protocol import wire
 from umberward.protocol.wire import MAX_BODY_BYTES, MachineType
 from umberward.scheduling.quota import Quota
 
-PART_BYTES = MAX_BODY_BYTES - 4096  # of tasks in one part; the rest is for what goes with them
+PART_TASKS_BYTES = MAX_BODY_BYTES - 4096  # the rest is for the other fields of a part
 
 _TOML_TASK = re.compile(r"^\s*\[\[\s*tasks\s*\]\]", re.MULTILINE)
 _JSON_TASK = re.compile(r'"name"\s*:')
@@ -26,9 +26,10 @@
 
 
 class GraphFileError(Exception):
-    """One line for each thing that is wrong: FILE:LINE: what."""
+    """A graph file has faults: one line for each, as FILE:LINE: what is wrong."""
 
     def __init__(self, lines: list[str]) -> None:
+        """Create an error from the lines to show to the user."""
         super().__init__("\n".join(lines))
         self.lines = lines
 
@@ -36,71 +37,93 @@
 def load(
     path: Path,
     teams: Iterable[TeamQuota] | None = None,
-    skus: dict[MachineTypeName, MachineType] | None = None,
+    machine_types: dict[MachineTypeName, MachineType] | None = None,
 ) -> File:
-    """Raises FileError. `teams`, `skus`: those of the cluster that it is for, if they are known."""
+    """Read and check a graph file.
+
+    `teams` and `machine_types` are those of the cluster that the graph is for; None: not known.
+    Raises GraphFileError with one line for each fault.
+    """
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
         raise GraphFileError([f"{path}: {error.strerror or error}"]) from None
     except UnicodeDecodeError as error:
         raise GraphFileError([f"{path}: not UTF-8 text: {error.reason}"]) from None
-    is_json = path.suffix == ".json"
+    raw = _decode(path, text)
+    lines = _task_lines(path, text)
     try:
-        raw = msgspec.json.decode(text) if is_json else tomllib.loads(text)
-    except msgspec.DecodeError as error:
-        raise GraphFileError([f"{path}: not JSON: {error}"]) from None
-    except tomllib.TOMLDecodeError as error:
-        raise GraphFileError([f"{path}: not TOML: {error}"]) from None
-    lines = _task_lines(text, is_json)
-    try:
-        made = msgspec.convert(raw, File)
+        file = msgspec.convert(raw, File)
     except msgspec.ValidationError as error:
-        what, _, where = str(error).partition(" - at `$")
-        where = where.rstrip("`").lstrip(".")
-        found = _TASK_PATH.search(where)
-        at = _at(path, lines, int(found[1]) if found else None)
-        raise GraphFileError([f"{at} {where}: {what}" if where else f"{at} {what}"]) from None
-    wrong = model.problems(made.tasks, skus)
+        raise GraphFileError([_describe(path, lines, error)]) from None
+    problems = model.problems(file.tasks, machine_types)
     if teams is not None:
-        wrong += model.team_problems(
-            made.graph.team, [] if wrong else made.tasks, Quota(list(teams))
+        well_formed_tasks = [] if problems else file.tasks
+        problems += model.team_problems(file.graph.team, well_formed_tasks, Quota(list(teams)))
+    if problems:
+        raise GraphFileError(
+            [f"{_location(path, lines, problem.task)} {problem.text}" for problem in problems]
         )
-    said = [f"{_at(path, lines, problem.task)} {problem.text}" for problem in wrong]
-    if said:
-        raise GraphFileError(said)
-    return made
+    return file
 
 
-def parts(id: GraphId, file: File) -> list[Part]:
-    """The graph as it is sent; each part fits into one request."""
-    groups: list[list[model.Task]] = [[]]
-    size = 0
+def parts(graph_id: GraphId, file: File) -> list[Part]:
+    """Cut a graph into parts that each fit into one request."""
+    groups: list[list[Task]] = [[]]
+    group_bytes = 0
     for task in file.tasks:
-        bytes_ = len(wire.encode(task))
-        if groups[-1] and size + bytes_ > PART_BYTES:
+        task_bytes = len(wire.encode(task))
+        if groups[-1] and group_bytes + task_bytes > PART_TASKS_BYTES:
             groups.append([])
-            size = 0
+            group_bytes = 0
         groups[-1].append(task)
-        size += bytes_
-    return [Part(id, file.graph, tasks, number, len(groups)) for number, tasks in enumerate(groups)]
+        group_bytes += task_bytes
+    return [
+        Part(graph_id, file.graph, tasks, number, len(groups))
+        for number, tasks in enumerate(groups)
+    ]
 
 
 def schema() -> dict[str, Any]:
-    """Of a graph file, as JSON schema."""
-    made = msgspec.json.schema(File)
-    return {"$schema": "https://json-schema.org/draft/2020-12/schema", **made}
+    """Return the JSON schema of a graph file."""
+    file_schema = msgspec.json.schema(File)
+    return {"$schema": "https://json-schema.org/draft/2020-12/schema", **file_schema}
+
+
+def _is_json(path: Path) -> bool:
+    """Whether the file is JSON; any other is TOML."""
+    return path.suffix == ".json"
+
+
+def _decode(path: Path, text: str) -> object:
+    """Decode the text of a graph file; raise GraphFileError for broken syntax."""
+    try:
+        return msgspec.json.decode(text) if _is_json(path) else tomllib.loads(text)
+    except msgspec.DecodeError as error:
+        raise GraphFileError([f"{path}: not JSON: {error}"]) from None
+    except tomllib.TOMLDecodeError as error:
+        raise GraphFileError([f"{path}: not TOML: {error}"]) from None
+
+
+def _describe(path: Path, lines: list[int], error: msgspec.ValidationError) -> str:
+    """The line for the user about a field that does not fit the schema."""
+    message, _, field = str(error).partition(" - at `$")
+    field = field.rstrip("`").lstrip(".")
+    match = _TASK_PATH.search(field)
+    location = _location(path, lines, int(match[1]) if match else None)
+    return f"{location} {field}: {message}" if field else f"{location} {message}"
 
 
-def _task_lines(text: str, is_json: bool) -> list[int]:
-    """The line on which each task begins, as far as the text's usual forms tell."""
-    pattern = _JSON_TASK if is_json else _TOML_TASK
-    return [text.count("\n", 0, found.end()) + 1 for found in pattern.finditer(text)]
+def _task_lines(path: Path, text: str) -> list[int]:
+    """The line on which each task begins, found by the usual forms of writing one."""
+    pattern = _JSON_TASK if _is_json(path) else _TOML_TASK
+    return [text.count("\n", 0, match.end()) + 1 for match in pattern.finditer(text)]
 
 
-def _at(path: Path, lines: list[int], task: int | None) -> str:
-    if task is None:
+def _location(path: Path, lines: list[int], task_number: int | None) -> str:
+    """FILE:LINE of a task, its number if the line is not known, or the file as a whole."""
+    if task_number is None:
         return f"{path}:"
-    if task < len(lines):
-        return f"{path}:{lines[task]}:"
-    return f"{path}: task {task + 1}:"
+    if task_number < len(lines):
+        return f"{path}:{lines[task_number]}:"
+    return f"{path}: task {task_number + 1}:"
--- a/umberward/graphs/model.py
+++ b/umberward/graphs/model.py
@@ -1,6 +1,6 @@
 """A task graph as its user sends it, and its shape as the scheduler uses it. No I/O.
 
-Fields are named as Ray's users know them (`num_cpus`, `num_gpus`, `memory` in bytes,
+Fields have the names that users of Ray know (`num_cpus`, `num_gpus`, `memory` in bytes,
 `max_retries`, `resources`). Tasks that take the same of their machines are of one kind; each kind
 becomes one array of the scheduler, whose tasks are numbered in topological order.
 """
@@ -8,32 +8,44 @@
 from __future__ import annotations
 
 import graphlib
+import math
 import re
+from collections.abc import Mapping
 from typing import Annotated, Literal, NamedTuple, NewType
 
 import msgspec
 
 from umberward.core.types import JOB_PREFIX, MAX_TASKS, JobId, MachineTypeName, Resources, TeamName
+from umberward.graphs.errors import (
+    CyclicGraphError,
+    DuplicateNameError,
+    MalformedGraphError,
+    UnknownNeedError,
+    UnknownResourceError,
+)
 from umberward.protocol import wire
 from umberward.protocol.wire import JobSpec, MachineType, Name, NonNegative, Positive
 from umberward.scheduling.quota import Quota
 
 GraphId = NewType("GraphId", str)
+MachineTypes = Mapping[MachineTypeName, MachineType]
 
 GRAPH_PREFIX = "graph-"
 GRAPH_DIGITS = 13
 KIND_DIGITS = 4
-OWN_DIGIT = "9"  # the first of 18 digits of the ids of arrays that belong to graphs
-MOST_TASKS = 10_000
-MOST_KINDS = 12
-MOST_NEEDS = 1_000  # of one task
-MOST_PARTS = 200
-GB = 1e9  # `memory` is in bytes
-DEFAULT_MEMORY = 1e9
-SHOWN = 12  # names of a cycle that are printed
+GRAPH_JOB_DIGIT = "9"  # the first of 18 digits in the ids of arrays that belong to graphs
+MAX_GRAPH_TASKS = 10_000
+MAX_KINDS = 12
+MAX_PRINTED_CYCLE_NAMES = 12
+MAX_NEEDS = 1_000  # of one task
+MAX_PARTS = 200
+BYTES_PER_GB = 1e9  # `memory` is in bytes, resources of machines in GB
+DEFAULT_MEMORY = 1e9  # bytes
 
 _GRAPH_ID = re.compile(GRAPH_PREFIX + rf"[0-9]{{1,{GRAPH_DIGITS}}}\Z")
-_JOB_ID = re.compile(rf"{JOB_PREFIX}{OWN_DIGIT}([0-9]{{{GRAPH_DIGITS}}})([0-9]{{{KIND_DIGITS}}})\Z")
+_JOB_ID = re.compile(
+    rf"{JOB_PREFIX}{GRAPH_JOB_DIGIT}([0-9]{{{GRAPH_DIGITS}}})([0-9]{{{KIND_DIGITS}}})\Z"
+)
 
 TaskName = Annotated[str, msgspec.Meta(min_length=1, max_length=100, pattern=r"^[^\x00-\x1f]*$")]
 
@@ -42,7 +54,7 @@
     """One task: what it needs done before it, and what it takes of its machine."""
 
     name: TaskName
-    needs: Annotated[list[TaskName], msgspec.Meta(max_length=MOST_NEEDS)] = []
+    needs: Annotated[list[TaskName], msgspec.Meta(max_length=MAX_NEEDS)] = []
     num_cpus: Positive = 1.0
     num_gpus: NonNegative = 0.0
     memory: Annotated[float, msgspec.Meta(gt=0, le=1e18)] = DEFAULT_MEMORY
@@ -52,7 +64,10 @@
 
 
 class Options(msgspec.Struct, omit_defaults=True, forbid_unknown_fields=True):
-    """What holds for all tasks of a graph."""
+    """The options of a graph, which apply to all its tasks.
+
+    `due_s` is the deadline in seconds after submission, `pull_gb` the size of the image.
+    """
 
     team: Name
     rank: Literal["production", "urgent", "normal", "idle"] = "normal"
@@ -65,35 +80,27 @@
 
 
 class File(msgspec.Struct, omit_defaults=True, forbid_unknown_fields=True):
-    """A whole graph, as files have it."""
+    """A whole graph as it is written in a file."""
 
     graph: Options
     tasks: Annotated[list[Task], msgspec.Meta(min_length=1)]
 
 
 class Part(msgspec.Struct, forbid_unknown_fields=True):
-    """One part of a graph on its way to the controllers; at most 64 KiB as MessagePack."""
-
-    uid: Name
-    options: Options
-    tasks: Annotated[list[Task], msgspec.Meta(min_length=1, max_length=MOST_TASKS)]
-    part: Annotated[int, msgspec.Meta(ge=0, lt=MOST_PARTS)] = 0
-    parts: Annotated[int, msgspec.Meta(ge=1, le=MOST_PARTS)] = 1
+    """One part of a graph as it is sent to a controller; at most 64 KiB as MessagePack.
 
-
-class Problem(NamedTuple):
-    """Something wrong with a graph. `task`: its place in the list, None: the graph as a whole.
-
-    `never`: well-formed, and yet it can never run here.
+    `part` counts from 0 and is below `parts`.
     """
 
-    task: int | None
-    text: str
-    never: bool = False
+    uid: Name
+    options: Options
+    tasks: Annotated[list[Task], msgspec.Meta(min_length=1, max_length=MAX_GRAPH_TASKS)]
+    part: Annotated[int, msgspec.Meta(ge=0, lt=MAX_PARTS)] = 0
+    parts: Annotated[int, msgspec.Meta(ge=1, le=MAX_PARTS)] = 1
 
 
 class Kind(NamedTuple):
-    """What tasks of one array have in common."""
+    """What the tasks of one array have in common; `memory` is in bytes."""
 
     cpus: float
     gpus: float
@@ -104,78 +111,80 @@
 
     @property
     def need(self) -> Resources:
-        return Resources(self.cpus, self.gpus, self.memory / GB)
+        """What one task takes of its machine."""
+        return Resources(self.cpus, self.gpus, self.memory / BYTES_PER_GB)
 
 
 class Place(NamedTuple):
-    """Where a task of a graph stands among the scheduler's arrays."""
+    """The array of a task, by its kind, and the task's index in that array."""
 
     kind: int
     number: int
 
 
 def parse_graph_id(text: object) -> GraphId | None:
+    """Return the graph id in its canonical form, without leading zeros; None: it is no graph id."""
     if isinstance(text, str) and _GRAPH_ID.match(text):
         return GraphId(f"{GRAPH_PREFIX}{int(text[len(GRAPH_PREFIX) :])}")
     return None
 
 
-def job_id(graph: GraphId, kind: int) -> JobId:
-    """The array that tasks of this kind are of. Users' own jobs never have such an id."""
-    number = int(graph[len(GRAPH_PREFIX) :])
-    return JobId(f"{JOB_PREFIX}{OWN_DIGIT}{number:0{GRAPH_DIGITS}d}{kind:0{KIND_DIGITS}d}")
+def job_id(graph_id: GraphId, kind: int) -> JobId:
+    """Return the id of the array for tasks of this kind; no user's own job has such an id."""
+    number = int(graph_id[len(GRAPH_PREFIX) :])
+    return JobId(f"{JOB_PREFIX}{GRAPH_JOB_DIGIT}{number:0{GRAPH_DIGITS}d}{kind:0{KIND_DIGITS}d}")
 
 
-def graph_of(job: str) -> tuple[GraphId, int] | None:
-    """The graph and kind that an array is for; None: it is an ordinary job."""
-    found = _JOB_ID.match(job)
-    if found is None:
+def graph_of(job_id: str) -> tuple[GraphId, int] | None:
+    """Return the graph and the kind that an array is for; None: it is an ordinary job."""
+    match = _JOB_ID.match(job_id)
+    if match is None:
         return None
-    return GraphId(f"{GRAPH_PREFIX}{int(found[1])}"), int(found[2])
+    return GraphId(f"{GRAPH_PREFIX}{int(match[1])}"), int(match[2])
 
 
 class Shape:
-    """Tasks in topological order, level by level, and how they hang together.
+    """The tasks of a graph in topological order, level by level, and their dependencies.
 
-    All lists are by that order. `names` are the users', `needs` and `heirs` are places in the
-    order, `place` says which task of which array each is, `members` is the way back.
+    A position is a place in that order, and all lists but those by kind are indexed by it. `names`
+    are the users'; `needs` and `heirs` hold the positions of the tasks that a task needs directly
+    and of those that need it; `place` is the task's array and index. By kind: `kinds`, `members`
+    (the position of each task of the array) and `expect_s` (the longest expected runtime, in
+    seconds).
     """
 
     def __init__(self, tasks: list[Task]) -> None:
-        """Raises ValueError for a graph that `problems` finds fault with."""
+        """Order the tasks; raise MalformedGraphError for tasks that `problems` rejects."""
         numbers = {task.name: number for number, task in enumerate(tasks)}
         if len(numbers) != len(tasks):
-            raise ValueError("doubled names")
-        level = [0] * len(tasks)
-        try:
-            sorter = graphlib.TopologicalSorter(
-                {n: [numbers[name] for name in task.needs] for n, task in enumerate(tasks)}
-            )
-            for number in sorter.static_order():
-                for name in tasks[number].needs:
-                    level[number] = max(level[number], level[numbers[name]] + 1)
-        except KeyError as error:
-            raise ValueError(f"unknown name {error}") from None
-        except graphlib.CycleError:
-            raise ValueError("a cycle") from None
-        order = sorted(range(len(tasks)), key=lambda number: (level[number], number))
-        at = [0] * len(tasks)
-        for position, number in enumerate(order):
-            at[number] = position
+            raise DuplicateNameError
+        levels = _levels(tasks, numbers)
+        order = sorted(range(len(tasks)), key=lambda number: (levels[number], number))
         self.names = [tasks[number].name for number in order]
-        self.needs = [sorted({at[numbers[n]] for n in tasks[number].needs}) for number in order]
-        self.heirs: list[list[int]] = [[] for _ in order]
-        for position, needs in enumerate(self.needs):
-            for need in needs:
-                self.heirs[need].append(position)
+        self._connect(tasks, numbers, order)
         self.kinds: list[Kind] = []
         self.place: list[Place] = []
         self.members: list[list[int]] = []
-        # The longest that its owner expects of any of a kind's tasks.
         self.expect_s: list[float] = []
-        known: dict[Kind, int] = {}
+        self._divide([tasks[number] for number in order])
+
+    def _connect(self, tasks: list[Task], numbers: dict[str, int], order: list[int]) -> None:
+        """Fill `needs` and `heirs`."""
+        positions = [0] * len(tasks)
         for position, number in enumerate(order):
-            task = tasks[number]
+            positions[number] = position
+        self.needs = [
+            sorted({positions[numbers[name]] for name in tasks[number].needs}) for number in order
+        ]
+        self.heirs: list[list[int]] = [[] for _ in order]
+        for position, needs in enumerate(self.needs):
+            for need in needs:
+                self.heirs[need].append(position)
+
+    def _divide(self, ordered_tasks: list[Task]) -> None:
+        """Fill the lists by kind, and `place`."""
+        known: dict[Kind, int] = {}
+        for position, task in enumerate(ordered_tasks):
             kind = kind_of(task)
             index = known.setdefault(kind, len(known))
             if index == len(self.kinds):
@@ -187,31 +196,35 @@
             self.expect_s[index] = max(self.expect_s[index], task.expect_s)
 
     def __len__(self) -> int:
+        """Return the number of tasks."""
         return len(self.names)
 
     def spread(self, position: int, because: dict[int, int]) -> list[int]:
-        """Note in `because` this failed task for all that need it and have none noted; these, in
-        topological order. What hangs on one that has was noted with it, and is not walked again.
+        """Record the failed task at `position` as the reason why others will not run.
+
+        Adds it to `because` for every task that needs it, directly or not, and has no reason yet;
+        returns these tasks in topological order. Tasks that depend on one with a reason got theirs
+        together with it, and are not visited again.
         """
         return sorted(_reached(position, self.heirs, because))
 
     def before(self, position: int) -> list[int]:
-        """All tasks that this one needs, directly or through others, in topological order."""
+        """Return all tasks that this one needs, directly or not, in topological order."""
         return sorted(_reached(position, self.needs, {}))
 
-    def spec(self, graph: GraphId, options: Options, kind: int) -> JobSpec:
-        """The array that the scheduler runs for the tasks of one kind."""
-        same = self.kinds[kind]
+    def spec(self, graph_id: GraphId, options: Options, kind: int) -> JobSpec:
+        """Return the specification of the array for the tasks of one kind."""
+        common = self.kinds[kind]
         return JobSpec(
-            job_id=job_id(graph, kind),
+            job_id=job_id(graph_id, kind),
             job_class=options.job_class,
             team=options.team,
             kind=wire.ARRAY,
             priority=options.rank,
             task_count=len(self.members[kind]),
-            cores=same.cpus,
-            accelerators=same.gpus,
-            mem_gb=same.memory / GB,
+            cores=common.cpus,
+            accelerators=common.gpus,
+            mem_gb=common.memory / BYTES_PER_GB,
             image=options.image,
             image_gb=options.pull_gb,
             expected_runtime_s=self.expect_s[kind],
@@ -220,106 +233,154 @@
             spot=options.reclaimable,
             checkpoint_interval_s=0.0,
             checkpoint_cost_s=0.0,
-            machine_types=None if same.type is None else [same.type],
-            zone=same.zone,
+            machine_types=None if common.type is None else [common.type],
+            zone=common.zone,
             deadline_s=options.due_s,
         )
 
 
+def _levels(tasks: list[Task], numbers: dict[str, int]) -> list[int]:
+    """Return the length of the longest chain of needs below each task."""
+    levels = [0] * len(tasks)
+    try:
+        sorter = graphlib.TopologicalSorter(
+            {number: [numbers[name] for name in task.needs] for number, task in enumerate(tasks)}
+        )
+        for number in sorter.static_order():
+            for name in tasks[number].needs:
+                levels[number] = max(levels[number], levels[numbers[name]] + 1)
+    except KeyError as error:
+        raise UnknownNeedError(error.args[0]) from None
+    except graphlib.CycleError:
+        raise CyclicGraphError from None
+    return levels
+
+
 def _reached(position: int, edges: list[list[int]], known: dict[int, int]) -> list[int]:
-    """What is reached of what is not known; it is known, by this position, afterwards."""
-    found = []
-    walk = [position]
-    while walk:
-        for other in edges[walk.pop()]:
-            if other not in known:
-                known[other] = position
-                found.append(other)
-                walk.append(other)
-    return found
+    """Return what is reached along `edges` without passing what is known; add it to `known`."""
+    reached = []
+    unvisited = [position]
+    while unvisited:
+        for neighbor in edges[unvisited.pop()]:
+            if neighbor not in known:
+                known[neighbor] = position
+                reached.append(neighbor)
+                unvisited.append(neighbor)
+    return reached
 
 
 def kind_of(task: Task) -> Kind:
-    """Raises ValueError for resources that no machine has."""
-    type_: str | None = None
+    """Return the kind of a task; raise UnknownResourceError for resources that no machine has."""
+    machine_type: str | None = None
     zone: str | None = None
     for name in task.resources:
-        what, colon, which = name.partition(":")
-        if not colon or not which or what not in ("type", "zone"):
-            raise ValueError(f"resources: no machine has {name!r}; known are type:NAME, zone:NAME")
-        if what == "type":
-            type_ = which
+        resource, _, value = name.partition(":")
+        if not value or resource not in ("type", "zone"):
+            raise UnknownResourceError(name)
+        if resource == "type":
+            machine_type = value
         else:
-            zone = which
-    return Kind(task.num_cpus, task.num_gpus, task.memory, task.max_retries, type_, zone)
+            zone = value
+    return Kind(task.num_cpus, task.num_gpus, task.memory, task.max_retries, machine_type, zone)
+
+
+class Problem(NamedTuple):
+    """Something wrong with a graph.
+
+    `task` is its number in the list of tasks, None for the graph as a whole. `never` says that the
+    graph is well-formed and yet can never run on this cluster.
+    """
+
+    task: int | None
+    text: str
+    never: bool = False
 
 
-def problems(
-    tasks: list[Task], skus: dict[MachineTypeName, MachineType] | None = None
+def problems(tasks: list[Task], machine_types: MachineTypes | None = None) -> list[Problem]:
+    """Return all that is wrong with a graph's tasks.
+
+    `machine_types` are those of the cluster; None: not known, so tasks may be of any size.
+    """
+    if len(tasks) > min(MAX_GRAPH_TASKS, MAX_TASKS):
+        return [Problem(None, f"{len(tasks)} tasks, at most {MAX_GRAPH_TASKS} are taken")]
+    numbers: dict[str, int] = {}
+    for number, task in enumerate(tasks):
+        numbers.setdefault(task.name, number)
+    found = _task_problems(tasks, numbers, machine_types)
+    found += [
+        Problem(number, f"{task.name}: needs {name!r}, which is no task")
+        for number, task in enumerate(tasks)
+        for name in task.needs
+        if name not in numbers
+    ]
+    return found or _cycle_problems(tasks, numbers)
+
+
+def team_problems(team: str, tasks: list[Task], quota: Quota) -> list[Problem]:
+    """Return what is wrong with a graph of this team.
+
+    There is no such team, or a task is larger than all that the team may ever use. Raises
+    MalformedGraphError for tasks that `problems` rejects.
+    """
+    name = TeamName(team)
+    if name not in quota.teams:
+        return [Problem(None, f"team: no team {team}", never=True)]
+    return [
+        Problem(number, f"{task.name}: needs more than the team's maximum", never=True)
+        for number, task in enumerate(tasks)
+        if quota.exceeds_limit(name, kind_of(task).need, 1)
+    ]
+
+
+def _task_problems(
+    tasks: list[Task], numbers: dict[str, int], machine_types: MachineTypes | None
 ) -> list[Problem]:
-    """All that is wrong with a graph. `skus`: the machine types, if they are known."""
-    if len(tasks) > min(MOST_TASKS, MAX_TASKS):
-        return [Problem(None, f"{len(tasks)} tasks, at most {MOST_TASKS} are taken")]
+    """What is wrong with single tasks and with the number of their kinds."""
     found: list[Problem] = []
-    first: dict[str, int] = {}
-    kinds: dict[Kind, int] = {}
+    kinds: set[Kind] = set()
     for number, task in enumerate(tasks):
-        if task.name in first:
-            where = first[task.name] + 1
-            found.append(Problem(number, f"the name {task.name!r} is that of task {where} too"))
-        first.setdefault(task.name, number)
+        first = numbers[task.name]
+        if first != number:
+            text = f"the name {task.name!r} is that of task {first + 1} too"
+            found.append(Problem(number, text))
         amounts = (task.num_cpus, task.num_gpus, task.memory, task.expect_s)
-        if any(amount != amount for amount in amounts):
+        if any(math.isnan(amount) for amount in amounts):
             found.append(Problem(number, f"{task.name}: an amount is not a number"))
             continue
         try:
             kind = kind_of(task)
-        except ValueError as error:
+        except MalformedGraphError as error:
             found.append(Problem(number, f"{task.name}: {error}", never=True))
             continue
-        if kind not in kinds and skus is not None and not _held(kind, skus):
+        # One report for each kind is enough.
+        if kind not in kinds and machine_types is not None and not _fits_any(kind, machine_types):
             text = f"{task.name}: no machine type can hold it"
             found.append(Problem(number, text, never=True))
-        kinds.setdefault(kind, number)
-    if len(kinds) > MOST_KINDS:
-        text = f"tasks of {len(kinds)} kinds (amounts and retries), at most {MOST_KINDS} are taken"
+        kinds.add(kind)
+    if len(kinds) > MAX_KINDS:
+        text = f"tasks of {len(kinds)} kinds (amounts and retries), at most {MAX_KINDS} are taken"
         found.append(Problem(None, text))
-    for number, task in enumerate(tasks):
-        for name in task.needs:
-            if name not in first:
-                found.append(Problem(number, f"{task.name}: needs {name!r}, which is no task"))
-    if not found:
-        found += _cycle(tasks, first)
     return found
 
 
-def team_problems(team: str, tasks: list[Task], quota: Quota) -> list[Problem]:
-    """What its team says of a graph: there is none, or a task is more than it may ever use."""
-    name = TeamName(team)
-    if name not in quota.teams:
-        return [Problem(None, f"team: no team {team}", never=True)]
-    return [
-        Problem(number, f"{task.name}: needs more than the team's maximum", never=True)
-        for number, task in enumerate(tasks)
-        if quota.exceeds_limit(name, kind_of(task).need, 1)
-    ]
-
-
-def _held(kind: Kind, skus: dict[MachineTypeName, MachineType]) -> bool:
+def _fits_any(kind: Kind, machine_types: MachineTypes) -> bool:
+    """Whether a task of this kind fits on an empty machine of some type."""
     return any(
         kind.type in (None, name)
-        and (kind.zone is None or kind.zone in sku.zones)
-        and kind.need.fits(sku.capacity)
-        for name, sku in skus.items()
+        and (kind.zone is None or kind.zone in machine_type.zones)
+        and kind.need.fits(machine_type.capacity)
+        for name, machine_type in machine_types.items()
     )
 
 
-def _cycle(tasks: list[Task], numbers: dict[str, int]) -> list[Problem]:
+def _cycle_problems(tasks: list[Task], numbers: dict[str, int]) -> list[Problem]:
+    """The first cycle among the needs, if there is one."""
     try:
         graphlib.TopologicalSorter({task.name: task.needs for task in tasks}).prepare()
     except graphlib.CycleError as error:
         names: list[str] = error.args[1]  # each is needed by the next
-        shown = names if len(names) <= SHOWN else [*names[:SHOWN], "...", names[-1]]
-        text = f"a cycle: {' -> '.join(shown)}"
-        return [Problem(numbers[names[0]], text)]
+        shown = names
+        if len(names) > MAX_PRINTED_CYCLE_NAMES:
+            shown = [*names[:MAX_PRINTED_CYCLE_NAMES], "...", names[-1]]
+        return [Problem(numbers[names[0]], f"a cycle: {' -> '.join(shown)}")]
     return []
--- a/umberward/graphs/records.py
+++ b/umberward/graphs/records.py
@@ -1,13 +1,15 @@
-"""What the state service keeps of task graphs: records, and how contents are packed into values.
+"""The records of task graphs in the state service, and how contents are packed into values.
 
     graphs/live/ID          an accepted graph that is not over; never changes while it stands there
     graphs/past/ID          how it ended
     graphs/run/ID/KIND      progress of one of its arrays, and /KIND/PAGE the tasks that failed
-    graphs/open/ID          a graph of several parts on its way in, until it is accepted
+    graphs/open/ID          a graph with parts still to come, until it is accepted
     graphs/part/ID/OPEN/... its parts: a head for each, and its pieces
-    graphs/stale/ID.OPEN    a graph that was given up on its way in: its parts are to be deleted
+    graphs/stale/ID.OPEN    a graph that was given up before its acceptance: its parts are to be
+                            deleted
 
-The version in production reads none of these, so it may serve beside this one.
+OPEN is the version of the opening record. The version of umberward in production reads none of
+these keys, so both versions may run at once.
 """
 
 from __future__ import annotations
@@ -34,15 +36,17 @@
 STALE = "graphs/stale/"
 
 DONE, FAILED, CANCELLED = "done", "failed", "cancelled"
-DIGEST = 16  # hexadecimal digits
-MOST_UNPACKED = 1 << 20  # bytes of one part
+DIGEST_DIGITS = 16  # hexadecimal
+MAX_PART_BYTES = 1 << 20  # of one part's packed tasks
+PIECE_RESERVE_BYTES = 64  # kept free in the value that holds a piece
 
 
 class GraphRecord(msgspec.Struct, omit_defaults=True):
     """An accepted graph.
 
-    `digests`: of its parts, in their order; `opened`: the version of `graphs/open/ID` under which
-    these were stored, 0: the whole content is in `content`.
+    `at` is the wall clock of the accepting controller, in seconds; `tasks` the number of tasks;
+    `digests` those of the parts, in order. `opened` is the version of `graphs/open/ID` under which
+    the parts were stored; 0 means that `content` holds the whole content.
     """
 
     options: Options
@@ -54,8 +58,12 @@
 
 
 class EndRecord(msgspec.Struct, omit_defaults=True):
-    """How a graph ended. What its tasks came to is told by the records of its arrays, which are
-    written under the condition that the graph is live, so never after this."""
+    """How a graph ended.
+
+    The results of its tasks are in the records of its arrays, which are written under the
+    condition that the graph is live, and so never after this record. `at` is the wall clock of the
+    process that ended it, in seconds; the others are counts of tasks.
+    """
 
     phase: str
     graph: GraphRecord
@@ -70,9 +78,10 @@
     omit_defaults=True,
     rename={"placed_below": "marked", "done_below": "base", "done_bitmap": "done"},
 ):
-    """Progress of one array, as in a job's record; what is over is done, failed or will not run.
+    """Progress of one array, as in a job's record.
 
-    `pages`: records with the tasks that failed.
+    A task counts as done there if it is over: done, failed for good, or never to run. `pages` is
+    the number of page records with the tasks that failed.
     """
 
     placed_below: int = 0
@@ -82,7 +91,7 @@
 
 
 class Failure(msgspec.Struct, array_like=True):
-    """A task that failed for good: its number in its array, why, and where it was tried."""
+    """A task that failed for good: its index in its array, why, and where it was tried."""
 
     number: int
     cause: str
@@ -90,29 +99,44 @@
 
 
 class PageRecord(msgspec.Struct):
+    """Some of an array's failures; a full page never changes."""
+
     failed: list[Failure]
 
 
 class OpenRecord(msgspec.Struct):
+    """The opening record of a graph with parts still to come.
+
+    `at` is the wall clock of the controller that wrote it, in seconds; `parts` the number of parts.
+    """
+
     at: float
     parts: int
     options: Options
 
 
 class PartRecord(msgspec.Struct):
-    """The head of a stored part."""
+    """The head of a stored part, written once all its `pieces` are stored."""
 
     digest: str
     pieces: int
 
 
+class PartTooLongError(ValueError):
+    """A stored part has more than MAX_PART_BYTES when decompressed."""
+
+    def __init__(self) -> None:
+        """Create the error; the part is named by whoever reads it."""
+        super().__init__("too long")
+
+
 def pack(tasks: list[Task]) -> bytes:
-    """The same tasks make the same bytes, however their user has written them."""
+    """Encode tasks; equal tasks give equal bytes, however the user has written them."""
     return cbor2.dumps([wire.to_builtins(task) for task in tasks], canonical=True)
 
 
 def unpack(data: bytes) -> list[Task]:
-    """Raises ValueError."""
+    """Decode what `pack` has encoded; raise ValueError for other bytes."""
     try:
         return msgspec.convert(cbor2.loads(data), list[Task])
     except (cbor2.CBORDecodeError, msgspec.ValidationError) as error:
@@ -120,114 +144,143 @@
 
 
 def digest(data: bytes, options: Options, part: int, parts: int) -> str:
+    """Return the digest of packed tasks as part number `part` of `parts` with these options."""
     head = wire.encode([wire.to_builtins(options), part, parts])
-    return hashlib.sha256(head + data).hexdigest()[:DIGEST]
+    return hashlib.sha256(head + data).hexdigest()[:DIGEST_DIGITS]
 
 
 def compress(data: bytes) -> str:
-    """Bytes as text that JSON stores as it is."""
+    """Compress bytes into text that JSON holds without escapes."""
     return base64.b64encode(zlib.compress(data, 9)).decode()
 
 
 def decompress(text: str) -> bytes:
-    """Raises ValueError."""
+    """Reverse `compress`; raise ValueError for other text and for more than MAX_PART_BYTES."""
     try:
-        machine = zlib.decompressobj()
-        data = machine.decompress(base64.b64decode(text, validate=True), MOST_UNPACKED)
+        decompressor = zlib.decompressobj()
+        data = decompressor.decompress(base64.b64decode(text, validate=True), MAX_PART_BYTES)
     except zlib.error as error:
         raise ValueError(str(error)) from None
-    if machine.unconsumed_tail:
-        raise ValueError("too long")
+    if decompressor.unconsumed_tail:
+        raise PartTooLongError
     return data
 
 
 def pieces(text: str, value_limit: int) -> list[str]:
-    """The text cut so that each piece is a value of its own."""
-    size = value_limit - 64
+    """Cut text so that each piece fits into a value of at most `value_limit` bytes."""
+    size = value_limit - PIECE_RESERVE_BYTES
     return [text[start : start + size] for start in range(0, len(text), size)]
 
 
 class IncompleteGraphError(Exception):
-    """Not all of a graph's content stands in the state service."""
+    """Some of a graph's content is missing in the state service."""
 
+    def __init__(self, graph_id: GraphId, problem: str) -> None:
+        """Create an error about the content of `graph_id`."""
+        super().__init__(f"{graph_id}: {problem}")
+        self.graph_id = graph_id
 
-Parts = list[tuple[str, list[Task]]]  # of each part its digest and its tasks
 
+Parts = list[tuple[str, list[Task]]]  # the digest and the tasks of each part
 
-def parts_of(id: GraphId, found: Mapping[str, Any], count: int) -> Parts:
-    """From what stands under `graphs/part/ID/OPEN/`, by the rest of its keys. Raises Incomplete,
-    ValueError, wire.Malformed."""
-    missing = [part for part in range(count) if str(part) not in found]
+
+def parts_of(graph_id: GraphId, values: Mapping[str, Any], count: int) -> Parts:
+    """Build `count` parts from the values below `graphs/part/ID/OPEN/`, by the rest of their keys.
+
+    Raises IncompleteGraphError, ValueError and MalformedMessageError.
+    """
+    missing = [part for part in range(count) if str(part) not in values]
     if missing:
-        raise IncompleteGraphError(f"{id}: part {missing[0]} is missing")
+        raise IncompleteGraphError(graph_id, f"part {missing[0]} is missing")
     parts = []
     for part in range(count):
-        head = wire.convert(found[str(part)], PartRecord)
-        names = [f"{part}/{head.digest}/{piece}" for piece in range(head.pieces)]
-        if any(name not in found for name in names):
-            raise IncompleteGraphError(f"{id}: part {part} is not whole")
-        text = "".join(found[name] for name in names)
+        head = wire.convert(values[str(part)], PartRecord)
+        piece_names = [f"{part}/{head.digest}/{piece}" for piece in range(head.pieces)]
+        if any(name not in values for name in piece_names):
+            raise IncompleteGraphError(graph_id, f"part {part} is not whole")
+        text = "".join(values[name] for name in piece_names)
         parts.append((head.digest, unpack(decompress(text))))
     return parts
 
 
-def joined(id: GraphId, record: GraphRecord, parts: Parts) -> list[Task]:
-    """All tasks, if these are the parts that were accepted. Raises Incomplete."""
+def joined(graph_id: GraphId, record: GraphRecord, parts: Parts) -> list[Task]:
+    """Return the tasks of all parts; raise IncompleteGraphError unless these were accepted."""
     if [digest for digest, _ in parts] != record.digests:
-        raise IncompleteGraphError(f"{id}: parts do not match")
+        raise IncompleteGraphError(graph_id, "parts do not match")
     return [task for _, tasks in parts for task in tasks]
 
 
-def live_key(id: GraphId) -> Key:
-    return Key(LIVE + id)
+def live_key(graph_id: GraphId) -> Key:
+    """Return the key of an accepted graph's record."""
+    return Key(LIVE + graph_id)
 
 
-def past_key(id: GraphId) -> Key:
-    return Key(PAST + id)
+def past_key(graph_id: GraphId) -> Key:
+    """Return the key of an ended graph's record."""
+    return Key(PAST + graph_id)
 
 
-def run_key(id: GraphId, kind: int) -> Key:
-    return Key(f"{RUN}{id}/{kind}")
+def run_key(graph_id: GraphId, kind: int) -> Key:
+    """Return the key of the progress record of one array."""
+    return Key(f"{RUN}{graph_id}/{kind}")
 
 
-def page_key(id: GraphId, kind: int, page: int) -> Key:
-    return Key(f"{RUN}{id}/{kind}/{page}")
+def page_key(graph_id: GraphId, kind: int, page: int) -> Key:
+    """Return the key of one page of an array's failures."""
+    return Key(f"{RUN}{graph_id}/{kind}/{page}")
 
 
-def open_key(id: GraphId) -> Key:
-    return Key(OPEN + id)
+def open_key(graph_id: GraphId) -> Key:
+    """Return the key of a graph's opening record."""
+    return Key(OPEN + graph_id)
 
 
-def head_key(id: GraphId, opened: int, part: int) -> Key:
-    return Key(f"{PART}{id}/{opened}/{part}")
+def head_key(graph_id: GraphId, opened: int, part: int) -> Key:
+    """Return the key of a part's head, stored under opening version `opened`."""
+    return Key(f"{PART}{graph_id}/{opened}/{part}")
 
 
-def piece_key(id: GraphId, opened: int, part: int, digest: str, piece: int) -> Key:
-    return Key(f"{PART}{id}/{opened}/{part}/{digest}/{piece}")
+def piece_key(graph_id: GraphId, opened: int, part: int, digest: str, piece: int) -> Key:
+    """Return the key of one piece of a part's content."""
+    return Key(f"{PART}{graph_id}/{opened}/{part}/{digest}/{piece}")
 
 
-def stale_key(id: GraphId, opened: int) -> Key:
-    return Key(f"{STALE}{id}.{opened}")
+def stale_key(graph_id: GraphId, opened: int) -> Key:
+    """Return the key of the note that the parts under version `opened` are to be deleted."""
+    return Key(f"{STALE}{graph_id}.{opened}")
 
 
 class Progress(msgspec.Struct):
-    """The stored progress of a graph: by kind, its record with its version, and its failures."""
+    """The stored progress of a graph's arrays.
+
+    By the array's kind: its record with that record's version, and its failures.
+    """
 
     runs: dict[int, tuple[RunRecord, int]]
     failed: dict[int, list[Failure]]
 
 
-def progress(id: GraphId, entries: list[wire.KeyValue]) -> Progress:
-    """From all records under `graphs/run/ID/`. Raises wire.Malformed."""
-    made = Progress({}, {})
+def progress(graph_id: GraphId, entries: list[wire.KeyValue]) -> Progress:
+    """Build the progress from all entries below `graphs/run/ID/`.
+
+    Raises MalformedMessageError.
+    """
+    runs: dict[int, tuple[RunRecord, int]] = {}
     for entry in entries:
-        kind, _, page = entry.key[len(RUN) + len(id) + 1 :].partition("/")
+        kind, page = _split_run_key(graph_id, entry.key)
         if not page:
-            made.runs[int(kind)] = (wire.convert(entry.data, RunRecord), entry.version)
+            runs[int(kind)] = (wire.convert(entry.data, RunRecord), entry.version)
+    failed: dict[int, list[Failure]] = {}
     for entry in entries:
-        kind, _, page = entry.key[len(RUN) + len(id) + 1 :].partition("/")
+        kind, page = _split_run_key(graph_id, entry.key)
         # A page beyond those that the array's record counts was not committed with it.
-        if page and int(kind) in made.runs and int(page) < made.runs[int(kind)][0].pages:
-            found = made.failed.setdefault(int(kind), [])
-            found += wire.convert(entry.data, PageRecord).failed
-    return made
+        if page and int(kind) in runs and int(page) < runs[int(kind)][0].pages:
+            failures = failed.setdefault(int(kind), [])
+            failures += wire.convert(entry.data, PageRecord).failed
+    return Progress(runs, failed)
+
+
+def _split_run_key(graph_id: GraphId, key: str) -> tuple[str, str]:
+    """Return the kind and the page in a key below `graphs/run/ID/`; no page: the array's record."""
+    kind, _, page = key[len(RUN) + len(graph_id) + 1 :].partition("/")
+    return kind, page
