--- a/tests/controllers.py
+++ b/tests/controllers.py
@@ -133,7 +133,7 @@
             stack.enter_context(mock.patch.object(node_module, "Client", self.network.client))
             stack.enter_context(mock.patch.object(node_module, "Server", self.network.server))
             stack.enter_context(mock.patch.object(servers, "Server", self.network.server))
-            stack.enter_context(mock.patch.object(servers, "LOOK_S", STEP_S))
+            stack.enter_context(mock.patch.object(servers, "POLL_S", STEP_S))
             self.kernel = curio.Kernel(selector=Jumping(self.clock))
             stack.callback(self._shut_down)
             self.kernel.run(self._start)
--- a/umberward/local/cloudcore.py
+++ b/umberward/local/cloudcore.py
@@ -1,11 +1,18 @@
-"""The cloud's semantics, without I/O: rentals with claims, boot times, capacity, a list that lags,
-machines that are taken back."""
+"""The semantics of the cloud provider, without I/O, for the local cluster and the tests.
+
+Rentals are idempotent by a claim; machines take a while to boot; capacity may be limited; the list
+of machines lags behind; spot machines may be taken back after a notice.
+
+Times are seconds of the caller's monotonic clock; this module never reads a clock itself.
+"""
 
 from __future__ import annotations
 
 import random
+from dataclasses import dataclass
 from typing import NamedTuple
 
+from umberward.local.errors import StandInError
 from umberward.protocol.wire import (
     MAX_DELETIONS_PER_REQUEST,
     MAX_MACHINES_PER_REQUEST,
@@ -13,125 +20,202 @@
     MachineType,
 )
 
-BOOT_SPREAD = (0.6, 1.5)  # of the nominal boot time
-NOTICE_SPREAD = (0.5, 1.5)
+BOOT_TIME_FACTORS = (0.6, 1.5)  # least and most, of the nominal boot time
+NOTICE_FACTORS = (0.5, 1.5)  # least and most, of the nominal notice before a machine is taken back
+
+
+class NoCapacityError(StandInError):
+    """The cloud has no machine of the requested type, zone and price left."""
+
+
+class MalformedRequestError(StandInError):
+    """A request names something unknown or asks for too much at once: status 400."""
+
+
+class InvalidRentalError(MalformedRequestError):
+    """A rental of an unknown type, in a zone without that type, or of too many machines."""
 
+    def __init__(self, machine_type: str, zone: str, count: int) -> None:
+        """The arguments are those of the request."""
+        super().__init__(f"{machine_type} in {zone}, {count} times")
 
-class NoCapacityError(Exception):
-    pass
 
+class TooManyDeletionsError(MalformedRequestError):
+    """A deletion names too many machines."""
 
-class MalformedRequestError(Exception):
-    pass
+    def __init__(self, count: int) -> None:
+        """`count`: how many names the request has."""
+        super().__init__(f"{count} names")
 
 
+@dataclass(eq=False, slots=True)
 class Machine:
-    def __init__(
-        self, id: str, sku: MachineType, zone: str, spot: bool, rented_at: float, up_at: float
-    ) -> None:
-        self.id = id
-        self.sku = sku
-        self.zone = zone
-        self.spot = spot
-        self.rented_at = rented_at
-        self.up_at = up_at
-        self.up = False
-        self.address = ""
-        self.taken_at: float | None = None  # the cloud takes it back then
+    """A rented machine."""
+
+    id: str
+    sku: MachineType
+    zone: str
+    spot: bool
+    rented_at: float
+    up_at: float  # when it has booted
+    up: bool = False
+    address: str = ""
+    taken_at: float | None = None  # when the cloud takes it back, once that is announced
 
 
 class Capacity(NamedTuple):
-    """How many machines of a type, zone and kind there are at most."""
+    """What the cloud has a limit for: machines of one type, in one zone, spot or not."""
 
     sku: str
     zone: str
     spot: bool
 
 
+class CloudTick(NamedTuple):
+    """What has happened since the tick before."""
+
+    booted: list[Machine]
+    taken_back: list[Machine]
+
+
+class MachineListPage(NamedTuple):
+    """A page of the list of machines."""
+
+    machines: list[CloudMachine]
+    more: bool  # whether the list goes on after this page
+
+
+class MachineListSnapshot(NamedTuple):
+    """The list of machines as it was at one moment."""
+
+    taken_at: float
+    machines: list[CloudMachine]
+
+
 class CloudCore:
+    """The cloud's machines, rentals and limits."""
+
     def __init__(
-        self, skus: list[MachineType], list_lag_s: float, rng: random.Random, speed: float
+        self,
+        machine_types: list[MachineType],
+        list_lag_s: float,
+        rng: random.Random,
+        speed: float,
     ) -> None:
-        self.skus = {sku.name: sku for sku in skus}
+        """`list_lag_s`: how far the list lags behind; `speed`: how much faster machines boot."""
+        self.skus = {machine_type.name: machine_type for machine_type in machine_types}
         self.list_lag_s = list_lag_s
         self.rng = rng
         self.speed = speed
         self.machines: dict[str, Machine] = {}
-        self.claims: dict[str, list[str]] = {}
-        self.capacity: dict[Capacity, int] = {}
-        self.rented = 0
-        self.past: list[tuple[float, list[CloudMachine]]] = []  # what was there when
-
-    def rent(
-        self, claim: str, flavor: str, zone: str, spot: bool, many: int, now: float
-    ) -> list[str]:
-        """The machines' names; the same claim rents nothing twice. Raises NoCapacity, Malformed."""
+        self.claims: dict[str, list[str]] = {}  # claim -> the machines that it has rented
+        self.capacity: dict[Capacity, int] = {}  # kinds of machines without an entry: no limit
+        self.rented = 0  # machines so far
+        self.past: list[MachineListSnapshot] = []  # oldest first, the first being the one shown
+
+    def rent(self, claim: str, kind: Capacity, count: int, now: float) -> list[str]:
+        """Rent at most `count` machines, fewer if the capacity ends; returns their ids.
+
+        The same claim once more rents nothing and returns the same ids.
+        Raises NoCapacityError or MalformedRequestError.
+        """
         if claim in self.claims:
             return self.claims[claim]
-        sku = self.skus.get(flavor)
-        if sku is None or zone not in sku.zones or not 0 < many <= MAX_MACHINES_PER_REQUEST:
-            raise MalformedRequestError(f"{flavor} in {zone}, {many} times")
-        kind = Capacity(flavor, zone, spot)
-        there = sum((m.sku.name, m.zone, m.spot) == kind for m in self.machines.values())
-        many = min(many, self.capacity.get(kind, MAX_MACHINES_PER_REQUEST) - there)
-        if many <= 0:
+        machine_type = self.skus.get(kind.sku)
+        if (
+            machine_type is None
+            or kind.zone not in machine_type.zones
+            or not 0 < count <= MAX_MACHINES_PER_REQUEST
+        ):
+            raise InvalidRentalError(kind.sku, kind.zone, count)
+        available = self.capacity.get(kind, MAX_MACHINES_PER_REQUEST) - self._rented_count(kind)
+        count = min(count, available)
+        if count <= 0:
             raise NoCapacityError
-        names = []
-        for _ in range(many):
-            self.rented += 1
-            id = f"i-{self.rented:06d}"
-            boot = sku.boot_s * self.rng.uniform(*BOOT_SPREAD) / self.speed
-            self.machines[id] = Machine(id, sku, zone, spot, now, now + boot)
-            names.append(id)
-        self.claims[claim] = names
-        return names
-
-    def delete(self, names: list[str]) -> list[Machine]:
-        """The machines that are gone by this; unknown names are ignored. Raises Malformed."""
-        if len(names) > MAX_DELETIONS_PER_REQUEST:
-            raise MalformedRequestError(f"{len(names)} names")
-        return [self.machines.pop(name) for name in names if name in self.machines]
+        self.claims[claim] = [self._add_machine(machine_type, kind, now) for _ in range(count)]
+        return self.claims[claim]
+
+    def _rented_count(self, kind: Capacity) -> int:
+        return sum(
+            (machine.sku.name, machine.zone, machine.spot) == kind
+            for machine in self.machines.values()
+        )
+
+    def _add_machine(self, machine_type: MachineType, kind: Capacity, now: float) -> str:
+        """Start to boot one machine; returns its id."""
+        self.rented += 1
+        machine_id = f"i-{self.rented:06d}"
+        boot_s = machine_type.boot_s * self.rng.uniform(*BOOT_TIME_FACTORS) / self.speed
+        self.machines[machine_id] = Machine(
+            machine_id, machine_type, kind.zone, kind.spot, now, now + boot_s
+        )
+        return machine_id
+
+    def delete(self, machine_ids: list[str]) -> list[Machine]:
+        """Delete machines; returns those deleted. Unknown ids are ignored.
+
+        Raises MalformedRequestError for more ids than one request may have.
+        """
+        if len(machine_ids) > MAX_DELETIONS_PER_REQUEST:
+            raise TooManyDeletionsError(len(machine_ids))
+        return [
+            self.machines.pop(machine_id)
+            for machine_id in machine_ids
+            if machine_id in self.machines
+        ]
 
     def take_back(self, count: int, notice_s: float, now: float, zone: str = "") -> list[Machine]:
-        """Spot machines (or, with a zone, any of it) are told that they will be taken."""
-        found = [
-            m
-            for m in self.machines.values()
-            if m.up and m.taken_at is None and (m.zone == zone if zone else m.spot)
+        """Announce that machines will be taken back, after about `notice_s` seconds.
+
+        At most `count` running ones: spot machines or, with a zone, any machines of that zone.
+        """
+        candidates = [
+            machine
+            for machine in self.machines.values()
+            if machine.up
+            and machine.taken_at is None
+            and (machine.zone == zone if zone else machine.spot)
+        ]
+        for machine in candidates[:count]:
+            machine.taken_at = now + notice_s * self.rng.uniform(*NOTICE_FACTORS)
+        return candidates[:count]
+
+    def tick(self, now: float) -> CloudTick:
+        """Boot and take back the machines that are due, and add to the history of the list."""
+        taken_back = [
+            machine
+            for machine in self.machines.values()
+            if machine.taken_at is not None and machine.taken_at <= now
         ]
-        for machine in found[:count]:
-            machine.taken_at = now + notice_s * self.rng.uniform(*NOTICE_SPREAD)
-        return found[:count]
-
-    def tick(self, now: float) -> tuple[list[Machine], list[Machine]]:
-        """Machines that are up since the last look, and those that were taken."""
-        taken = [m for m in self.machines.values() if m.taken_at is not None and m.taken_at <= now]
-        for machine in taken:
+        for machine in taken_back:
             del self.machines[machine.id]
-        up = [m for m in self.machines.values() if not m.up and m.up_at <= now]
-        for machine in up:
+        booted = [
+            machine for machine in self.machines.values() if not machine.up and machine.up_at <= now
+        ]
+        for machine in booted:
             machine.up = True
-        self.past.append((now, self._hosts(now)))
-        while len(self.past) > 1 and self.past[1][0] <= now - self.list_lag_s:
+        self.past.append(MachineListSnapshot(now, self._current_list(now)))
+        while len(self.past) > 1 and self.past[1].taken_at <= now - self.list_lag_s:
             del self.past[0]
-        return up, taken
+        return CloudTick(booted, taken_back)
 
-    def listed(self, start: str, most: int) -> tuple[list[CloudMachine], bool]:
-        """As it was a while ago, after `start` in the order of names; whether there are more."""
-        hosts = self.past[0][1] if self.past else []
-        found = [host for host in hosts if host.machine_id > start]
-        return found[:most], len(found) > most
+    def listed(self, start: str, most: int) -> MachineListPage:
+        """A page of the list as it was `list_lag_s` ago: ids after `start`, in their order."""
+        machines = self.past[0].machines if self.past else []
+        following = [machine for machine in machines if machine.machine_id > start]
+        return MachineListPage(following[:most], len(following) > most)
 
-    def _hosts(self, now: float) -> list[CloudMachine]:
+    def _current_list(self, now: float) -> list[CloudMachine]:
+        """All machines in the order of their ids, with their ages in seconds."""
         return [
             CloudMachine(
-                m.id,
-                m.address,
-                m.sku.name,
-                m.zone,
-                m.spot,
-                "running" if m.up else "booting",
-                now - m.rented_at,
+                machine.id,
+                machine.address,
+                machine.sku.name,
+                machine.zone,
+                machine.spot,
+                "running" if machine.up else "booting",
+                now - machine.rented_at,
             )
-            for _, m in sorted(self.machines.items())
+            for _, machine in sorted(self.machines.items())
         ]
--- a/umberward/local/servers.py
+++ b/umberward/local/servers.py
@@ -1,10 +1,16 @@
-"""The stand-ins on real HTTP over the loopback; what they mean stands in the `...core` modules."""
+"""The stand-ins for state service, cloud and workers on HTTP over the loopback.
+
+The semantics are in the modules `statecore`, `cloudcore` and `workercore`; this module reads the
+monotonic clock for them and translates between HTTP and their methods.
+"""
 
 from __future__ import annotations
 
 import random
 import time
 from collections.abc import Callable
+from http import HTTPStatus
+from typing import Any, NamedTuple
 from urllib.parse import parse_qs, unquote
 
 import curio
@@ -14,7 +20,7 @@
 from umberward.core.settings import StateLimits
 from umberward.core.types import Address, parse_address
 from umberward.local import cloudcore, statecore
-from umberward.local.cloudcore import CloudCore, Machine
+from umberward.local.cloudcore import Capacity, CloudCore, Machine
 from umberward.local.statecore import Rate, StateCore
 from umberward.local.workercore import WorkerCore
 from umberward.protocol import wire
@@ -30,190 +36,245 @@
 
 log = logger(__name__)
 
-SOCKETS = 256
-LONGEST_HOLD_S = 60.0
-REPORT_SPREAD = 0.25  # give or take, of the time between two reports
-LEAST_GAP_S = 0.5  # between two reports
-HELLO_TIMEOUT_S = 4.0
-NEXT_NODE_S = 1.0
-LOOK_S = 0.05
-LATE_S = 4.0  # a late transaction is executed so much later
-NO_ANSWER_S = 30.0  # nobody waits that long
+SERVICE_SOCKETS = 256
+WORKER_SOCKETS = 16
+MAX_WATCH_S = 60.0
+CLOUD_BURST_S = 2.0
+HEARTBEAT_INTERVAL_SPREAD = 0.25  # the part of the interval by which it varies, both ways
+MIN_HEARTBEAT_GAP_S = 0.5
+HEARTBEAT_TIMEOUT_S = 4.0
+RETRY_NEXT_CONTROLLER_S = 1.0
+POLL_S = 0.05  # of a worker for changes, and of an open watch for the end of an outage
+MAX_WATCH_WAIT_S = 1.0  # an open watch looks again after this time, even without a change
+LATE_EXECUTION_S = 4.0  # a late transaction is executed so much later
+WITHHELD_RESPONSE_S = 30.0  # longer than any controller waits for a response
+MIN_LEASE_MS, MAX_LEASE_MS = 100, 600_000
+MS_PER_S = 1000
+
+# What may befall all transactions, as it stands in `StateServer.lossy`.
+LOST_RESPONSES = "lost"  # executed, without a response
+LATE_EXECUTION = "late"  # executed later, without a response
 
 
 def _query(request: Request) -> dict[str, str]:
+    """The first value of each parameter of the request's query."""
     return {name: values[0] for name, values in parse_qs(request.query).items()}
 
 
-def _body(request: Request) -> dict[str, object]:
-    """Raises msgspec.DecodeError or TypeError for anything but a map."""
-    found = msgspec.msgpack.decode(request.body) if request.body else {}
-    if not isinstance(found, dict):
-        raise TypeError("not a map")
-    return found
+class BodyNotMapError(TypeError):
+    """A request's body is something else than a map."""
+
+    def __init__(self) -> None:
+        """The text is the one that the client gets."""
+        super().__init__("not a map")
+
+
+def _body(request: Request) -> dict[str, Any]:
+    """The decoded body, an empty map for none. Raises msgspec.DecodeError or BodyNotMapError."""
+    decoded = msgspec.msgpack.decode(request.body) if request.body else {}
+    if not isinstance(decoded, dict):
+        raise BodyNotMapError
+    return decoded
 
 
 def _error(status: int, text: str) -> Response:
     return Response(status, wire.encode({"error": text}))
 
 
+class LateTransaction(NamedTuple):
+    """A transaction whose execution is delayed."""
+
+    due_at: float
+    body: dict[str, Any]
+
+
 class StateServer:
-    """Each controller has an address of its own, so that one alone can be refused."""
+    """The state service. Each controller has an address of its own, so that one can be refused."""
 
     def __init__(self, core: StateCore, limits: StateLimits, addresses: list[Address]) -> None:
+        """`addresses`: of the controllers, in the order of their numbers."""
         self.core = core
         now = time.monotonic()
         self.calls = Rate(limits.rps, now)
         self.writes = Rate(limits.write_rps, now)
         self.down = False
-        self.refused: set[int] = set()  # controllers that alone get no answer but 503
-        self.lossy = ""  # transactions get no answer: "lost" is executed, "late" is later
-        self.late: list[tuple[float, dict[str, object]]] = []
-        self.changed = curio.Event()
+        self.refused: set[int] = set()  # numbers of the controllers that get no answer but 503
+        self.lossy = ""  # LOST_RESPONSES, LATE_EXECUTION, or empty: transactions are answered
+        self.late: list[LateTransaction] = []
+        self.changed = curio.Event()  # set at the next change, and then replaced
         self.requests = 0
-        self.over_rate = 0
+        self.over_rate = 0  # requests that were answered with 429
         self.servers = [
-            Server(address, self._handler(number), SOCKETS)
+            Server(address, self._handler(number), SERVICE_SOCKETS)
             for number, address in enumerate(addresses)
         ]
 
     def _handler(self, number: int) -> Handler:
+        """The handler of the requests of one controller."""
+
         async def handle(request: Request) -> Response:
             self.requests += 1
             if self.closed(number):
-                return Response(503)
+                return Response(HTTPStatus.SERVICE_UNAVAILABLE)
             if not self.calls.take(1, time.monotonic()):
                 self.over_rate += 1
-                return Response(429)
+                return Response(HTTPStatus.TOO_MANY_REQUESTS)
             try:
                 return await self._serve(request, number)
             except (msgspec.DecodeError, TypeError, ValueError, KeyError) as error:
-                return _error(400, str(error))
+                return _error(HTTPStatus.BAD_REQUEST, str(error))
 
         return handle
 
     def closed(self, number: int) -> bool:
+        """Whether the service is unavailable to that controller."""
         return self.down or number in self.refused
 
-    def set_down(self, down: bool) -> None:
+    def set_down(self, down: bool) -> None:  # noqa: FBT001 - the tests pass it by position
+        """Begin or end an outage; after it every lease has its whole length again."""
         if self.down and not down:
             self.core.recovered(time.monotonic())
         self.down = down
 
     async def _serve(self, request: Request, number: int) -> Response:
-        method, path = request.method, request.path
-        if method == "GET" and path == "/kv":
-            asked = _query(request)
-            most = int(asked.get("most", statecore.MOST_ENTRIES))
-            page = self.core.entries(asked.get("prefix", ""), asked.get("from", ""), most)
-            return Response(200, wire.encode(page))
-        if method == "GET" and path.startswith("/kv/"):
-            return self._get(unquote(path[len("/kv/") :]))
-        if method == "GET" and path == "/watch":
+        if request.path == "/leases" or request.path.startswith("/leases/"):
+            return await self._serve_lease(request)
+        if request.method == "GET":
+            return await self._serve_read(request, number)
+        if (request.method, request.path) == ("POST", "/commit"):
+            return await self._serve_transaction(_body(request))
+        return Response(HTTPStatus.NOT_FOUND)
+
+    # ---- reads ---------------------------------------------------------------------------
+
+    async def _serve_read(self, request: Request, number: int) -> Response:
+        if request.path == "/kv":
+            query = _query(request)
+            most = int(query.get("most", statecore.MOST_ENTRIES))
+            page = self.core.entries(query.get("prefix", ""), query.get("from", ""), most)
+            return Response(HTTPStatus.OK, wire.encode(page))
+        if request.path.startswith("/kv/"):
+            return self._read_key(unquote(request.path[len("/kv/") :]))
+        if request.path == "/watch":
             return await self._watch(_query(request), number)
-        if method == "POST" and path == "/commit":
-            body = _body(request)
-            if self.lossy == "late":
-                self.late.append((time.monotonic() + LATE_S, body))
-                await curio.sleep(NO_ANSWER_S)
-                return Response(503)
-            response = await self._commit(body)
-            if self.lossy == "lost":
-                await curio.sleep(NO_ANSWER_S)
-            return response
-        if path == "/leases" or path.startswith("/leases/"):
-            return await self._lease(method, path[len("/leases") :].strip("/"), request)
-        return Response(404)
-
-    def _get(self, key: str) -> Response:
-        found = self.core.keys.get(key)
-        if found is None:
-            return Response(404, wire.encode({"generation": self.core.revision}))
-        entry = wire.KeyValue(key, found.data, found.version, self.core.attached.get(key))
-        return Response(200, wire.encode(entry))
-
-    async def _commit(self, body: dict[str, object]) -> Response:
-        conditions = [(c["path"], c["stamp"]) for c in body.get("if") or ()]  # type: ignore[attr-defined]
-        writes = list(body.get("writes") or ())  # type: ignore[call-overload]
+        return Response(HTTPStatus.NOT_FOUND)
+
+    def _read_key(self, key: str) -> Response:
+        stored = self.core.keys.get(key)
+        if stored is None:
+            answer = {"generation": self.core.revision}
+            return Response(HTTPStatus.NOT_FOUND, wire.encode(answer))
+        entry = wire.KeyValue(key, stored.data, stored.version, self.core.attached.get(key))
+        return Response(HTTPStatus.OK, wire.encode(entry))
+
+    async def _watch(self, query: dict[str, str], number: int) -> Response:
+        """Answer with the changes after a revision, as soon as there is one or the time is over."""
+        prefix, after = query.get("prefix", ""), int(query.get("from", "0"))
+        hold_s = min(float(query.get("hold_ms", "0")) / MS_PER_S, MAX_WATCH_S)
+        deadline = time.monotonic() + hold_s
+        while True:
+            changed = self.changed
+            if not self.closed(number):
+                try:
+                    changes = self.core.news(prefix, after)
+                except statecore.RevisionCompactedError:
+                    return Response(HTTPStatus.GONE)
+                wait_s = deadline - time.monotonic()
+                if changes or wait_s <= 0:
+                    response = wire.WatchResponse(self.core.revision, changes)
+                    return Response(HTTPStatus.OK, wire.encode(response))
+            else:
+                wait_s = POLL_S  # open watches wait through an outage
+            await curio.ignore_after(min(wait_s, MAX_WATCH_WAIT_S), changed.wait)
+
+    async def notify(self) -> None:
+        """Wake up the open watches after a change."""
+        changed, self.changed = self.changed, curio.Event()
+        await changed.set()
+
+    # ---- transactions --------------------------------------------------------------------
+
+    async def _serve_transaction(self, body: dict[str, Any]) -> Response:
+        if self.lossy == LATE_EXECUTION:
+            self.late.append(LateTransaction(time.monotonic() + LATE_EXECUTION_S, body))
+            await curio.sleep(WITHHELD_RESPONSE_S)
+            return Response(HTTPStatus.SERVICE_UNAVAILABLE)
+        response = await self._commit(body)
+        if self.lossy == LOST_RESPONSES:
+            await curio.sleep(WITHHELD_RESPONSE_S)
+        return response
+
+    async def _commit(self, body: dict[str, Any]) -> Response:
+        conditions = [(condition["path"], condition["stamp"]) for condition in body.get("if") or ()]
+        writes = list(body.get("writes") or ())
         if writes and not self.writes.take(len(writes), time.monotonic()):
             self.over_rate += 1
-            return Response(429)
+            return Response(HTTPStatus.TOO_MANY_REQUESTS)
         try:
             revision = self.core.commit(conditions, writes)
         except statecore.CompareFailedError as error:
             answer = {"failed": error.keys, "generation": self.core.revision}
-            return Response(409, wire.encode(answer))
+            return Response(HTTPStatus.CONFLICT, wire.encode(answer))
         except statecore.InvalidRequestError as error:
-            return _error(400, str(error))
+            return _error(HTTPStatus.BAD_REQUEST, str(error))
         await self.notify()
-        return Response(200, wire.encode({"generation": revision}))
+        return Response(HTTPStatus.OK, wire.encode({"generation": revision}))
 
     async def deliver(self) -> None:
-        """Execute the transactions that are late by now."""
+        """Execute the late transactions that are due."""
         now = time.monotonic()
-        due = [body for at, body in self.late if at <= now]
-        self.late = [(at, body) for at, body in self.late if at > now]
+        due = [transaction.body for transaction in self.late if transaction.due_at <= now]
+        self.late = [transaction for transaction in self.late if transaction.due_at > now]
         for body in due:
             await self._commit(body)
 
-    async def notify(self) -> None:
-        changed, self.changed = self.changed, curio.Event()
-        await changed.set()
-
-    async def _watch(self, asked: dict[str, str], number: int) -> Response:
-        prefix, after = asked.get("prefix", ""), int(asked.get("from", "0"))
-        hold = min(float(asked.get("hold_ms", "0")) / 1000, LONGEST_HOLD_S)
-        deadline = time.monotonic() + hold
-        while True:
-            changed = self.changed
-            if not self.closed(number):
-                try:
-                    news = self.core.news(prefix, after)
-                except statecore.RevisionCompactedError:
-                    return Response(410)
-                left = deadline - time.monotonic()
-                if news or left <= 0:
-                    return Response(200, wire.encode(wire.WatchResponse(self.core.revision, news)))
-            else:
-                left = LOOK_S  # open watches wait through an outage
-            await curio.ignore_after(min(left, 1.0), changed.wait)
+    # ---- leases --------------------------------------------------------------------------
 
-    async def _lease(self, method: str, path: str, request: Request) -> Response:
+    async def _serve_lease(self, request: Request) -> Response:
         now = time.monotonic()
-        if method == "POST" and not path:
-            ttl = _body(request)["ttl_ms"]
-            if not isinstance(ttl, int) or not 100 <= ttl <= 600_000:
-                return _error(400, "ttl_ms: from 100 to 600000")
-            return Response(200, wire.encode({"charter": self.core.grant(ttl / 1000, now)}))
-        name, _, verb = path.partition("/")
-        if not name.isdecimal():
-            return Response(404)
-        if method == "POST" and verb == "extend":
-            return Response(200 if self.core.extend(int(name), now) else 404)
-        if method == "DELETE" and not verb:
-            self.core.end_lease(int(name))
+        path = request.path[len("/leases") :].strip("/")
+        if request.method == "POST" and not path:
+            return self._grant_lease(_body(request)["ttl_ms"], now)
+        lease_id, _, action = path.partition("/")
+        if not lease_id.isdecimal():
+            return Response(HTTPStatus.NOT_FOUND)
+        if request.method == "POST" and action == "extend":
+            renewed = self.core.extend(int(lease_id), now)
+            return Response(HTTPStatus.OK if renewed else HTTPStatus.NOT_FOUND)
+        if request.method == "DELETE" and not action:
+            self.core.end_lease(int(lease_id))
             await self.notify()
-            return Response(200)
-        return Response(405)
+            return Response(HTTPStatus.OK)
+        return Response(HTTPStatus.METHOD_NOT_ALLOWED)
+
+    def _grant_lease(self, ttl_ms: object, now: float) -> Response:
+        if not isinstance(ttl_ms, int) or not MIN_LEASE_MS <= ttl_ms <= MAX_LEASE_MS:
+            text = f"ttl_ms: from {MIN_LEASE_MS} to {MAX_LEASE_MS}"
+            return _error(HTTPStatus.BAD_REQUEST, text)
+        lease_id = self.core.grant(ttl_ms / MS_PER_S, now)
+        return Response(HTTPStatus.OK, wire.encode({"charter": lease_id}))
 
 
 class CloudServer:
+    """The cloud provider's interface for controllers."""
+
     def __init__(
         self, core: CloudCore, rps: float, address: Address, gone: Callable[[list[Machine]], None]
     ) -> None:
+        """`rps`: the limit of requests a second; `gone`: called with machines that are deleted."""
         self.core = core
-        self.rate = Rate(rps, time.monotonic(), burst_s=2.0)
+        self.rate = Rate(rps, time.monotonic(), CLOUD_BURST_S)
         self.down = False
         self.gone = gone
-        self.server = Server(address, self._serve, SOCKETS)
+        self.server = Server(address, self._serve, SERVICE_SOCKETS)
 
     async def _serve(self, request: Request) -> Response:
         if self.down:
-            return _error(503, "trouble")
+            return _error(HTTPStatus.SERVICE_UNAVAILABLE, "trouble")
         if not self.rate.take(1, time.monotonic()):
-            return Response(429)
+            return Response(HTTPStatus.TOO_MANY_REQUESTS)
         try:
-            return self._answer(request)
+            return self._respond(request)
         except (
             msgspec.DecodeError,
             TypeError,
@@ -221,44 +282,56 @@
             KeyError,
             cloudcore.MalformedRequestError,
         ) as error:
-            return _error(400, str(error))
+            return _error(HTTPStatus.BAD_REQUEST, str(error))
 
-    def _answer(self, request: Request) -> Response:
+    def _respond(self, request: Request) -> Response:
         route = (request.method, request.path)
         if route == ("GET", "/flavors"):
-            return Response(200, wire.encode(wire.MachineTypeList(list(self.core.skus.values()))))
+            machine_types = wire.MachineTypeList(list(self.core.skus.values()))
+            return Response(HTTPStatus.OK, wire.encode(machine_types))
         if route == ("POST", "/hosts"):
-            b = msgspec.convert(_body(request), _Rent)
-            try:
-                names = self.core.rent(
-                    b.claim, b.flavor, b.yard, b.reclaimable, b.how_many, time.monotonic()
-                )
-            except cloudcore.NoCapacityError:
-                return _error(503, "no capacity")
-            return Response(200, wire.encode({"hosts": names}))
+            return self._rent(msgspec.convert(_body(request), _RentalRequest))
         if route == ("POST", "/hosts/delete"):
-            self.gone(self.core.delete(msgspec.convert(_body(request)["hosts"], list[str])))
-            return Response(200, wire.encode({}))
+            machine_ids = msgspec.convert(_body(request)["hosts"], list[str])
+            self.gone(self.core.delete(machine_ids))
+            return Response(HTTPStatus.OK, wire.encode({}))
         if route == ("GET", "/hosts"):
-            asked = _query(request)
-            most = min(
-                int(asked.get("most", wire.MAX_MACHINES_PER_PAGE)), wire.MAX_MACHINES_PER_PAGE
-            )
-            hosts, more = self.core.listed(asked.get("from", ""), most)
-            return Response(200, wire.encode(wire.CloudMachinePage(hosts, more)))
-        return Response(404)
+            return self._list_machines(_query(request))
+        return Response(HTTPStatus.NOT_FOUND)
 
-
-class _Rent(msgspec.Struct):
+    def _rent(self, rental: _RentalRequest) -> Response:
+        kind = Capacity(rental.machine_type, rental.zone, rental.spot)
+        try:
+            machine_ids = self.core.rent(rental.claim, kind, rental.count, time.monotonic())
+        except cloudcore.NoCapacityError:
+            return _error(HTTPStatus.SERVICE_UNAVAILABLE, "no capacity")
+        return Response(HTTPStatus.OK, wire.encode({"hosts": machine_ids}))
+
+    def _list_machines(self, query: dict[str, str]) -> Response:
+        requested = int(query.get("most", wire.MAX_MACHINES_PER_PAGE))
+        page = self.core.listed(query.get("from", ""), min(requested, wire.MAX_MACHINES_PER_PAGE))
+        answer = wire.CloudMachinePage(page.machines, page.more)
+        return Response(HTTPStatus.OK, wire.encode(answer))
+
+
+class _RentalRequest(
+    msgspec.Struct,
+    rename={
+        "machine_type": "flavor",
+        "zone": "yard",
+        "spot": "reclaimable",
+        "count": "how_many",
+    },
+):
     claim: str
-    flavor: str
-    yard: str
-    reclaimable: bool
-    how_many: int
+    machine_type: str
+    zone: str
+    spot: bool
+    count: int
 
 
 class WorkerServer:
-    """One machine's worker: reports to one controller at a time, and takes direct commands."""
+    """One machine's worker: heartbeats to one controller at a time, and direct commands."""
 
     def __init__(
         self,
@@ -268,84 +341,99 @@
         client: Client,
         rng: random.Random,
     ) -> None:
+        """`nodes`: the controllers by name; `report_s`: the mean interval of heartbeats."""
         self.core = core
         self.nodes = nodes
         self.report_s = report_s
         self.client = client
         self.rng = rng
-        self.node = rng.choice(sorted(nodes))
-        self.server = Server(parse_address(core.address), self._serve, 16)
+        self.node = rng.choice(sorted(nodes))  # the controller that gets the heartbeats
+        self.server = Server(parse_address(core.address), self._serve, WORKER_SOCKETS)
 
     async def run(self) -> None:
+        """Serve commands and send heartbeats until cancelled."""
         async with curio.TaskGroup() as group:
             await group.spawn(self.server.run)
-            await group.spawn(self._report)
+            await group.spawn(self._send_heartbeats)
 
     async def _serve(self, request: Request) -> Response:
         core = self.core
         if (request.method, request.path) == ("GET", "/status"):
-            return Response(200, wire.encode(core.report()))
+            return Response(HTTPStatus.OK, wire.encode(core.report()))
         if (request.method, request.path) != ("POST", "/do"):
-            return Response(404)
+            return Response(HTTPStatus.NOT_FOUND)
         try:
-            body = msgspec.convert(_body(request), _Do)
+            body = msgspec.convert(_body(request), _CommandRequest)
         except (msgspec.DecodeError, msgspec.ValidationError, TypeError) as error:
-            return _error(400, str(error))
-        done = core.direct(body.epoch, body.tenure, body.orders)
-        return Response(200 if done else 409, wire.encode(core.report()))
-
-    async def _report(self) -> None:
-        said = 0
-        last = 0.0
+            return _error(HTTPStatus.BAD_REQUEST, str(error))
+        executed = core.direct(body.fencing_token, body.incarnation, body.commands)
+        status = HTTPStatus.OK if executed else HTTPStatus.CONFLICT
+        return Response(status, wire.encode(core.report()))
+
+    async def _send_heartbeats(self) -> None:
+        """Send one in each interval, and one soon after each change."""
+        reported_changes = 0
+        last_sent_at = 0.0
         while True:
-            due = time.monotonic() + self.report_s * self.rng.uniform(
-                1 - REPORT_SPREAD, 1 + REPORT_SPREAD
+            due_at = time.monotonic() + self.report_s * self.rng.uniform(
+                1 - HEARTBEAT_INTERVAL_SPREAD, 1 + HEARTBEAT_INTERVAL_SPREAD
             )
-            while time.monotonic() < due and (
-                self.core.changes == said or time.monotonic() < last + LEAST_GAP_S
+            while time.monotonic() < due_at and (
+                self.core.changes == reported_changes
+                or time.monotonic() < last_sent_at + MIN_HEARTBEAT_GAP_S
             ):
-                await curio.sleep(LOOK_S)
-            said, last = self.core.changes, time.monotonic()
-            await self._hello()
-
-    async def _hello(self) -> None:
-        core = self.core
-        tenure, sent = core.tenure, time.monotonic()
+                await curio.sleep(POLL_S)
+            reported_changes, last_sent_at = self.core.changes, time.monotonic()
+            await self._send_heartbeat()
+
+    async def _send_heartbeat(self) -> None:
+        """Send a heartbeat; without an answer the next goes to another controller.
+
+        The other is the leader that the controller names, or else the next one in the order of
+        names, after a pause.
+        """
+        incarnation, sent_at = self.core.tenure, time.monotonic()
+        leader = None
         try:
             response = await self.client.request(
                 self.nodes[self.node],
                 "POST",
                 "/hello",
-                wire.encode(core.report()),
-                HELLO_TIMEOUT_S,
+                wire.encode(self.core.report()),
+                HEARTBEAT_TIMEOUT_S,
             )
-            if response.status == 200:
-                body = msgspec.msgpack.decode(response.body, type=_Orders)
-                core.answered(sent, tenure, body.epoch, body.orders)
+            if response.status == HTTPStatus.OK:
+                body = msgspec.msgpack.decode(response.body, type=_HeartbeatResponse)
+                self.core.answered(sent_at, incarnation, body.fencing_token, body.commands)
                 return
-            steward = None
-            if response.status == 421:
-                steward = msgspec.msgpack.decode(response.body, type=_Steward).steward
+            if response.status == HTTPStatus.MISDIRECTED_REQUEST:
+                leader = msgspec.msgpack.decode(response.body, type=_LeaderHint).leader
         except (RequestNotSentError, NoResponseError, msgspec.DecodeError):
-            steward = None
-        if steward in self.nodes and steward != self.node:
-            self.node = steward
+            pass
+        await self._switch_controller(leader)
+
+    async def _switch_controller(self, leader: str | None) -> None:
+        if leader is not None and leader in self.nodes and leader != self.node:
+            self.node = leader
             return
         names = sorted(self.nodes)
         self.node = names[(names.index(self.node) + 1) % len(names)]
-        await curio.sleep(NEXT_NODE_S)
+        await curio.sleep(RETRY_NEXT_CONTROLLER_S)
 
 
-class _Do(msgspec.Struct):
-    epoch: int
-    tenure: int
-    orders: list[wire.TaskCommand]
+class _CommandRequest(
+    msgspec.Struct,
+    rename={"fencing_token": "epoch", "incarnation": "tenure", "commands": "orders"},
+):
+    fencing_token: int
+    incarnation: int
+    commands: list[wire.TaskCommand]
 
 
-class _Orders(msgspec.Struct):
-    epoch: int = -1
-    orders: list[wire.TaskCommand] = []
+class _HeartbeatResponse(msgspec.Struct, rename={"fencing_token": "epoch", "commands": "orders"}):
+    fencing_token: int = -1  # below all valid ones, so that a response without one is dropped
+    commands: list[wire.TaskCommand] = []
 
 
-class _Steward(msgspec.Struct):
-    steward: str | None = None
+class _LeaderHint(msgspec.Struct, rename={"leader": "steward"}):
+    leader: str | None = None
--- a/umberward/local/statecore.py
+++ b/umberward/local/statecore.py
@@ -1,116 +1,183 @@
-"""The state service's semantics, without I/O: the loopback cluster and the tests play with it.
+"""The semantics of the state service, without I/O, for the local cluster and the tests.
 
-By PROTOCOL, "Controller nodes -> state service": conditions, leases, watches that may come too
-late, limits of size and rate with bursts of one second.
+Source: PROTOCOL, "Controller nodes -> state service": conditional transactions, leases, a bounded
+history of changes for watches, limits of size, and limits of rate with bursts of one second.
+
+Times are seconds of the caller's monotonic clock; this module never reads a clock itself.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Iterable
-from typing import Any
+from typing import NamedTuple, cast
 
 from umberward.core.types import Version
+from umberward.local.errors import StandInError
 from umberward.protocol import wire
 from umberward.protocol.transactions import VersionedValue
 
-KEPT_CHANGES = 10_000
-TXN_BYTES = 64 * 1024
-CONDITIONS_FOR_EACH = 4  # times the limit of changes
-MOST_ENTRIES = 1000
-MOST_ENTRY_BYTES = 512 * 1024
-LONGEST_KEY = 200
+MAX_RETAINED_CHANGES = 10_000
+MAX_TRANSACTION_BYTES = 64 * 1024
+MAX_CONDITIONS_PER_WRITE = 4  # the limit of conditions, as a multiple of the limit of writes
+MOST_ENTRIES = 1000  # of one page
+MAX_PAGE_BYTES = 512 * 1024
+MAX_KEY_BYTES = 200
 
 
-class CompareFailedError(Exception):
-    """These conditions do not hold."""
+class CompareFailedError(StandInError):
+    """Some conditions of a transaction do not hold; `keys` are the keys of those conditions."""
 
     def __init__(self, keys: list[str]) -> None:
+        """`keys`: in the order of the conditions."""
         super().__init__(", ".join(keys))
         self.keys = keys
 
 
-class InvalidRequestError(Exception):
-    """Malformed, too large, or its lease is over: 400 with this reason."""
+class InvalidRequestError(StandInError):
+    """A transaction is malformed or too large, or its lease has ended: status 400."""
+
+
+class WritesTooLargeError(InvalidRequestError):
+    """A transaction has too many writes, or one value is too large."""
+
+    def __init__(self, write_count: int, value_sizes: list[int]) -> None:
+        """`value_sizes`: of the values put, in bytes."""
+        super().__init__(f"{write_count} changes, values of {value_sizes} bytes")
+
+
+class TooManyConditionsError(InvalidRequestError):
+    """A transaction has too many conditions."""
+
+    def __init__(self, condition_count: int) -> None:
+        """`condition_count`: how many the transaction has."""
+        super().__init__(f"{condition_count} conditions")
+
+
+class TransactionTooLargeError(InvalidRequestError):
+    """The values of a transaction are too large together."""
+
+    def __init__(self, size_bytes: int) -> None:
+        """`size_bytes`: the sum over all values put."""
+        super().__init__(f"{size_bytes} bytes together")
+
+
+class InvalidKeyError(InvalidRequestError):
+    """A write names no valid key."""
+
+    def __init__(self, key: object) -> None:
+        """`key`: what stands in the place of the key."""
+        super().__init__(f"not a key: {key!r}")
+
 
+class UnknownLeaseError(InvalidRequestError):
+    """A write is to be attached to a lease that does not exist, or no longer."""
 
-class RevisionCompactedError(Exception):
-    """The changes asked for are kept no longer."""
+    def __init__(self) -> None:
+        """The text names no lease, as the service's does not."""
+        super().__init__("no such lease")
+
+
+class RevisionCompactedError(StandInError):
+    """The changes after the requested revision are no longer all retained."""
 
 
 class Rate:
-    """So many a second, with bursts of so many seconds' worth."""
+    """A token bucket: so many requests a second, with bursts of some seconds' worth."""
 
     def __init__(self, rate: float, now: float, burst_s: float = 1.0) -> None:
+        """A full bucket. `rate`: tokens a second; `burst_s`: seconds that fill the bucket."""
         self.rate = rate
-        self.most = self.tokens = rate * burst_s
-        self.at = now
+        self.capacity = self.tokens = rate * burst_s
+        self.refilled_at = now
 
     def take(self, count: int, now: float) -> bool:
-        self.tokens = min(self.most, self.tokens + (now - self.at) * self.rate)
-        self.at = now
+        """Take so many tokens; False, and nothing is taken, if there are fewer."""
+        self.tokens = min(self.capacity, self.tokens + (now - self.refilled_at) * self.rate)
+        self.refilled_at = now
         if self.tokens < count:
             return False
         self.tokens -= count
         return True
 
 
+class Lease(NamedTuple):
+    """A lease, with the length that it was granted for and has again after each renewal."""
+
+    duration_s: float
+    expires_at: float  # seconds, by the clock of the caller
+
+
 class StateCore:
+    """The state service's keys, changes and leases."""
+
     def __init__(self, value_bytes: int = 4096, txn_ops: int = 8) -> None:
+        """`value_bytes`: the limit of one value; `txn_ops`: the limit of writes a transaction."""
         self.value_bytes = value_bytes
         self.txn_ops = txn_ops
         self.revision = 0
         self.keys: dict[str, VersionedValue] = {}
-        self.attached: dict[str, int] = {}  # key -> its lease
-        self.leases: dict[int, tuple[float, float]] = {}  # lease -> (length, when it ends), seconds
-        self.granted = 0
-        self.changes: deque[wire.KeyChange] = deque(maxlen=KEPT_CHANGES)
-        self.written = 0  # puts and deletes
-        self.bytes = 0  # of the values put
-
-    def commit(self, conditions: Iterable[tuple[str, int]], writes: list[dict[str, Any]]) -> int:
-        """The revision of the transaction. Raises Failed or Refused; then nothing has changed."""
+        self.attached: dict[str, int] = {}  # key -> the lease that it ends with
+        self.leases: dict[int, Lease] = {}
+        self.granted = 0  # leases so far; the last one's number
+        self.changes: deque[wire.KeyChange] = deque(maxlen=MAX_RETAINED_CHANGES)
+        self.written = 0  # puts and deletes so far
+        self.bytes = 0  # of all values put so far
+
+    # ---- transactions ----------------------------------------------------------------------
+
+    def commit(self, conditions: Iterable[tuple[str, int]], writes: list[dict[str, object]]) -> int:
+        """Execute a transaction, all of it or nothing.
+
+        `conditions`: pairs of a key and the version that it must have, 0 for an absent key.
+        `writes`: as on the wire, maps with `write` and `data` (and `charter`), or with `delete`.
+        Returns the revision after it. Raises CompareFailedError or InvalidRequestError.
+        """
         conditions = list(conditions)
-        self._check(conditions, writes)
-        failed = [key for key, stamp in conditions if self._stamp(key) != stamp]
-        if failed:
-            raise CompareFailedError(failed)
+        self._validate(conditions, writes)
+        failed_keys = [key for key, version in conditions if self._version(key) != version]
+        if failed_keys:
+            raise CompareFailedError(failed_keys)
         if writes:
             self.revision += 1
             self.written += len(writes)
         for write in writes:
             if "delete" in write:
-                self._delete(write["delete"])
+                self._delete(str(write["delete"]))
             else:
-                self._put(write["write"], write.get("data"), write.get("charter"))
+                lease_id = cast("int | None", write.get("charter"))  # it exists, as validated
+                self._put(str(write["write"]), write.get("data"), lease_id)
         return self.revision
 
-    def _check(self, conditions: list[tuple[str, int]], writes: list[dict[str, Any]]) -> None:
-        sizes = [wire.json_size(write.get("data")) for write in writes if "write" in write]
-        if len(writes) > self.txn_ops or any(size > self.value_bytes for size in sizes):
-            raise InvalidRequestError(f"{len(writes)} changes, values of {sizes} bytes")
-        if len(conditions) > CONDITIONS_FOR_EACH * self.txn_ops:
-            raise InvalidRequestError(f"{len(conditions)} conditions")
-        if sum(sizes) > TXN_BYTES:
-            raise InvalidRequestError(f"{sum(sizes)} bytes together")
+    def _validate(self, conditions: list[tuple[str, int]], writes: list[dict[str, object]]) -> None:
+        """Raise InvalidRequestError for a transaction that breaks a limit."""
+        value_sizes = [wire.json_size(write.get("data")) for write in writes if "write" in write]
+        if len(writes) > self.txn_ops or any(size > self.value_bytes for size in value_sizes):
+            raise WritesTooLargeError(len(writes), value_sizes)
+        if len(conditions) > MAX_CONDITIONS_PER_WRITE * self.txn_ops:
+            raise TooManyConditionsError(len(conditions))
+        if sum(value_sizes) > MAX_TRANSACTION_BYTES:
+            raise TransactionTooLargeError(sum(value_sizes))
         for write in writes:
             key = write.get("write", write.get("delete"))
-            if not isinstance(key, str) or not 0 < len(key.encode()) <= LONGEST_KEY or " " in key:
-                raise InvalidRequestError(f"not a key: {key!r}")
-            lease = write.get("charter")
-            if lease is not None and lease not in self.leases:
-                raise InvalidRequestError("no such lease")
+            if not _is_valid_key(key):
+                raise InvalidKeyError(key)
+            lease_id = write.get("charter")
+            if lease_id is not None and lease_id not in self.leases:
+                raise UnknownLeaseError
 
-    def _stamp(self, key: str) -> int:
-        found = self.keys.get(key)
-        return found.version if found is not None else 0
+    def _version(self, key: str) -> int:
+        """The revision that last wrote the key; 0: there is no such key."""
+        stored = self.keys.get(key)
+        return stored.version if stored is not None else 0
 
-    def _put(self, key: str, data: Any, lease: int | None) -> None:
+    def _put(self, key: str, data: object, lease_id: int | None) -> None:
+        """Store the value; a put without a lease detaches the key from the one it had."""
         self.bytes += wire.json_size(data)
         self.keys[key] = VersionedValue(data, Version(self.revision))
         self.attached.pop(key, None)
-        if lease is not None:
-            self.attached[key] = lease
+        if lease_id is not None:
+            self.attached[key] = lease_id
         self.changes.append(wire.KeyChange(key, None, data, self.revision))
 
     def _delete(self, key: str) -> None:
@@ -118,59 +185,76 @@
             self.attached.pop(key, None)
             self.changes.append(wire.KeyChange(deleted_key=key, version=self.revision))
 
+    # ---- reads -----------------------------------------------------------------------------
+
     def entries(self, prefix: str, start: str = "", most: int = MOST_ENTRIES) -> wire.KeyValuePage:
-        """Entries after `start` in the order of their keys, as many as one answer holds."""
-        found: list[wire.KeyValue] = []
-        size = 0
+        """A page of the keys with that prefix, after `start`, in the order of the keys.
+
+        It has at most `most` entries and at least one if any is left, and says if more are left.
+        """
+        page: list[wire.KeyValue] = []
+        size_bytes = 0
         for key in sorted(key for key in self.keys if key.startswith(prefix) and key > start):
-            got = self.keys[key]
-            size += wire.json_size(got.data)
-            if len(found) >= min(most, MOST_ENTRIES) or (found and size > MOST_ENTRY_BYTES):
-                return wire.KeyValuePage(found, self.revision, True)
-            found.append(wire.KeyValue(key, got.data, got.version, self.attached.get(key)))
-        return wire.KeyValuePage(found, self.revision)
+            stored = self.keys[key]
+            size_bytes += wire.json_size(stored.data)
+            if len(page) >= min(most, MOST_ENTRIES) or (page and size_bytes > MAX_PAGE_BYTES):
+                return wire.KeyValuePage(page, self.revision, more=True)
+            page.append(wire.KeyValue(key, stored.data, stored.version, self.attached.get(key)))
+        return wire.KeyValuePage(page, self.revision)
 
     def news(self, prefix: str, after: int) -> list[wire.KeyChange]:
-        """Changes of keys with the prefix after that revision. Raises TooOld."""
-        if len(self.changes) == KEPT_CHANGES and self.changes[0].version > after + 1:
+        """The changes of keys with that prefix after that revision, oldest first.
+
+        Raises RevisionCompactedError if some of them may no longer be retained.
+        """
+        if len(self.changes) == MAX_RETAINED_CHANGES and self.changes[0].version > after + 1:
             raise RevisionCompactedError
-        found = []
+        newest_first = []
         for change in reversed(self.changes):
             if change.version <= after:
                 break
             if (change.put_key or change.deleted_key or "").startswith(prefix):
-                found.append(change)
-        return found[::-1]
+                newest_first.append(change)
+        return newest_first[::-1]
 
-    # ---- leases --------------------------------------------------------------------------
+    # ---- leases ----------------------------------------------------------------------------
 
     def grant(self, seconds: float, now: float) -> int:
+        """Grant a lease of that length; returns its number."""
         self.granted += 1
-        self.leases[self.granted] = (seconds, now + seconds)
+        self.leases[self.granted] = Lease(seconds, now + seconds)
         return self.granted
 
-    def extend(self, lease: int, now: float) -> bool:
-        """False: there is no such lease (any more)."""
-        if lease not in self.leases:
+    def extend(self, lease_id: int, now: float) -> bool:
+        """Renew a lease for its whole length; False: there is no such lease, or no longer."""
+        lease = self.leases.get(lease_id)
+        if lease is None:
             return False
-        self.leases[lease] = (self.leases[lease][0], now + self.leases[lease][0])
+        self.leases[lease_id] = Lease(lease.duration_s, now + lease.duration_s)
         return True
 
-    def end_lease(self, lease: int) -> None:
-        self.leases.pop(lease, None)
-        gone = [key for key, held in self.attached.items() if held == lease]
-        if gone:
+    def end_lease(self, lease_id: int) -> None:
+        """End a lease and delete the keys attached to it, in one revision."""
+        self.leases.pop(lease_id, None)
+        attached_keys = [
+            key for key, attached_to in self.attached.items() if attached_to == lease_id
+        ]
+        if attached_keys:
             self.revision += 1
-            for key in gone:
+            for key in attached_keys:
                 self._delete(key)
 
     def tick(self, now: float) -> None:
-        """Leases that were not renewed in time end."""
-        for lease, (_, ends) in list(self.leases.items()):
-            if ends <= now:
-                self.end_lease(lease)
+        """End the leases that were not renewed in time."""
+        for lease_id, lease in list(self.leases.items()):
+            if lease.expires_at <= now:
+                self.end_lease(lease_id)
 
     def recovered(self, now: float) -> None:
-        """After an outage every lease has its full time again."""
-        for lease in self.leases:
-            self.extend(lease, now)
+        """Renew every lease: after an outage of the service each has its whole length again."""
+        for lease_id in self.leases:
+            self.extend(lease_id, now)
+
+
+def _is_valid_key(key: object) -> bool:
+    return isinstance(key, str) and 0 < len(key.encode()) <= MAX_KEY_BYTES and " " not in key
