--- a/umberward/cli/asking.py
+++ b/umberward/cli/asking.py
@@ -1,10 +1,11 @@
-"""What all commands that ask a controller have in common."""
+"""What the commands that send requests to a controller have in common."""
 
 from __future__ import annotations
 
 import tomllib
+from http import HTTPStatus
 from pathlib import Path
-from typing import Any
+from typing import TypeVar
 
 import click
 import curio
@@ -13,6 +14,12 @@
 from umberward.core.types import Address, parse_address
 from umberward.protocol.http import Client, NoResponseError, RequestNotSentError, Response
 
+REQUEST_TIMEOUT_S = 5.0
+CONNECTIONS = 4
+ACCEPTED_STATUSES = (HTTPStatus.OK, HTTPStatus.CREATED, HTTPStatus.ACCEPTED)
+
+Content = TypeVar("Content")
+
 
 class HostPort(click.ParamType[Address]):
     """An address on the command line, as HOST:PORT."""
@@ -20,7 +27,7 @@
     name = "host:port"
 
     def convert(
-        self, value: Any, param: click.Parameter | None, ctx: click.Context | None
+        self, value: str, param: click.Parameter | None, ctx: click.Context | None
     ) -> Address:
         """The address; ends with click's own message for anything else."""
         try:
@@ -42,35 +49,34 @@
     """Send one request to a controller. Raises click.ClickException if there is no response."""
 
     async def call() -> Response:
-        return await Client(4).request(server, method, path, body, 5.0)
+        return await Client(CONNECTIONS).request(server, method, path, body, REQUEST_TIMEOUT_S)
 
     try:
         response: Response = curio.run(call)
     except (RequestNotSentError, NoResponseError) as error:
-        raise click.ClickException(f"no answer: {error}") from None
+        raise click.ClickException(f"no answer: {error}") from None  # noqa: TRY003 - click prints this text
     return response
 
 
 def show(response: Response) -> None:
-    """Print the answer; raises ClickException for anything but success."""
+    """Print the response's body as JSON. Raises click.ClickException unless it was accepted."""
     try:
         text = msgspec.json.encode(msgspec.msgpack.decode(response.body)).decode()
     except msgspec.DecodeError:
         text = ""
-    if response.status in (200, 201, 202):
+    if response.status in ACCEPTED_STATUSES:
         click.echo(text)
         return
-    again = f", try again in {response.retry_after:.0f} s" if response.retry_after else ""
-    raise click.ClickException(f"status {response.status}{again} {text}".rstrip())
-
+    retry = f", try again in {response.retry_after:.0f} s" if response.retry_after else ""
+    raise click.ClickException(f"status {response.status}{retry} {text}".rstrip())
 
-def read_list(path: Path, name: str, kind: Any) -> Any:
-    """What a TOML file has under that name. Raises ClickException."""
 
+def read_list(path: Path, name: str, kind: type[Content]) -> Content:
+    """What a TOML file has under that name, as `kind`. Raises click.ClickException."""
     try:
-        found = tomllib.loads(path.read_text(encoding="utf-8")).get(name)
-        return msgspec.convert(found, kind)
+        content = tomllib.loads(path.read_text(encoding="utf-8")).get(name)
+        return msgspec.convert(content, kind)
     except OSError as error:
-        raise click.ClickException(f"{path}: {error.strerror or error}") from None
+        raise click.ClickException(f"{path}: {error.strerror or error}") from None  # noqa: TRY003 - click prints this text
     except (ValueError, msgspec.ValidationError) as error:
-        raise click.ClickException(f"{path}: {name}: {error}") from None
+        raise click.ClickException(f"{path}: {name}: {error}") from None  # noqa: TRY003 - click prints this text
--- a/umberward/cli/graph.py
+++ b/umberward/cli/graph.py
@@ -3,19 +3,28 @@
 from __future__ import annotations
 
 import time
+from collections.abc import Sequence
+from http import HTTPStatus
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 import msgspec
 
-from umberward.cli.asking import ask, read_list, server_option, show
+from umberward.cli.asking import ACCEPTED_STATUSES, ask, read_list, server_option, show
 from umberward.core.types import Address
 from umberward.protocol import wire
 
+if TYPE_CHECKING:
+    from umberward.core.settings import TeamQuota
+    from umberward.core.types import MachineTypeName
+    from umberward.graphs.model import File
+    from umberward.protocol.wire import MachineType
+
 GRAPHS = "/v1/graphs"
-FAILED = 1  # exit status: a graph that was waited for did not end well
-ASK_AGAIN_S = 1.0
+FAILED = 1  # exit status: a graph that was waited for has not ended as done
+INVALID_FILE = 2  # exit status
+POLL_INTERVAL_S = 1.0
 
 
 @click.group()
@@ -50,45 +59,47 @@
     from umberward.graphs.model import Shape
     from umberward.protocol.wire import MachineType
 
-    teams = skus = None
+    teams = machine_types = None
     try:
         if config is not None:
             teams = load(config).platform.cluster.teams
     except SettingsError as error:
         raise click.ClickException(str(error)) from None
     if machines is not None:
-        skus = {
-            MachineTypeName(sku.name): sku
-            for sku in read_list(machines, "machines", list[MachineType])
+        machine_types = {
+            MachineTypeName(machine_type.name): machine_type
+            for machine_type in read_list(machines, "machines", list[MachineType])
         }
-    found = _load(file, teams, skus)
-    shape = Shape(found.tasks)
-    needs = sum(len(some) for some in shape.needs)
+    loaded = _load(file, teams, machine_types)
+    shape = Shape(loaded.tasks)
+    needs = sum(len(task_needs) for task_needs in shape.needs)
     click.echo(f"{file}: {len(shape)} tasks, {needs} needs, {len(shape.kinds)} kinds")
 
 
 @graph.command()
 @server_option
-@click.option("--id", "id", help="The graph's id, graph-N; the same again is the same graph.")
+@click.option(
+    "--id", "id_option", help="The graph's id, graph-N; the same again is the same graph."
+)
 @click.option("--wait", is_flag=True, help="Wait for its end; exit 1 unless all tasks are done.")
 @click.argument("file", type=click.Path(path_type=Path))
-def submit(server: Address, id: str | None, wait: bool, file: Path) -> None:
+def submit(server: Address, id_option: str | None, wait: bool, file: Path) -> None:  # noqa: FBT001 - click passes it by name
     """Send the graph in FILE, in as many parts as it takes."""
     from umberward.graphs import files
     from umberward.graphs.model import GRAPH_PREFIX, parse_graph_id
 
-    found = _load(file)
-    name = parse_graph_id(id or f"{GRAPH_PREFIX}{time.time_ns() // 1_000_000}")
-    if name is None:
-        raise click.BadParameter("expected graph-N", param_hint="--id")
-    for part in files.parts(name, found):
+    loaded = _load(file)
+    graph_id = parse_graph_id(id_option or f"{GRAPH_PREFIX}{time.time_ns() // 1_000_000}")
+    if graph_id is None:
+        raise click.BadParameter("expected graph-N", param_hint="--id")  # noqa: TRY003 - click prints this text
+    for part in files.parts(graph_id, loaded):
         response = ask(server, "POST", GRAPHS, wire.encode(part))
-        if response.status not in (200, 201, 202):
+        if response.status not in ACCEPTED_STATUSES:
             break
     show(response)
     while wait:
-        time.sleep(ASK_AGAIN_S)
-        state = _state(ask(server, "GET", f"{GRAPHS}/{name}").body)
+        time.sleep(POLL_INTERVAL_S)
+        state = _state(ask(server, "GET", f"{GRAPHS}/{graph_id}").body)
         if state.get("phase") in ("done", "failed", "cancelled"):
             click.echo(msgspec.json.encode(state).decode())
             raise SystemExit(0 if state["phase"] == "done" else FAILED)
@@ -111,7 +122,7 @@
     start = 0
     while True:
         response = ask(server, "GET", f"{GRAPHS}/{graph_id}/tasks?from={start}")
-        if response.status != 200:
+        if response.status != HTTPStatus.OK:
             show(response)
         page = _state(response.body)
         for task in page["tasks"]:
@@ -130,20 +141,26 @@
     show(ask(server, "POST", f"{GRAPHS}/{graph_id}/cancel"))
 
 
-def _load(file: Path, teams: Any = None, skus: Any = None) -> Any:
+def _load(
+    file: Path,
+    teams: Sequence[TeamQuota] | None = None,
+    machine_types: dict[MachineTypeName, MachineType] | None = None,
+) -> File:
+    """Read and check a graph file; ends the command with all that is wrong with it."""
     from umberward.graphs import files
 
     try:
-        return files.load(file, teams, skus)
+        return files.load(file, teams, machine_types)
     except files.GraphFileError as error:
         for line in error.lines:
             click.echo(line, err=True)
-        raise SystemExit(2) from None
+        raise SystemExit(INVALID_FILE) from None
 
 
 def _state(body: bytes) -> dict[str, Any]:
+    """The state of a graph in a response; empty if the response has another body."""
     try:
-        found = msgspec.msgpack.decode(body)
+        state = msgspec.msgpack.decode(body)
     except msgspec.DecodeError:
         return {}
-    return found if isinstance(found, dict) else {}
+    return state if isinstance(state, dict) else {}
--- a/umberward/cli/load.py
+++ b/umberward/cli/load.py
@@ -1,4 +1,4 @@
-"""The command line's `load`: an open-loop load against any controllers."""
+"""The command `load`: an open-loop load against any controllers."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--save", type=click.Path(path_type=Path), help="Write the figures as JSON.")
 @click.option("--plot", type=click.Path(path_type=Path), help="Draw them: FILE.svg or FILE.png.")
-def load(
+def load(  # noqa: PLR0913 - one argument for each option
     servers: tuple[Address, ...],
     submit: float,
     poll: float,
@@ -54,17 +54,17 @@
     plot: Path | None,
 ) -> None:
     """Send requests at given rates, not waiting for the answers, and say how they fared."""
-    from umberward.load import generator as load_
+    from umberward.load import generator
 
     if plot is not None and plot.suffix not in (".svg", ".png"):
-        raise click.BadParameter("expected FILE.svg or FILE.png", param_hint="--plot")
-    made = load_.Generator(
+        raise click.BadParameter("expected FILE.svg or FILE.png", param_hint="--plot")  # noqa: TRY003 - click prints this text
+    requests = generator.Generator(
         list(servers),
-        load_.Rates(submit, poll, cancel, graph),
-        load_.Work(team, tasks, 1.0, run_s, graph_tasks),
+        generator.Rates(submit, poll, cancel, graph),
+        generator.Work(team, tasks, 1.0, run_s, graph_tasks),
         seed,
     )
-    result = curio.run(made.run, seconds)
+    result = curio.run(requests.run, seconds)
     for kind, figures in result.kinds.items():
         times = ", ".join(f"{name} {value:g}" for name, value in figures.ms.items())
         statuses = ", ".join(f"{name}: {count}" for name, count in figures.statuses.items())
@@ -72,4 +72,4 @@
     if save is not None:
         save.write_bytes(msgspec.json.format(msgspec.json.encode(result)) + b"\n")
     if plot is not None:
-        load_.plot(made, str(plot))
+        generator.plot(requests, str(plot))
--- a/umberward/cli/local.py
+++ b/umberward/cli/local.py
@@ -1,4 +1,4 @@
-"""The command line's `local`: a cluster on this machine, to try everything without the platform."""
+"""The command `local`: a cluster on this machine, to try everything without the platform."""
 
 from __future__ import annotations
 
@@ -6,14 +6,21 @@
 import sys
 import time
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING
 
 import click
 
 from umberward.cli.asking import read_list
 
-STATUS_S = 0.5
-QUIET_STATUS_S = 5.0  # where nobody watches a line change
+if TYPE_CHECKING:
+    import curio
+
+    from umberward.local.cluster import ClusterPlan, LocalCluster
+
+TERMINAL_STATUS_INTERVAL_S = 0.5
+PLAIN_STATUS_INTERVAL_S = 5.0  # where standard output is no terminal
+POLL_S = 0.1
+TERMINATED = 143  # exit status after SIGTERM
 
 
 @click.command()
@@ -39,7 +46,7 @@
     speed: float,
     troubles: Path | None,
     seconds: float | None,
-    example: bool,
+    example: bool,  # noqa: FBT001 - click passes it by name
 ) -> None:
     """Run a cluster on this machine until Ctrl-C: controllers for real, all else by stand-ins."""
     from umberward.core import event_loop, log
@@ -52,8 +59,8 @@
         plan.machines = read_list(machines, "machines", list[MachineType])
     if troubles is not None:
         plan.troubles = read_list(troubles, "troubles", list[Fault])
-    # Ended by a signal, it still takes its processes along.
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
+    # An exception, unlike the signal itself, lets the cluster end its processes.
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(TERMINATED))
     try:
         failed = event_loop.run(_run, plan, seconds, example)
     except KeyboardInterrupt:
@@ -65,31 +72,19 @@
         raise SystemExit(1)
 
 
-async def _run(plan: Any, seconds: float | None, example: bool) -> bool:
-    """Whether the example did not end well."""
+async def _run(plan: ClusterPlan, seconds: float | None, example: bool) -> bool:  # noqa: FBT001 - click passes it by name
+    """Run the cluster, and the example if asked for; True: the example did not end well."""
     import curio
 
     from umberward.local import example as examples
     from umberward.local.cluster import LocalCluster
 
-    began = time.monotonic()
+    started_at = time.monotonic()
     async with LocalCluster.running(plan) as cluster:
-        click.echo(f"users' addresses: {' '.join(map(str, cluster.listen))}")
-        click.echo(f"store for functions' values: {cluster.store.server.address}")
-        click.echo(f"submit with: umberward submit --server {cluster.listen[0]} JOB.json")
-        click.echo(f"        or: umberward graph submit --server {cluster.listen[0]} GRAPH.toml")
+        _show_addresses(cluster)
         work = await curio.spawn(examples.run, cluster, click.echo) if example else None
-        shown = 0.0
-        tty = sys.stdout.isatty()
-        while seconds is None or time.monotonic() - began < seconds:
-            if work is not None and work.terminated:
-                break
-            if time.monotonic() - shown > (STATUS_S if tty else QUIET_STATUS_S):
-                shown = time.monotonic()
-                click.echo(f"\r\x1b[K{cluster.status()}" if tty else cluster.status(), nl=not tty)
-            await curio.sleep(0.1)
-        if tty:
-            click.echo()
+        end_at = None if seconds is None else started_at + seconds
+        await _show_status(cluster, work, end_at)
         if work is None:
             return False
         if not work.terminated:
@@ -97,3 +92,34 @@
             click.echo("the example did not end in time", err=True)
             return True
         return not await work.join()
+
+
+def _show_addresses(cluster: LocalCluster) -> None:
+    click.echo(f"users' addresses: {' '.join(map(str, cluster.listen))}")
+    click.echo(f"store for functions' values: {cluster.store.server.address}")
+    click.echo(f"submit with: umberward submit --server {cluster.listen[0]} JOB.json")
+    click.echo(f"        or: umberward graph submit --server {cluster.listen[0]} GRAPH.toml")
+
+
+async def _show_status(
+    cluster: LocalCluster, work: curio.Task | None, end_at: float | None
+) -> None:
+    """Print the status again and again until the work is over or the time has come.
+
+    On a terminal each status replaces the one before. `end_at`: by the monotonic clock.
+    """
+    import curio
+
+    is_terminal = sys.stdout.isatty()
+    interval_s = TERMINAL_STATUS_INTERVAL_S if is_terminal else PLAIN_STATUS_INTERVAL_S
+    shown_at = 0.0
+    while end_at is None or time.monotonic() < end_at:
+        if work is not None and work.terminated:
+            break
+        if time.monotonic() - shown_at > interval_s:
+            shown_at = time.monotonic()
+            status = cluster.status()
+            click.echo(f"\r\x1b[K{status}" if is_terminal else status, nl=not is_terminal)
+        await curio.sleep(POLL_S)
+    if is_terminal:
+        click.echo()
--- a/umberward/cli/main.py
+++ b/umberward/cli/main.py
@@ -6,7 +6,7 @@
 import os
 import sys
 from pathlib import Path
-from typing import Any
+from typing import BinaryIO
 
 import click
 import msgspec
@@ -21,7 +21,8 @@
 from umberward.core.types import Address
 from umberward.protocol import wire
 
-GC_OBJECTS = 10_000  # made since the last pass of the collector over the youngest
+GC_THRESHOLD_OBJECTS = 10_000  # created since the last collection of the youngest generation
+INVALID_SETTINGS = 2  # exit status
 
 _config = click.option(
     "--config",
@@ -60,8 +61,9 @@
     from umberward.control.controller import Controller
     from umberward.core import event_loop
 
-    # What is made for a message is gone with it: most passes of the collector find nothing.
-    gc.set_threshold(GC_OBJECTS)
+    # Objects made for a message are freed with it by reference counts alone, so most collections
+    # would find nothing.
+    gc.set_threshold(GC_THRESHOLD_OBJECTS)
     event_loop.run(Controller(settings).run)
 
 
@@ -88,15 +90,15 @@
     help="A job that must be done before this one starts; may be given several times.",
 )
 @click.argument("job", type=click.File("rb"))
-def submit(server: Address, after: tuple[str, ...], job: Any) -> None:
+def submit(server: Address, after: tuple[str, ...], job: BinaryIO) -> None:
     """Submit the job described in the JSON file JOB ('-': standard input)."""
     try:
         body = msgspec.json.decode(job.read())
     except msgspec.DecodeError as error:
-        raise click.ClickException(f"not JSON: {error}") from None
+        raise click.ClickException(f"not JSON: {error}") from None  # noqa: TRY003 - click prints this text
     if after:
         if not isinstance(body, dict):
-            raise click.ClickException("not a JSON object")
+            raise click.ClickException("not a JSON object")  # noqa: TRY003 - click prints this text
         body["waits_on"] = [*(body.get("waits_on") or ()), *after]
     show(ask(server, "POST", "/v1/jobs", wire.encode(body)))
 
@@ -118,19 +120,21 @@
 
 
 def _load(config: Path, properties: Path | None) -> Settings:
+    """Read the settings; ends the command with exit status 2 if they are invalid."""
     try:
         return load(config, properties)
     except SettingsError as error:
         click.echo(f"umberward: {error}", err=True)
-        sys.exit(2)
+        sys.exit(INVALID_SETTINGS)
 
 
 def _log_to_stderr(form: str) -> None:
+    """Log in that form, from the level in LOG_LEVEL; ends the command if there is none such."""
     from umberward.core import log
 
     level = os.environ.get("LOG_LEVEL", "info").lower()
     if level not in log.LEVELS:
         names = ", ".join(log.LEVELS)
         click.echo(f"umberward: LOG_LEVEL: {level!r} is none of {names}", err=True)
-        sys.exit(2)
+        sys.exit(INVALID_SETTINGS)
     log.configure(level, form)
--- a/umberward/cli/soak.py
+++ b/umberward/cli/soak.py
@@ -1,4 +1,4 @@
-"""The command line's `soak`: a cluster on the loopback under load and drawn faults, judged."""
+"""The command `soak`: a cluster on the loopback under load and drawn faults, checked."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 
 
 class Seeds(click.ParamType[range]):
-    """`7` or `1-50`."""
+    """Seeds on the command line: one number or a range, such as `7` or `1-50`."""
 
     name = "seeds"
 
     def convert(
-        self, value: Any, param: click.Parameter | None, ctx: click.Context | None
+        self, value: str | range, param: click.Parameter | None, ctx: click.Context | None
     ) -> range:
         """The seeds; ends with click's own message for anything else."""
         if isinstance(value, range):
             return value
-        first, _, last = str(value).partition("-")
+        first, _, last = value.partition("-")
         last = last or first
         if not first.isdecimal() or not last.isdecimal() or int(last) < int(first):
             self.fail(f"{value!r} is neither a number nor a range such as 1-50", param, ctx)
         return range(int(first), int(last) + 1)
 
 
-class Played(NamedTuple):
-    """One seed as a process of its own has played it."""
+class SeedRun(NamedTuple):
+    """The run of one seed in a process of its own."""
 
     seed: int
-    said: str
-    result: Any
+    output: str  # what the process printed
+    result: dict[str, Any] | None  # its report; None: the process failed
 
 
 @click.command()
@@ -71,14 +71,15 @@
     except plan.PlanError as error:
         click.echo(f"soak: {error}", err=True)
         sys.exit(BAD_INPUT)
-    # Ended by a signal, it still takes its processes along.
+    # An exception, unlike the signal itself, lets the soak end its processes.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(TERMINATED))
     if len(seeds) == 1:
-        sys.exit(_play_here(seeds[0], size, faults, report))
-    sys.exit(_play_apart(seeds, size, faults, jobs, report))
+        sys.exit(_run_here(seeds[0], size, faults, report))
+    sys.exit(_run_in_processes(seeds, size, faults, jobs, report))
 
 
-def _play_here(seed: int, size: str, faults: tuple[str, ...], report: Path | None) -> int:
+def _run_here(seed: int, size: str, faults: tuple[str, ...], report: Path | None) -> int:
+    """Run one seed in this process and print the result. Returns the exit status."""
     from umberward.core import event_loop, log
     from umberward.soak import plan
     from umberward.soak.runner import Run
@@ -101,53 +102,54 @@
     return BROKEN if result.broken else 0
 
 
-def _play_apart(
+def _run_in_processes(
     seeds: range, size: str, faults: tuple[str, ...], jobs: int, report: Path | None
 ) -> int:
-    """Each seed in a process of its own; none outlives this one."""
+    """Run each seed in a process of its own; none outlives this one. Returns the exit status."""
     running: list[subprocess.Popen[str]] = []
     with tempfile.TemporaryDirectory(prefix="umberward-soak-") as folder:
 
-        def play(seed: int) -> Played:
+        def play(seed: int) -> SeedRun:
             path = Path(folder) / f"{seed}.json"
-            words = [sys.executable, "-m", "umberward", "soak", "--seeds", str(seed)]
-            words += ["--size", size, "--report", str(path)]
+            command = [sys.executable, "-m", "umberward", "soak", "--seeds", str(seed)]
+            command += ["--size", size, "--report", str(path)]
             for name in faults:
-                words += ["--fault", name]
+                command += ["--fault", name]
             process = subprocess.Popen(
-                words, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True
+                command, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True
             )
             running.append(process)
-            said, _ = process.communicate()
+            output, _ = process.communicate()
             result = msgspec.json.decode(path.read_bytes())[0] if path.exists() else None
-            return Played(seed, said.strip(), result)
+            return SeedRun(seed, output.strip(), result)
 
-        played = []
+        runs: list[SeedRun] = []
         with ThreadPoolExecutor(max_workers=jobs) as pool:
             try:
-                for one in pool.map(play, seeds):
-                    click.echo(one.said)
-                    played.append(one)
+                for run in pool.map(play, seeds):
+                    click.echo(run.output)
+                    runs.append(run)
             finally:
                 pool.shutdown(wait=False, cancel_futures=True)
                 for process in running:
                     process.terminate()  # of one that has ended already it does nothing
-    results = [one.result for one in played if one.result is not None]
+    results = [run.result for run in runs if run.result is not None]
     if report is not None:
         report.write_bytes(msgspec.json.format(msgspec.json.encode(results)) + b"\n")
-    failed = [one.seed for one in played if one.result is None]
-    broken = [one["seed"] for one in results if one["broken"]]
+    failed = [run.seed for run in runs if run.result is None]
+    broken = [result["seed"] for result in results if result["broken"]]
     click.echo(
-        f"{len(played)} seeds: {len(broken)} broke a rule {broken}, {len(failed)} failed {failed};"
-        f" {sum(one['starts'] for one in results)} starts,"
-        f" {sum(one['cancellations'] for one in results)} cancellations,"
-        f" {sum(one['kills'] for one in results)} kills,"
-        f" {sum(one['takeovers'] for one in results)} takeovers"
+        f"{len(runs)} seeds: {len(broken)} broke a rule {broken}, {len(failed)} failed {failed};"
+        f" {sum(result['starts'] for result in results)} starts,"
+        f" {sum(result['cancellations'] for result in results)} cancellations,"
+        f" {sum(result['kills'] for result in results)} kills,"
+        f" {sum(result['takeovers'] for result in results)} takeovers"
     )
     return HARNESS_FAILED if failed else BROKEN if broken else 0
 
 
 def _line(result: dict[str, Any]) -> str:
+    """One line with the result of one seed."""
     rules = sorted({rule for _, rule, *_ in result["broken"]})
     return (
         f"seed {result['seed']}: {', '.join(rules) if rules else 'no rule broken'};"
--- a/umberward/load/generator.py
+++ b/umberward/load/generator.py
@@ -1,7 +1,7 @@
-"""Requests at given rates, whatever becomes of those before; times from when each was due.
+"""Requests at given rates, independent of the responses; times count from when each was due.
 
-A closed loop slows down with the service and hides its stalls. Here each request is due at a moment
-drawn beforehand (Poisson arrivals, from a seed) and its time counts from that moment.
+A closed loop slows down with the service and hides its stalls. In this open loop each request is
+due at a moment drawn from a seed (Poisson arrivals), and its time counts from that moment.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import time
 from collections import Counter
 from collections.abc import Iterator
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import curio
 import msgspec
@@ -24,11 +24,12 @@
 from umberward.protocol.http import Client, NoResponseError, RequestNotSentError
 
 JOBS, GRAPHS = "/v1/jobs", "/v1/graphs"
-LONGEST_MS = 600_000
-DIGITS = 3
-ANSWER_S = 5.0  # users give up a request then
-MOST_AT_ONCE = 1000
-MOST_REQUESTS = 1_000_000
+MAX_RECORDED_MS = 600_000
+SIGNIFICANT_DIGITS = 3  # of the recorded times
+RESPONSE_TIMEOUT_S = 5.0
+MAX_OPEN_REQUESTS = 1000  # those that are due beyond it are not sent
+DRAIN_POLL_S = 0.05
+MAX_REQUESTS = 1_000_000
 SOCKETS = 512
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 KINDS = ("submit", "poll", "cancel", "graph")
@@ -44,7 +45,7 @@
 
 
 class Work(NamedTuple):
-    """What is submitted."""
+    """What is submitted: the size of jobs and graphs."""
 
     team: str = "red"
     tasks: int = 4
@@ -54,7 +55,7 @@
 
 
 class Figures(msgspec.Struct):
-    """Of one kind of request; times in milliseconds, by percentile, from when it was due."""
+    """Results of one kind of request; `ms`: times from when each was due, by percentile."""
 
     sent: int
     statuses: dict[str, int]
@@ -62,52 +63,59 @@
 
 
 class Result(msgspec.Struct):
+    """Results of a run; `kinds`: those kinds of requests that were due at all."""
+
     seconds: float
     seed: int
     kinds: dict[str, Figures]
 
 
 class Generator:
+    """Sends requests to controllers and records how long each takes."""
+
     def __init__(self, servers: list[Address], rates: Rates, work: Work, seed: int) -> None:
+        """`servers`: each request goes to one of them, drawn at random; `seed`: of all draws."""
         self.servers = servers
         self.rates = rates
         self.work = work
         self.seed = seed
         self.rng = random.Random(seed)
         self.client = Client(SOCKETS)
-        self.times = {kind: HdrHistogram(1, LONGEST_MS, DIGITS) for kind in KINDS}
+        self.times = {kind: HdrHistogram(1, MAX_RECORDED_MS, SIGNIFICANT_DIGITS) for kind in KINDS}
         self.statuses: dict[str, Counter[str]] = {kind: Counter() for kind in KINDS}
-        self.jobs: list[str] = []  # accepted
+        self.jobs: list[str] = []  # ids of the accepted ones
         self.number = self.rng.randrange(10**8, 10**9) * 1000
-        self.under_way = 0
+        self.under_way = 0  # requests without a response so far
 
     def arrivals(self, seconds: float) -> Iterator[tuple[float, str]]:
-        """When each request is due, and of what kind."""
-        total = sum(self.rates)
-        at = 0.0
-        for _ in range(MOST_REQUESTS):
-            if not total:
+        """When each request is due, in seconds from the start, and of what kind."""
+        total_rate = sum(self.rates)
+        due_s = 0.0
+        for _ in range(MAX_REQUESTS):
+            if not total_rate:
                 return
-            at += self.rng.expovariate(total)
-            if at > seconds:
+            due_s += self.rng.expovariate(total_rate)
+            if due_s > seconds:
                 return
-            yield at, self.rng.choices(KINDS, self.rates)[0]
+            yield due_s, self.rng.choices(KINDS, self.rates)[0]
 
     async def run(self, seconds: float) -> Result:
-        began = time.monotonic()
+        """Send requests for so many seconds and wait for all responses."""
+        started_at = time.monotonic()
         async with TaskScope() as requests:
-            for at, kind in self.arrivals(seconds):
-                await curio.sleep(max(0.0, began + at - time.monotonic()))
-                if self.under_way >= MOST_AT_ONCE:
+            for due_s, kind in self.arrivals(seconds):
+                await curio.sleep(max(0.0, started_at + due_s - time.monotonic()))
+                if self.under_way >= MAX_OPEN_REQUESTS:
                     self.statuses[kind]["not sent"] += 1
                     continue
                 self.under_way += 1
-                await requests.spawn(self._one, kind, began + at)
+                await requests.spawn(self._send, kind, started_at + due_s)
             while self.under_way:
-                await curio.sleep(0.05)  # each is over within its time
-        return self.result(time.monotonic() - began)
+                await curio.sleep(DRAIN_POLL_S)  # each ends by its time-out
+        return self.result(time.monotonic() - started_at)
 
-    async def _one(self, kind: str, due: float) -> None:
+    async def _send(self, kind: str, due_at: float) -> None:
+        """Send one request, in as many parts as it takes, and record its status and time."""
         try:
             method, path, bodies, job = self._request(kind)
             if not path:
@@ -116,7 +124,9 @@
             for body in bodies:
                 server = self.rng.choice(self.servers)
                 try:
-                    response = await self.client.request(server, method, path, body, ANSWER_S)
+                    response = await self.client.request(
+                        server, method, path, body, RESPONSE_TIMEOUT_S
+                    )
                     status = str(response.status)
                 except RequestNotSentError:
                     status = "not reached"
@@ -127,7 +137,7 @@
             if job and status in ("200", "201"):
                 self.jobs.append(job)
             self.statuses[kind][status] += 1
-            self.times[kind].record_value(max(1, round(1000 * (time.monotonic() - due))))
+            self.times[kind].record_value(max(1, round(1000 * (time.monotonic() - due_at))))
         finally:
             self.under_way -= 1
 
@@ -135,22 +145,23 @@
         """Method, path, bodies to be sent one after the other, and the job that is submitted."""
         self.number += 1
         if kind == "submit":
-            uid = f"req-{self.number}"
-            return "POST", JOBS, [wire.encode(self._job(uid))], uid
+            job_id = f"req-{self.number}"
+            return "POST", JOBS, [wire.encode(self._job(job_id))], job_id
         if kind == "graph":
             parts = files.parts(GraphId(f"graph-{self.number}"), self._graph())
             return "POST", GRAPHS, [wire.encode(part) for part in parts], ""
         if not self.jobs:
             return "", "", [], ""
-        uid = self.rng.choice(self.jobs)
+        job_id = self.rng.choice(self.jobs)
         if kind == "poll":
-            return "GET", f"{JOBS}/{uid}", [b""], ""
-        return "POST", f"{JOBS}/{uid}/cancel", [b""], ""
+            return "GET", f"{JOBS}/{job_id}", [b""], ""
+        return "POST", f"{JOBS}/{job_id}/cancel", [b""], ""
 
-    def _job(self, uid: str) -> dict[str, Any]:
+    def _job(self, job_id: str) -> dict[str, object]:
+        """A job's description as it is sent."""
         work = self.work
         return {
-            "uid": uid,
+            "uid": job_id,
             "jobclass": "load",
             "owner": work.team,
             "shape": wire.ARRAY,
@@ -170,7 +181,7 @@
         }
 
     def _graph(self) -> File:
-        """Each task needs up to two of those before it."""
+        """A graph in which each task needs up to two of those before it."""
         work = self.work
         tasks = []
         for number in range(work.graph_tasks):
@@ -181,33 +192,37 @@
         return File(Options(team=work.team), tasks)
 
     def result(self, seconds: float) -> Result:
-        made = {}
+        """The results so far; `seconds`: how long it took."""
+        figures = {}
         for kind in KINDS:
             if self.statuses[kind]:
                 times = self.times[kind]
                 ms = {
-                    f"p{part:g}": float(times.get_value_at_percentile(part)) for part in PERCENTILES
+                    f"p{percentile:g}": float(times.get_value_at_percentile(percentile))
+                    for percentile in PERCENTILES
                 }
-                some = dict(sorted(self.statuses[kind].items()))
-                made[kind] = Figures(sum(some.values()), some, ms)
-        return Result(round(seconds, 1), self.seed, made)
+                statuses = dict(sorted(self.statuses[kind].items()))
+                figures[kind] = Figures(sum(statuses.values()), statuses, ms)
+        return Result(round(seconds, 1), self.seed, figures)
 
 
 def plot(generator: Generator, path: str) -> None:
-    """The times of each kind by percentile, as SVG or PNG by the name's ending."""
+    """Draw the times of each kind by percentile; `path` ends with .svg or .png."""
     import matplotlib
 
     matplotlib.use("agg")
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(8, 5))
-    parts = [0, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 100]
+    percentiles = [0, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 100]
     for kind, times in generator.times.items():
         if times.get_total_count():
             axes.plot(
-                range(len(parts)), [times.get_value_at_percentile(p) for p in parts], label=kind
+                range(len(percentiles)),
+                [times.get_value_at_percentile(percentile) for percentile in percentiles],
+                label=kind,
             )
-    axes.set_xticks(range(len(parts)), [f"{part:g}" for part in parts])
+    axes.set_xticks(range(len(percentiles)), [f"{percentile:g}" for percentile in percentiles])
     axes.set_xlabel("percentile")
     axes.set_ylabel("milliseconds from when it was due")
     axes.set_yscale("log")
--- a/umberward/local/cluster.py
+++ b/umberward/local/cluster.py
@@ -1,4 +1,7 @@
-"""A whole cluster on the loopback: stand-ins in this process, controllers as processes."""
+"""A whole cluster on the loopback: stand-ins in this process, controllers in child processes.
+
+Times are seconds of this process's monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -12,106 +15,67 @@
 import tempfile
 import time
 from collections.abc import AsyncIterator
+from http import HTTPStatus
 from pathlib import Path
-from typing import Any, Literal
+from typing import Any
 
 import curio
 import javaproperties
-import msgspec
 import tomli_w
 
 from umberward.client.store import CALL, Store
 from umberward.core.log import logger
-from umberward.core.settings import StateLimits, TeamQuota, WorkerTimes
+from umberward.core.settings import StateLimits
 from umberward.core.tasks import TaskScope
 from umberward.core.types import Address
-from umberward.graphs import model, records
-from umberward.graphs.model import Shape
+from umberward.graphs import records
 from umberward.local.cloudcore import CloudCore, Machine
+from umberward.local.cluster_plan import ClusterPlan as ClusterPlan
+from umberward.local.cluster_plan import Fault as Fault
+from umberward.local.job_descriptions import JobDescriptions
 from umberward.local.servers import CloudServer, StateServer, WorkerServer
 from umberward.local.statecore import StateCore
 from umberward.local.workercore import Fate, Mates, WorkerCore
 from umberward.protocol import wire
 from umberward.protocol.http import Client, NoResponseError, RequestNotSentError
-from umberward.protocol.wire import JobSpec, MachineType
+from umberward.protocol.wire import JobSpec
 
 log = logger(__name__)
 
 HOST = "127.0.0.1"
 TICK_S = 0.05
-COME_BACK_S = 2.0  # a controller that ended is started again so much later
-LEAST_RUN_S = 0.02
-DEFAULT_RUN_S = 5.0  # of tasks whose owner has said nothing
+RESTART_DELAY_S = 2.0  # between the end of a controller and its next start
+MIN_RUN_S = 0.02
+DEFAULT_RUN_S = 5.0  # of tasks without an expected run time
+MAX_FAILING_RUN_S = 0.2  # of tasks on a machine that fails them
 LIST_LAG_S = 2.0
 CLOUD_RPS = 5.0
 CLIENT_SOCKETS = 600
-READY_S = 30.0  # by then a controller must be ready
-
-MACHINES = [
-    MachineType("small", 4.0, 16.0, 0.2, 4.0, ["a", "b"], image_cache_gb=50.0, spot_price=0.1),
-    MachineType("large", 32.0, 128.0, 1.6, 6.0, ["a", "b"], image_cache_gb=50.0, spot_price=0.6),
-    MachineType("accel", 32.0, 128.0, 9.0, 8.0, ["a", "b"], accelerators=4.0, image_cache_gb=50.0),
-]
-
-
-WORKERS = WorkerTimes(report_s=1.0, lease_s=8.0, gang_wait_s=20.0, gang_peer_s=4.0, cancel_s=20.0)
-
-
-class Fault(msgspec.Struct, forbid_unknown_fields=True):
-    """Something that happens `at` so many seconds after the cluster is ready, `for` so many more.
-
-    crash: controllers (all without `controller`) are killed; state_down, cloud_down: no service;
-    refuse: one controller is refused by the state service; lost, late: transactions get no answer
-    and are executed all the same, or some time later; drain: all machines of `zone` are told
-    that they will be taken; take: `count` spot machines are; delete: `count` machines are gone at
-    once; sick: `count` machines fail what they start.
-    """
-
-    at: float
-    what: Literal[
-        "crash",
-        "state_down",
-        "cloud_down",
-        "refuse",
-        "lost",
-        "late",
-        "drain",
-        "take",
-        "delete",
-        "sick",
-    ]
-    seconds: float = msgspec.field(name="for", default=5.0)
-    controller: int | None = None
-    zone: str = ""
-    count: int = 1
-
-
-class ClusterPlan(msgspec.Struct):
-    """What a local cluster is made of. `speed`: how much faster machines boot and tasks run."""
-
-    controllers: int = 3
-    machines: list[MachineType] = msgspec.field(default_factory=lambda: list(MACHINES))
-    teams: list[TeamQuota] = msgspec.field(
-        default_factory=lambda: [TeamQuota("red"), TeamQuota("blue")]
-    )
-    troubles: list[Fault] = []
-    speed: float = 1.0
-    seed: int = 1
-    graphs: bool = True
-    workers: WorkerTimes = WORKERS
-    properties: dict[str, str] = {}  # of the controllers, besides those for graphs
-    log_level: str = ""  # of the controllers; empty: as in this process
+READY_TIMEOUT_S = 30.0  # by then all controllers must be ready
+READY_POLL_S = 0.1
+READY_REQUEST_TIMEOUT_S = 1.0
+
+
+class NotReadyError(RuntimeError):
+    """The controllers have not become ready in time."""
+
+    def __init__(self, last_log_line: str) -> None:
+        """`last_log_line`: of a controller, empty for none."""
+        super().__init__(f"no controller is ready after {READY_TIMEOUT_S:.0f} s{last_log_line}")
 
 
 class LocalCluster:
+    """The stand-ins, the controllers' processes, and what was seen of the tasks."""
+
     worker_core: type[WorkerCore] = WorkerCore
 
     def __init__(self, plan: ClusterPlan, folder: Path) -> None:
+        """Nothing runs yet. `folder`: for the controllers' settings and logs."""
         self.plan = plan
         self.folder = folder
         self.processes: dict[str, subprocess.Popen[bytes]] = {}  # functions of graphs' tasks
         self.rng = random.Random(plan.seed)
-        self.zones = sorted({zone for sku in plan.machines for zone in sku.zones})
+        self.zones = sorted({zone for machine_type in plan.machines for zone in machine_type.zones})
         self.workers_said = plan.workers
         self.limits = StateLimits(rps=600.0, write_rps=60.0, value_kb=4.0, txn_ops=8)
         free = self._addresses(3 * plan.controllers + 2)
@@ -128,18 +92,18 @@
         self.nodes = dict(zip(self.names, self.listen, strict=True))
         self.children: list[subprocess.Popen[bytes] | None] = [None] * plan.controllers
         self.start_at = [0.0] * plan.controllers
-        self.come_back_s = [COME_BACK_S] * plan.controllers
+        self.come_back_s = [RESTART_DELAY_S] * plan.controllers
         self.mates = Mates()
-        self.workers: dict[str, tuple[WorkerServer, Any]] = {}
+        self.workers: dict[str, tuple[WorkerServer, curio.Task]] = {}  # by machine
         self.client = Client(CLIENT_SOCKETS)
-        self.shapes: dict[str, Shape] = {}
-        self.sick: set[str] = set()
+        self.descriptions = JobDescriptions(self.state.core)
+        self.sick: set[str] = set()  # machines that fail the tasks that they start
         self.to_execute: list[tuple[str, str]] = []  # machine, task
         self.running_on: dict[str, str] = {}  # task -> its machine
-        self.dying: list[Any] = []  # servers of machines that are gone
-        self.most_cores: dict[str, float] = {}  # team -> the most that it has used at once
+        self.dying: list[curio.Task] = []  # servers of deleted machines, still to be cancelled
+        self.most_cores: dict[str, float] = {}  # team -> the most cores that it has used at once
         self.started_at: dict[str, float] = {}  # task -> when it first ran
-        self.done_at: dict[str, float] = {}
+        self.done_at: dict[str, float] = {}  # task -> when it first completed
         self.ends: dict[str, list[str]] = {}  # task -> how its attempts ended
         self.group = TaskScope()  # owns the tasks of the stand-ins
 
@@ -164,21 +128,25 @@
             shutil.rmtree(folder, ignore_errors=True)
 
     async def _start(self) -> None:
+        """Start everything and wait until all controllers are ready."""
+        self._write_settings()
+        for server in [*self.state.servers, self.cloud.server, self.store.server]:
+            await self.group.spawn(server.run)
+        await self.group.spawn(self._clockwork)
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        while not await self._ready():
+            if time.monotonic() > deadline:
+                raise NotReadyError(self._last_log_line())
+            await curio.sleep(READY_POLL_S)
+        await self.group.spawn(self._cause_faults)
+
+    def _write_settings(self) -> None:
         for number in range(self.plan.controllers):
             path = self.folder / f"{self.names[number]}.toml"
             path.write_text(tomli_w.dumps(self._settings(number)))
         graphs = {"graphs.enabled": str(self.plan.graphs).lower()}
         properties = {**graphs, **self.plan.properties}
         (self.folder / "own.properties").write_text(javaproperties.dumps(properties))
-        for server in [*self.state.servers, self.cloud.server, self.store.server]:
-            await self.group.spawn(server.run)
-        await self.group.spawn(self._clockwork)
-        deadline = time.monotonic() + READY_S
-        while not await self._ready():
-            if time.monotonic() > deadline:
-                raise RuntimeError(f"no controller is ready after {READY_S:.0f} s{self._why()}")
-            await curio.sleep(0.1)
-        await self.group.spawn(self._trouble)
 
     def _end(self) -> None:
         for process in [*self.children, *self.processes.values()]:
@@ -187,15 +155,17 @@
     async def _ready(self) -> bool:
         for address in self.listen:
             try:
-                response = await self.client.request(address, "GET", "/ready", b"", 1.0)
+                response = await self.client.request(
+                    address, "GET", "/ready", b"", READY_REQUEST_TIMEOUT_S
+                )
             except (RequestNotSentError, NoResponseError):
                 return False
-            if response.status != 200:
+            if response.status != HTTPStatus.OK:
                 return False
         return True
 
-    def _why(self) -> str:
-        """The last line that a controller has said."""
+    def _last_log_line(self) -> str:
+        """The last line of the log of the first controller that has one."""
         for name in self.names:
             path = self.folder / f"{name}.log"
             lines = path.read_text().splitlines() if path.exists() else []
@@ -206,11 +176,19 @@
     def _settings(self, number: int) -> dict[str, Any]:
         zone = self.zones[number % len(self.zones)]
         peers = [
-            {"label": self.names[n], "site": self.zones[n % len(self.zones)], "addr": str(addr)}
-            for n, addr in enumerate(self.peers)
-            if n != number
+            {
+                "label": self.names[peer],
+                "site": self.zones[peer % len(self.zones)],
+                "addr": str(address),
+            }
+            for peer, address in enumerate(self.peers)
+            if peer != number
         ]
-        limits = {name: v for name, v in wire.to_builtins(self.limits).items() if v is not None}
+        limits = {
+            name: limit
+            for name, limit in wire.to_builtins(self.limits).items()
+            if limit is not None
+        }
         return {
             "label": self.names[number],
             "site": zone,
@@ -236,32 +214,43 @@
     # ---- time --------------------------------------------------------------------------
 
     async def _clockwork(self) -> None:
+        """Advance all stand-ins at each tick."""
         while True:
             now = time.monotonic()
-            revision = self.state.core.revision
-            if not self.state.down:
-                self.state.core.tick(now)
-                await self.state.deliver()
-            if self.state.core.revision != revision:
-                await self.state.notify()
-            up, taken = self.cloud.core.tick(now)
-            for machine in up:
-                await self._up(machine, now)
-            self._gone(taken)
-            for worker, _ in self.workers.values():
-                worker.core.tick(now)
-                machine_ = self.cloud.core.machines.get(worker.core.host)
-                if machine_ is not None and worker.core.notice_at != machine_.taken_at:
-                    worker.core.notice_at = machine_.taken_at
-                    worker.core.changes += 1
+            await self._tick_state(now)
+            await self._tick_cloud(now)
+            self._tick_workers(now)
             self._note_use()
             self._execute()
             while self.dying:
                 await self.dying.pop().cancel(blocking=False)
-            self._revive(now)
+            self._restart_controllers(now)
             await curio.sleep(TICK_S)
 
-    def _revive(self, now: float) -> None:
+    async def _tick_state(self, now: float) -> None:
+        revision = self.state.core.revision
+        if not self.state.down:
+            self.state.core.tick(now)
+            await self.state.deliver()
+        if self.state.core.revision != revision:
+            await self.state.notify()
+
+    async def _tick_cloud(self, now: float) -> None:
+        happened = self.cloud.core.tick(now)
+        for machine in happened.booted:
+            await self._up(machine, now)
+        self._gone(happened.taken_back)
+
+    def _tick_workers(self, now: float) -> None:
+        for worker, _ in self.workers.values():
+            worker.core.tick(now)
+            machine = self.cloud.core.machines.get(worker.core.host)
+            if machine is not None and worker.core.notice_at != machine.taken_at:
+                worker.core.notice_at = machine.taken_at
+                worker.core.changes += 1
+
+    def _restart_controllers(self, now: float) -> None:
+        """Start the controllers that have ended and whose delay is over."""
         for number, child in enumerate(self.children):
             if child is not None and child.poll() is not None:
                 self.children[number] = None
@@ -275,7 +264,7 @@
 
     def _child(self, number: int) -> subprocess.Popen[bytes]:
         name = self.names[number]
-        with open(self.folder / f"{name}.log", "ab") as out:
+        with (self.folder / f"{name}.log").open("ab") as log_file:
             return subprocess.Popen(
                 [
                     sys.executable,
@@ -288,8 +277,8 @@
                     str(self.folder / "own.properties"),
                 ],
                 stdin=subprocess.PIPE,
-                stdout=out,
-                stderr=out,
+                stdout=log_file,
+                stderr=log_file,
                 env=self._environment(),
             )
 
@@ -328,22 +317,23 @@
             worker, task = self.workers.pop(machine.id, (None, None))
             if worker is not None:
                 worker.core.end_session()
-                # Its connections go with it.
+                # Its connections end with its server.
                 self.dying.append(task)
 
     # ---- what runs ---------------------------------------------------------------------
 
     def _fate(self, host: str, name: str, spec: JobSpec) -> Fate:
+        """How the task ends that starts on that machine."""
         self.started_at.setdefault(name, time.monotonic())
         if spec.kind == wire.SERVICE:
             return Fate(float("inf"))
         seconds = (spec.expected_runtime_s or DEFAULT_RUN_S) / self.plan.speed
         if host in self.sick:
-            return Fate(min(seconds, 0.2), "error")
+            return Fate(min(seconds, MAX_FAILING_RUN_S), "error")
         if self.store.whole(name + CALL):
             self.to_execute.append((host, name))
             return Fate(float("inf"))
-        return Fate(max(LEAST_RUN_S, seconds))
+        return Fate(max(MIN_RUN_S, seconds))
 
     def _exited(self, name: str, cause: str) -> None:
         self.ends.setdefault(name, []).append(cause)
@@ -352,13 +342,19 @@
             self.done_at.setdefault(name, time.monotonic())
 
     def _execute(self) -> None:
-        """Functions of graphs' tasks run in processes of their own, as on a worker."""
+        """Start the functions of graphs' tasks in processes of their own, and note those that end.
+
+        A worker of a deployment also runs each function in a process of its own.
+        """
         for host, name in self.to_execute:
             _stop(self.processes.pop(name, None))
             command = [sys.executable, "-m", "umberward.local.execute"]
-            out = subprocess.DEVNULL
+            null = subprocess.DEVNULL
             self.processes[name] = subprocess.Popen(
-                [*command, str(self.store.server.address), name], stdin=out, stdout=out, stderr=out
+                [*command, str(self.store.server.address), name],
+                stdin=null,
+                stdout=null,
+                stderr=null,
             )
             self.running_on[name] = host
         self.to_execute.clear()
@@ -379,88 +375,67 @@
         for team, cores in used.items():
             self.most_cores[team] = max(self.most_cores.get(team, 0.0), cores)
 
-    def describe(self, job: str) -> JobSpec | None:
-        """A job's description. Users would upload it; here it is read where it was submitted."""
-        own = model.graph_of(job)
-        keys = self.state.core.keys
-        if own is None:
-            found = keys.get(wire.LIVE_JOBS_PREFIX + job)
-            if found is None:
-                return None
-            record: wire.JobRecord = wire.convert(found.data, wire.JobRecord)
-            return record.spec
-        id, kind = own
-        stored = keys.get(records.live_key(id))
-        if stored is None:
-            return None
-        graph: records.GraphRecord = wire.convert(stored.data, records.GraphRecord)
-        if id not in self.shapes:
-            self.shapes[id] = Shape(self._tasks(id, graph))
-        return self.shapes[id].spec(id, graph.options, kind)
-
-    def _tasks(self, id: model.GraphId, graph: records.GraphRecord) -> list[model.Task]:
-        if not graph.opened:
-            return records.unpack(records.decompress(graph.content))
-        prefix = f"{records.PART}{id}/{graph.opened}/"
-        page = self.state.core.keys.items()
-        found = {key[len(prefix) :]: got.data for key, got in page if key.startswith(prefix)}
-        return records.joined(id, graph, records.parts_of(id, found, len(graph.digests)))
-
-    # ---- troubles ----------------------------------------------------------------------
-
-    async def _trouble(self) -> None:
-        began = time.monotonic()
-        for trouble in sorted(self.plan.troubles, key=lambda trouble: trouble.at):
-            await curio.sleep(max(0.0, began + trouble.at - time.monotonic()))
-            await self.group.spawn(self.cause, trouble)
-
-    async def cause(self, trouble: Fault) -> None:
-        """Make it happen, and end it when its time is over."""
-        log.info("trouble", what=trouble.what)
-        some = [worker.core.host for worker, _ in self.workers.values()][: trouble.count]
-        if trouble.what == "crash":
-            self.crash(trouble.controller)
-        elif trouble.what == "drain":
+    def describe(self, job_id: str) -> JobSpec | None:
+        """A job's description, None if there is no such job."""
+        return self.descriptions.find(job_id)
+
+    # ---- faults ------------------------------------------------------------------------
+
+    async def _cause_faults(self) -> None:
+        """Begin each fault of the plan at its time."""
+        ready_at = time.monotonic()
+        for fault in sorted(self.plan.troubles, key=lambda fault: fault.at):
+            await curio.sleep(max(0.0, ready_at + fault.at - time.monotonic()))
+            await self.group.spawn(self.cause, fault)
+
+    async def cause(self, fault: Fault) -> None:
+        """Begin a fault, and end it when its time is over."""
+        log.info("trouble", what=fault.what)
+        machine_ids = [worker.core.host for worker, _ in self.workers.values()][: fault.count]
+        if fault.what == "crash":
+            self.crash(fault.controller)
+        elif fault.what == "drain":
             count = len(self.workers)
-            self.cloud.core.take_back(count, trouble.seconds, time.monotonic(), trouble.zone)
-        elif trouble.what == "take":
-            self.cloud.core.take_back(trouble.count, trouble.seconds, time.monotonic())
-        elif trouble.what == "delete":
-            self._gone(self.cloud.core.delete(some))
-        elif trouble.what == "sick":
-            self.sick.update(some)
-            await curio.sleep(trouble.seconds)
-            self.sick.difference_update(some)
-        elif trouble.what == "cloud_down":
+            self.cloud.core.take_back(count, fault.seconds, time.monotonic(), fault.zone)
+        elif fault.what == "take":
+            self.cloud.core.take_back(fault.count, fault.seconds, time.monotonic())
+        elif fault.what == "delete":
+            self._gone(self.cloud.core.delete(machine_ids))
+        elif fault.what == "sick":
+            self.sick.update(machine_ids)
+            await curio.sleep(fault.seconds)
+            self.sick.difference_update(machine_ids)
+        elif fault.what == "cloud_down":
             self.cloud.down = True
-            await curio.sleep(trouble.seconds)
+            await curio.sleep(fault.seconds)
             self.cloud.down = False
-        elif trouble.what == "state_down":
+        elif fault.what == "state_down":
             self.state.set_down(True)
-            await curio.sleep(trouble.seconds)
+            await curio.sleep(fault.seconds)
             self.state.set_down(False)
-        elif trouble.what in ("lost", "late"):
-            self.state.lossy = trouble.what
-            await curio.sleep(trouble.seconds)
+        elif fault.what in ("lost", "late"):
+            self.state.lossy = fault.what
+            await curio.sleep(fault.seconds)
             self.state.lossy = ""
-        elif trouble.controller is not None:
-            self.state.refused.add(trouble.controller)
-            await curio.sleep(trouble.seconds)
-            self.state.refused.discard(trouble.controller)
+        elif fault.controller is not None:
+            self.state.refused.add(fault.controller)
+            await curio.sleep(fault.seconds)
+            self.state.refused.discard(fault.controller)
 
     def crash(self, number: int | None = None) -> None:
-        """Kill one controller, or all."""
-        for at, child in enumerate(self.children):
-            if child is not None and number in (None, at):
+        """Kill one controller, or all without a number."""
+        for index, child in enumerate(self.children):
+            if child is not None and number in (None, index):
                 child.kill()
 
     @property
     def leader(self) -> int | None:
+        """The number of the controller that leads, by its record in the state service."""
         found = self.state.core.keys.get("leader")
         return None if found is None else self.names.index(found.data["node"])
 
     def status(self) -> str:
-        """One line about all of it."""
+        """One line with the counts of everything that runs."""
         alive = sum(child is not None for child in self.children)
         tasks = sum(len(worker.core.alive) for worker, _ in self.workers.values())
         core = self.state.core
@@ -475,19 +450,20 @@
 
 
 def _stop(process: subprocess.Popen[bytes] | None) -> None:
+    """Kill a process, if there is one, and wait for its end."""
     if process is not None:
         process.kill()  # of one that has ended already it does nothing
         process.wait()
 
 
 def free_ports(count: int) -> list[Address]:
-    """Ports of the loopback that nobody listens on now."""
-    taken = []
+    """Ports of the loopback on which nobody listens now, all different."""
+    probes = []
     for _ in range(count):
         probe = socket.socket()
         probe.bind((HOST, 0))
-        taken.append(probe)
-    found = [Address(HOST, probe.getsockname()[1]) for probe in taken]
-    for probe in taken:
+        probes.append(probe)
+    found = [Address(HOST, probe.getsockname()[1]) for probe in probes]
+    for probe in probes:
         probe.close()
     return found
--- a/umberward/local/example.py
+++ b/umberward/local/example.py
@@ -4,6 +4,7 @@
 
 import time
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Any
 
 import curio
@@ -16,19 +17,28 @@
 from umberward.protocol.http import NoResponseError, RequestNotSentError, Response
 from umberward.protocol.wire import ARRAY, GANG, SERVICE, JobSpec
 
-AGAIN_S = 0.5
-END_S = 90.0
+RETRY_S = 0.5
+MAX_WAIT_S = 90.0  # for a response, and for each job's end
+REQUEST_TIMEOUT_S = 5.0
 
 
-def job(number: int, shape: str, shards: int, **fields: Any) -> JobSpec:
-    """A small job; `fields` are those of the protocol."""
+class NoAnswerError(RuntimeError):
+    """No controller has answered a request in time."""
+
+    def __init__(self, method: str, path: str) -> None:
+        """`method`, `path`: of the request."""
+        super().__init__(f"{method} {path}: no answer")
+
+
+def job(number: int, kind: str, task_count: int, **fields: object) -> JobSpec:
+    """A small job; `fields` have the names that they have on the wire."""
     base: dict[str, Any] = {
         "uid": f"req-{number:06d}",
-        "jobclass": f"example-{shape}",
+        "jobclass": f"example-{kind}",
         "owner": "red",
-        "shape": shape,
+        "shape": kind,
         "rank": "normal",
-        "shards": shards,
+        "shards": task_count,
         "cores": 1.0,
         "accelerators": 0.0,
         "mem_gb": 1.0,
@@ -45,50 +55,54 @@
 
 
 def graph(width: int = 6) -> File:
-    """A fan-out and a fan-in."""
-    middle = [Task(f"map-{n}", ["split"], expect_s=2.0) for n in range(width)]
+    """A graph that fans out to `width` tasks and in to one."""
+    middle = [Task(f"map-{index}", ["split"], expect_s=2.0) for index in range(width)]
     last = Task("reduce", [task.name for task in middle], num_cpus=2.0, expect_s=2.0)
     return File(Options(team="red"), [Task("split", expect_s=1.0), *middle, last])
 
 
 async def ask(cluster: LocalCluster, method: str, path: str, body: bytes = b"") -> Response:
-    """As a user does: the next controller if one does not answer, later if it says so."""
-    deadline = time.monotonic() + END_S
+    """Send a request as a user does: to the next controller if one is busy or does not answer.
+
+    Raises NoAnswerError.
+    """
+    deadline = time.monotonic() + MAX_WAIT_S
     number = 0
     while time.monotonic() < deadline:
         address = cluster.listen[number % len(cluster.listen)]
         try:
-            response = await cluster.client.request(address, method, path, body, 5.0)
-            if response.status < 429:
+            response = await cluster.client.request(address, method, path, body, REQUEST_TIMEOUT_S)
+            if response.status < HTTPStatus.TOO_MANY_REQUESTS:
                 return response
         except (RequestNotSentError, NoResponseError):
             pass
         number += 1
-        await curio.sleep(AGAIN_S)
-    raise RuntimeError(f"{method} {path}: no answer")
+        await curio.sleep(RETRY_S)
+    raise NoAnswerError(method, path)
 
 
-async def send_graph(cluster: LocalCluster, id: str, file: File) -> Response:
-    for part in files.parts(GraphId(id), file):
+async def send_graph(cluster: LocalCluster, graph_id: str, file: File) -> Response:
+    """Send a graph in as many parts as it takes; returns the response to the last one sent."""
+    for part in files.parts(GraphId(graph_id), file):
         response = await ask(cluster, "POST", "/v1/graphs", wire.encode(part))
-        if response.status not in (200, 201, 202):
+        if response.status not in (HTTPStatus.OK, HTTPStatus.CREATED, HTTPStatus.ACCEPTED):
             break
     return response
 
 
 async def wait_for(cluster: LocalCluster, path: str, phases: tuple[str, ...]) -> dict[str, Any]:
-    """Poll until the phase is one of these."""
-    deadline = time.monotonic() + END_S
+    """Poll a job or graph until its phase is one of these, or the time is over; its last state."""
+    deadline = time.monotonic() + MAX_WAIT_S
     while True:
         response = await ask(cluster, "GET", path)
-        found: dict[str, Any] = msgspec.msgpack.decode(response.body)
-        if found.get("phase") in phases or time.monotonic() > deadline:
-            return found
-        await curio.sleep(AGAIN_S)
+        state: dict[str, Any] = msgspec.msgpack.decode(response.body)
+        if state.get("phase") in phases or time.monotonic() > deadline:
+            return state
+        await curio.sleep(RETRY_S)
 
 
-async def run(cluster: LocalCluster, say: Callable[[str], Any]) -> bool:
-    """Whether all ended as they should."""
+async def run(cluster: LocalCluster, say: Callable[[str], object]) -> bool:
+    """Run one of each kind of work and `say` how each ends; True: all ended as they should."""
     array, gang = job(1, ARRAY, 12), job(2, GANG, 3, same_place=True)
     service = job(3, SERVICE, 2, rank="production", expect_s=0.0)
     for spec in (array, gang, service):
@@ -97,13 +111,13 @@
     ended = await wait_for(cluster, f"/v1/jobs/{service.job_id}", ("running",))
     say(f"service {service.job_id}: {ended['phase']}")
     await ask(cluster, "POST", f"/v1/jobs/{service.job_id}/cancel")
-    good = ended["phase"] == "running"
-    for what, path in (
+    succeeded = ended["phase"] == "running"
+    for label, path in (
         (f"array {array.job_id}", f"/v1/jobs/{array.job_id}"),
         (f"gang {gang.job_id}", f"/v1/jobs/{gang.job_id}"),
         ("graph graph-1", "/v1/graphs/graph-1"),
     ):
         ended = await wait_for(cluster, path, ("done", "failed", "cancelled"))
-        say(f"{what}: {ended['phase']}, {ended['done']} tasks done")
-        good = good and ended["phase"] == "done"
-    return bool(good)
+        say(f"{label}: {ended['phase']}, {ended['done']} tasks done")
+        succeeded = succeeded and ended["phase"] == "done"
+    return bool(succeeded)
--- a/umberward/local/execute.py
+++ b/umberward/local/execute.py
@@ -1,15 +1,15 @@
-"""Runs one task of a graph as a worker does: fetches the call and its inputs, leaves the value.
+"""Runs one task of a graph as a worker does: fetches the call and its inputs, stores the result.
 
     python -m umberward.local.execute STORE TASK
 
-Exit status 0: done; 1: the function raised, and its traceback is in the store.
+STORE is the address of the store, TASK the task's id. Exit status 0: the task is done; 1: the
+function raised, and its traceback is in the store.
 """
 
 from __future__ import annotations
 
 import sys
 import traceback
-from typing import Any
 
 import cloudpickle
 import curio
@@ -19,30 +19,49 @@
 from umberward.core.types import Address, parse_address
 from umberward.protocol.http import Client
 
+STORE_CONNECTIONS = 4
 
-async def run(at: Address, task: str) -> bool:
-    client = Client(4)
 
-    async def fetch(name: str) -> Any:
-        data = await store.get(client, at, name)
-        if data is None:
-            raise store.StoreError(f"{name}: not in the store")
-        return cloudpickle.loads(data)
+async def run(store_address: Address, task_id: str) -> bool:
+    """Run the task's function; False: it raised, and its traceback is stored in place of a result.
 
+    A value that is missing counts as a failure of the function.
+    """
+    client = Client(STORE_CONNECTIONS)
     try:
-        call, inputs = await fetch(task + store.CALL)
-        function, args, kwargs = cloudpickle.loads(call)
-        values = {name: await fetch(place + store.RESULT) for name, place in inputs.items()}
-
-        def real(value: Any) -> Any:
-            return values[value.name] if isinstance(value, Later) else value
-
-        result = function(*map(real, args), **{name: real(a) for name, a in kwargs.items()})
-        await store.put(client, at, task + store.RESULT, cloudpickle.dumps(result))
-        return True
-    except Exception:
-        await store.put(client, at, task + store.ERROR, traceback.format_exc().encode())
+        result = await _call(client, store_address, task_id)
+        await store.put(client, store_address, task_id + store.RESULT, cloudpickle.dumps(result))
+    except Exception:  # noqa: BLE001 - users' functions may raise anything
+        error = traceback.format_exc().encode()
+        await store.put(client, store_address, task_id + store.ERROR, error)
         return False
+    return True
+
+
+async def _call(client: Client, store_address: Address, task_id: str) -> object:
+    """Call the task's function with its inputs; returns what it returns."""
+    call, inputs = cloudpickle.loads(await _fetch(client, store_address, task_id + store.CALL))
+    function, args, kwargs = cloudpickle.loads(call)
+    values = {}
+    for name, producer in inputs.items():
+        data = await _fetch(client, store_address, producer + store.RESULT)
+        values[name] = cloudpickle.loads(data)
+
+    def resolve(argument: object) -> object:
+        """The value of an argument that stands for another task's result, or the argument."""
+        return values[argument.name] if isinstance(argument, Later) else argument
+
+    resolved_kwargs = {name: resolve(argument) for name, argument in kwargs.items()}
+    result: object = function(*map(resolve, args), **resolved_kwargs)
+    return result
+
+
+async def _fetch(client: Client, store_address: Address, name: str) -> bytes:
+    """A value as it is stored. Raises StoreError if there is none."""
+    data: bytes | None = await store.get(client, store_address, name)
+    if data is None:
+        raise store.StoreError(f"{name}: not in the store")  # noqa: TRY003 - users see this text
+    return data
 
 
 if __name__ == "__main__":
--- a/umberward/local/workercore.py
+++ b/umberward/local/workercore.py
@@ -136,7 +136,7 @@
         address: str,
         sku: MachineType,
         zone: str,
-        spot: bool,  # noqa: FBT001 - a property of the machine, not a mode of this method
+        spot: bool,  # noqa: FBT001 - a property of the machine
         times: WorkerTimes,
         mates: Mates,
         describe: Callable[[str], JobSpec | None],
@@ -252,7 +252,7 @@
         self,
         task: Task,
         cause: str,
-        stored: bool | None = None,  # noqa: FBT001 - overriders in the tests pass it by position
+        stored: bool | None = None,  # noqa: FBT001 - overriders pass it by position
     ) -> None:
         """End a task; subclasses extend this to record the end."""
         if cause != wire.DONE:
