--- a/umberward/soak/__init__.py
+++ b/umberward/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak: a cluster on the loopback under load and drawn faults, and a judge outside of it."""
+"""A soak: a cluster on the loopback under load and drawn faults, and a checker outside of it."""
--- a/umberward/soak/cluster.py
+++ b/umberward/soak/cluster.py
@@ -1,4 +1,4 @@
-"""The loopback's cluster for a soak: every link may fail, and what workers do is recorded."""
+"""The local cluster of a soak: every link may fail, and what workers do is recorded."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from umberward.local.cluster import LocalCluster
 from umberward.local.links import Links
 from umberward.local.servers import WorkerServer
-from umberward.local.workercore import Fate, WorkerCore
+from umberward.local.workercore import Fate, Task, WorkerCore
 from umberward.protocol import wire
 from umberward.protocol.http import (
     Client,
@@ -36,11 +36,11 @@
 from umberward.soak.history import Event
 
 STATE, CLOUD = "state", "cloud"
-SILENCE_S = 40.0  # who is not answered has given up long before
-CARRIED_S = 60.0  # a held message may be under way for so long
+WITHHELD_RESPONSE_S = 40.0  # longer than any client waits for a response
+RELAY_TIMEOUT_S = 60.0  # longer than a message may be held
 SOCKETS = 200
 FIRST_NETWORK, NETWORKS, HOSTS, PORT = 10, 240, 250, 9000  # of the loopback: 127.NETWORK.x.HOST
-BOOTS_FASTER = 4.0  # than the machine types say, and images are fetched so much faster
+SPEED = 4.0  # factor by which boots and fetches of images are faster than the machine types say
 RENTABLE = 4  # machines of each kind that may be rented besides those that are there
 CORES_FOR_RED = 8.0  # for each job a second: the team is at its limit all the time
 WORKER_TYPES = ("small", "small", "small", "large")
@@ -48,15 +48,16 @@
 
 
 def teams(size: plan.Size) -> list[TeamQuota]:
+    """The teams of a soak: one that is always at its quota, and one without a quota."""
     return [TeamQuota("red", cpus_max=CORES_FOR_RED * size.jobs_per_s), TeamQuota("blue")]
 
 
 class HarnessError(RuntimeError):
-    """A part of the soak itself has failed, so that a run says nothing."""
+    """A part of the soak itself has failed, so that the run has no result."""
 
 
 class SoakWorker(WorkerCore):
-    """Its starts and ends are recorded; while its machine hangs, its tasks stand still."""
+    """A worker that records starts and ends; its tasks do not advance while its machine hangs."""
 
     record: Callable[[Event], None]
     clock: Callable[[], float]
@@ -64,6 +65,7 @@
     still = False
 
     def tick(self, now: float) -> None:
+        """Advance the tasks; of a machine that hangs only the lease may expire."""
         if not self.still:
             super().tick(now)
             return
@@ -72,6 +74,7 @@
             self.record(history.SessionOver(self.clock(), self.host))
 
     def start(self, name: str, attempt: int) -> None:
+        """Start an attempt, and record it unless it was refused."""
         known = set(self.alive)
         now = self.clock()
         super().start(name, attempt)
@@ -82,17 +85,18 @@
         if task.over:
             self.record(history.TaskEnded(now, self.host, name, attempt, str(task.cause)))
 
-    def _exit(self, task: Any, cause: str, stored: bool | None = None) -> None:
+    def _exit(self, task: Task, cause: str, stored: bool | None = None) -> None:  # noqa: FBT001 - as in the base
         super()._exit(task, cause, stored)
         self.record(history.TaskEnded(self.clock(), self.host, task.name, task.attempt, cause))
 
     def end_session(self) -> None:
+        """End all tasks, and record that."""
         super().end_session()
         self.record(history.SessionOver(self.clock(), self.host))
 
 
 class LinkedClient:
-    """A worker's client: each of its links may fail."""
+    """The client of a worker, each link of which may fail."""
 
     def __init__(
         self,
@@ -113,7 +117,10 @@
     async def request(
         self, address: Address, method: str, target: str, body: bytes, timeout: float
     ) -> Response:
-        """Raises NotSent and NoAnswer as the client does. What is late is sent all the same."""
+        """Send a request as `Client.request` does, over a link that may lose or delay it.
+
+        Raises RequestNotSentError or NoResponseError. A late request arrives all the same.
+        """
         answers: list[Response] = []
         failed: list[RequestNotSentError] = []
         answered_at: list[float] = []  # when the controller had answered
@@ -154,6 +161,8 @@
 
 
 class SoakCluster(LocalCluster):
+    """A local cluster whose links, machines and controllers can be made to fail."""
+
     worker_core = SoakWorker
     links: Links
     record: Callable[[Event], None]
@@ -162,22 +171,24 @@
 
     @staticmethod
     def local_plan(of: plan.Plan) -> LocalPlan:
+        """The plan of the local cluster for a soak's plan."""
         return LocalPlan(
             controllers=plan.CONTROLLERS,
             teams=teams(of.size),
             seed=of.seed,
             graphs=False,
-            speed=BOOTS_FASTER,
+            speed=SPEED,
             workers=plan.TIMES,
             log_level="debug",
             properties={"idle.seconds": "3600", "lease.seconds": "1.5", "silence.seconds": "2"},
         )
 
     def __init__(self, of: LocalPlan, folder: Path) -> None:
+        """Nothing runs yet. `folder`: for the controllers' settings and logs."""
         super().__init__(of, folder)
         self.links = Links(self.rng)
         self.began = time.monotonic()
-        self.record = lambda event: None
+        self.record = _ignore_event
         self.specs: dict[str, JobSpec] = {}  # of all jobs that users have sent
         self.runs: dict[str, float] = {}  # how long a task of the job runs, in seconds
         self.killed: set[int] = set()  # controllers that the soak has ended
@@ -193,15 +204,17 @@
             server.handler = self._linked(self.names[number], STATE, server.handler)
         self.cloud.server.handler = self._linked("keeper-*", CLOUD, self.cloud.server.handler)
         self.cloud.core.capacity = {
-            Capacity(sku.name, zone, spot): RENTABLE
-            for sku in of.machines
-            for zone in sku.zones
+            Capacity(machine_type.name, zone, spot): RENTABLE
+            for machine_type in of.machines
+            for zone in machine_type.zones
             for spot in (True, False)
         }
 
     def _addresses(self, count: int) -> list[Address]:
-        """On hosts of the loopback that this process alone uses: a port of 127.0.0.1 may be taken
-        by an outgoing connection at any time."""
+        """Addresses on hosts of the loopback that only this process uses.
+
+        A port of 127.0.0.1 may be taken by an outgoing connection at any time.
+        """
         network = FIRST_NETWORK + os.getpid() % NETWORKS
         found = []
         for _ in range(count):
@@ -211,6 +224,7 @@
         return found
 
     def now(self) -> float:
+        """Seconds since the run began."""
         return time.monotonic() - self.began
 
     # ---- links ---------------------------------------------------------------------------
@@ -218,21 +232,21 @@
     def _linked(self, src: str, dst: str, handler: Handler) -> Handler:
         async def handle(request: Request) -> Response:
             response = await self.links.carry(src, dst, _target(request), lambda: handler(request))
-            return response if response is not None else await _silence()
+            return response if response is not None else await _withhold_response()
 
         return handle
 
     def _relay(self, src: str, dst: str) -> Handler:
-        """What one controller says to another goes through here."""
+        """The handler that forwards requests of one controller to another over their link."""
         there = self.peers[self.names.index(dst)]
 
         async def forward(request: Request) -> Response:
             try:
                 return await self.client.request(
-                    there, request.method, _target(request), request.body, CARRIED_S
+                    there, request.method, _target(request), request.body, RELAY_TIMEOUT_S
                 )
             except (RequestNotSentError, NoResponseError):
-                return await _silence()
+                return await _withhold_response()
 
         return self._linked(src, dst, forward)
 
@@ -250,13 +264,15 @@
     # ---- machines ------------------------------------------------------------------------
 
     async def add_machines(self, count: int) -> None:
-        """Machines that are there from the start."""
-        skus = self.cloud.core.skus
+        """Add machines that have booted already, with their workers."""
+        machine_types = self.cloud.core.skus
         for number in range(count):
             now = time.monotonic()
-            sku = skus[WORKER_TYPES[number % len(WORKER_TYPES)]]
-            zone = sku.zones[number % len(sku.zones)]
-            machine = Machine(f"m-{number:06d}", sku, zone, False, now, now)
+            machine_type = machine_types[WORKER_TYPES[number % len(WORKER_TYPES)]]
+            zone = machine_type.zones[number % len(machine_type.zones)]
+            machine = Machine(
+                f"m-{number:06d}", machine_type, zone, spot=False, rented_at=now, up_at=now
+            )
             machine.up = True
             self.cloud.core.machines[machine.id] = machine
             await self._up(machine, now)
@@ -282,7 +298,10 @@
         return worker
 
     def _commanded(self, core: SoakWorker, handler: Handler) -> Handler:
-        """Questions and direct commands, whoever sends them: only the leader does."""
+        """The handler for status requests and direct commands, over the link from the leader.
+
+        The sender is taken to be the leader, as nobody else sends them.
+        """
 
         async def handle(request: Request) -> Response:
             sent_at = self.now()
@@ -298,7 +317,7 @@
 
             src = self.names[self.leader] if self.leader is not None else "keeper-?"
             response = await self.links.carry(src, core.host, request.path, deliver)
-            return response if response is not None else await _silence()
+            return response if response is not None else await _withhold_response()
 
         return handle
 
@@ -308,18 +327,20 @@
             self.record(history.SessionOver(self.now(), machine.id))
             self.record(history.MachineGone(self.now(), machine.id))
 
-    def hang(self, host: str, still: bool) -> None:
+    def hang(self, host: str, *, still: bool) -> None:
+        """Let a machine hang (`still`), or go on."""
         worker, _ = self.workers.get(host, (None, None))
         if worker is None:
             return
         core: Any = worker.core
         core.still = still
         if not still:
-            core.tick(time.monotonic())  # its lease may be over, before it hears anything
+            core.tick(time.monotonic())  # its lease may have expired, before any message arrives
         self.record(history.MachineStill(self.now(), host, still))
 
-    def describe(self, job: str) -> JobSpec | None:
-        return self.specs.get(job)
+    def describe(self, job_id: str) -> JobSpec | None:
+        """The description of a job as its user has sent it."""
+        return self.specs.get(job_id)
 
     def _fate(self, host: str, name: str, spec: JobSpec) -> Fate:
         if spec.kind == wire.SERVICE:
@@ -333,14 +354,15 @@
     # ---- controllers ---------------------------------------------------------------------
 
     def kill(self, number: int, back_s: float) -> None:
+        """Kill a controller; it is started again `back_s` seconds after its end."""
         child = self.children[number]
         if child is not None:
             self.come_back_s[number] = back_s
             self.killed.add(number)
             child.kill()
 
-    def stop(self, number: int, stopped: bool) -> None:
-        """SIGSTOP, or SIGCONT."""
+    def stop(self, number: int, *, stopped: bool) -> None:
+        """Send SIGSTOP to a controller, or SIGCONT."""
         child = self.children[number]
         if child is not None and child.poll() is None:
             child.send_signal(signal.SIGSTOP if stopped else signal.SIGCONT)
@@ -351,7 +373,7 @@
         self.record(history.ProcessEnded(self.now(), self.names[number], code, by_us))
 
     def look(self) -> None:
-        """Note who leads. Raises HarnessError if a part of the soak has failed."""
+        """Record changes of the leader. Raises HarnessError if a worker's task has ended."""
         found = self.state.core.keys.get("leader")
         if found is not None and self.token != found.version:
             self.token = found.version
@@ -363,10 +385,14 @@
                 raise HarnessError(f"the worker of {host} has ended: {task.exception!r}")
 
 
+def _ignore_event(_event: Event) -> None:
+    """The default of `SoakCluster.record`."""
+
+
 def _target(request: Request) -> str:
     return f"{request.path}?{request.query}" if request.query else request.path
 
 
-async def _silence() -> Response:
-    await curio.sleep(SILENCE_S)
+async def _withhold_response() -> Response:
+    await curio.sleep(WITHHELD_RESPONSE_S)
     return Response(503)
--- a/umberward/soak/faults.py
+++ b/umberward/soak/faults.py
@@ -1,4 +1,4 @@
-"""Makes the drawn faults of a soak happen, and ends each when its time is over."""
+"""Begins the drawn faults of a soak, and ends each when its time is over."""
 
 from __future__ import annotations
 
@@ -21,20 +21,23 @@
 
 
 class Faults:
+    """Causes faults of links, machines, controllers and the state service."""
+
     def __init__(self, cluster: SoakCluster, users: Users) -> None:
+        """No fault has begun."""
         self.cluster = cluster
         self.users = users
         self.number = 0
         self.causing: list[curio.Task] = []
 
     async def run(self, faults: list[Fault]) -> None:
-        """Begin each at its second; returns when the last one has begun."""
+        """Begin each fault at its time; returns when the last one has begun."""
         for fault in faults:
             await curio.sleep(max(0.0, fault.at_s - self.cluster.now()))
             self.causing.append(await self.cluster.group.spawn(self._cause, fault))
 
     async def end_all(self) -> None:
-        """Every link is whole again, every machine and controller goes on, nothing more begins."""
+        """End all faults: links work, machines and controllers go on, and nothing more begins."""
         cluster = self.cluster
         for task in self.causing:
             await task.cancel()
@@ -43,9 +46,9 @@
         cluster.state.lossy = ""
         cluster.state.set_down(False)
         for number in range(len(cluster.names)):
-            cluster.stop(number, False)
+            cluster.stop(number, stopped=False)
         for host in list(cluster.workers):
-            cluster.hang(host, False)
+            cluster.hang(host, still=False)
 
     # ---- one fault -------------------------------------------------------------------------
 
@@ -67,9 +70,9 @@
             await self._series(fault)
         elif fault.kind in (Kind.STOP_LEADER, Kind.STOP_OTHER):
             number = leader if fault.kind is Kind.STOP_LEADER else other
-            self.cluster.stop(number, True)
+            self.cluster.stop(number, stopped=True)
             await curio.sleep(fault.for_s)
-            self.cluster.stop(number, False)
+            self.cluster.stop(number, stopped=False)
         elif fault.kind is Kind.MACHINES_HANG:
             await self._hang(hosts, fault.for_s)
         elif fault.kind is Kind.MACHINES_DIE:
@@ -83,7 +86,7 @@
             await self._links_fail(links, fault.for_s)
 
     async def _series(self, fault: Fault) -> None:
-        """Whoever leads ends, again and again."""
+        """Kill whoever leads, several times."""
         for _ in range(SERIES):
             self.cluster.kill(self._leader(), fault.for_s)
             await curio.sleep(max(2.0, fault.for_s))
@@ -93,15 +96,15 @@
         for host in hosts:
             self.cluster.links.faults[f"{label} to {host}"] = LinkFault("*", host, HELD)
             self.cluster.links.faults[f"{label} from {host}"] = LinkFault(host, "*", HELD)
-            self.cluster.hang(host, True)
+            self.cluster.hang(host, still=True)
         await curio.sleep(for_s)
         for host in hosts:
-            self.cluster.hang(host, False)
+            self.cluster.hang(host, still=False)
             self.cluster.links.faults.pop(f"{label} to {host}", None)
             self.cluster.links.faults.pop(f"{label} from {host}", None)
 
     async def _links_fail(self, faults: list[LinkFault], for_s: float) -> None:
-        labels = {f"{self.number} {at}": fault for at, fault in enumerate(faults)}
+        labels = {f"{self.number} {index}": fault for index, fault in enumerate(faults)}
         self.cluster.links.faults.update(labels)
         await curio.sleep(for_s)
         for label in labels:
@@ -124,10 +127,10 @@
         }
         if kind in each:
             return [fault for host in hosts for fault in each[kind](host)]
-        apart = [LinkFault(leader, ANY, LOST), LinkFault(ANY, leader, LOST)]
+        cut_from_peers = [LinkFault(leader, ANY, LOST), LinkFault(ANY, leader, LOST)]
         if kind is Kind.LEADER_ALONE:
-            return [*apart, LinkFault(leader, STATE, LOST), LinkFault(leader, CLOUD, LOST)]
-        return apart
+            return [*cut_from_peers, LinkFault(leader, STATE, LOST), LinkFault(leader, CLOUD, LOST)]
+        return cut_from_peers
 
     async def _state_refuses(self, for_s: float, leader: int) -> None:
         self.cluster.state.refused.add(leader)
@@ -153,7 +156,7 @@
         return self.cluster.leader or 0
 
     def _hosts(self, count: int) -> list[str]:
-        """Those on which most runs."""
+        """The machines with the most tasks, at most `count`."""
         cores = [worker.core for worker, _ in self.cluster.workers.values()]
         cores.sort(key=lambda core: (-len(core.alive), core.host))
         return [core.host for core in cores[:count]]
--- a/umberward/soak/history.py
+++ b/umberward/soak/history.py
@@ -1,4 +1,4 @@
-"""What was seen from outside of the controllers: by workers, by users, and of processes."""
+"""Events seen from outside of the controllers: by workers, by users, and of processes."""
 
 from __future__ import annotations
 
@@ -6,13 +6,16 @@
 
 
 class Event(msgspec.Struct):
-    """`at`: seconds since the run began."""
+    """Something that was seen; `at`: seconds since the run began."""
 
     at: float
 
 
 class TaskStarted(Event):
-    """`sent_at`: when the command that starts it was sent, as far as its receiver can tell."""
+    """A worker has started an attempt of a task.
+
+    `sent_at`: when the command for it was sent, as far as its receiver can tell.
+    """
 
     host: str
     session: int
@@ -22,6 +25,8 @@
 
 
 class TaskEnded(Event):
+    """An attempt of a task has ended on a worker."""
+
     host: str
     task: str
     attempt: int
@@ -29,7 +34,7 @@
 
 
 class SessionOver(Event):
-    """All tasks on the machine are gone, by its lease or with the machine."""
+    """All tasks on the machine have ended, by its lease or with the machine."""
 
     host: str
 
@@ -42,10 +47,14 @@
 
 
 class MachineGone(Event):
+    """The cloud has deleted the machine."""
+
     host: str
 
 
 class MachineUp(Event):
+    """The machine has booted and its worker runs."""
+
     host: str
     flavor: str
     zone: str
@@ -69,14 +78,16 @@
 
 
 class CancelAsked(Event):
-    """A user has decided to cancel the job, and asks until that is answered."""
+    """A user has decided to cancel the job, and sends requests until one is answered."""
 
     job: str
 
 
 class Answered(Event):
-    """A user's question was answered at `at`. `kind`: submit, poll or cancel; `phase`: of a 200 or
-    201; `status` 0: no answer came."""
+    """A user's request was answered at `at`.
+
+    `kind`: submit, poll or cancel; `status`: 0 if no answer came; `phase`: of a 200 or 201.
+    """
 
     kind: str
     job: str
@@ -87,18 +98,22 @@
 
 
 class LeaderChanged(Event):
+    """Another controller leads, or the same one with a new fencing token."""
+
     controller: str
     token: int
 
 
 class FaultBegan(Event):
+    """A drawn fault begins, for `for_s` seconds; `what`: whom it concerns."""
+
     kind: str
     for_s: float
     what: str
 
 
 class ProcessEnded(Event):
-    """A controller; `by_us`: the soak has killed it."""
+    """The process of a controller has ended; `by_us`: the soak has killed it."""
 
     controller: str
     code: int
@@ -106,7 +121,7 @@
 
 
 def said(event: Event) -> str:
-    """One line of a timeline."""
+    """The event as one line of a timeline."""
     fields = {name: getattr(event, name) for name in event.__struct_fields__ if name != "at"}
     words = " ".join(f"{name}={value}" for name, value in fields.items() if value not in ("", None))
     return f"{event.at:8.3f} {type(event).__name__} {words}"
--- a/umberward/soak/plan.py
+++ b/umberward/soak/plan.py
@@ -1,4 +1,4 @@
-"""What a soak plays: sizes, and the faults that a seed draws. No I/O."""
+"""The plan of a soak: sizes, and the faults drawn from a seed. No I/O."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 # Times are shorter than in a deployment, so that more leases end within a run.
 TIMES = WorkerTimes(report_s=0.5, lease_s=4.0, gang_wait_s=8.0, gang_peer_s=2.0, cancel_s=11.0)
 CONTROLLERS = 3
-OVERLAP = 3  # at most so many faults begin together
-FIRST_S = 3.0  # before the first fault
-PAUSES_S = (0.05, 0.3, 1.0, 2.5, 6.0)  # how long faults last, and processes stay away
-LONGEST_S = 2.0 * TIMES.lease_s  # of a fault
-SERIES = 3  # so many leaders end one after the other
+MAX_SIMULTANEOUS_FAULTS = 3  # that begin together
+FIRST_FAULT_S = 3.0  # from the beginning of the run
+FAULT_DURATIONS_S = (0.05, 0.3, 1.0, 2.5, 6.0)  # how long faults last, and processes stay away
+LONGEST_FAULT_S = 2.0 * TIMES.lease_s
+SERIES = 3  # leaders that are killed one after the other
 
 
 class PlanError(Exception):
-    """One line that names the field and says what is wrong with it."""
+    """An option of the command line is wrong; its text names the option."""
 
 
 class Size(msgspec.Struct, frozen=True):
@@ -40,7 +40,7 @@
 
 
 class Kind(StrEnum):
-    """What may go wrong. The leader, another controller, or machines are meant when it begins."""
+    """Kinds of faults. Who leads, and which machines are concerned, is decided when one begins."""
 
     KILL_LEADER = "kill-leader"
     KILL_OTHER = "kill-other"
@@ -51,8 +51,10 @@
     COMMANDS_LATE = "commands-late"
     COMMANDS_HELD = "commands-held"
     COMMAND_ANSWERS_LOST = "command-answers-lost"
-    REPORTS_LOST = "reports-lost"  # machines that only answer questions
-    REPORT_ANSWERS_LOST = "report-answers-lost"  # machines that do not hear the controllers
+    REPORTS_LOST = "reports-lost"  # machines that answer status requests and nothing else
+    REPORT_ANSWERS_LOST = (
+        "report-answers-lost"  # nothing from the controllers reaches these machines
+    )
     REPORTS_COPIED = "reports-copied"
     MACHINES_CUT = "machines-cut"
     MACHINES_HANG = "machines-hang"
@@ -65,11 +67,11 @@
     STATE_DOWN = "state-down"
     STATE_ANSWERS_LOST = "state-answers-lost"
     TRANSACTIONS_LATE = "transactions-late"
-    CANCEL_MANY = "cancel-many"  # users call many running jobs off at once
+    CANCEL_MANY = "cancel-many"  # users cancel many running jobs at once
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """`at_s`: seconds from the beginning; `machines`: of those that it befalls, the first ones."""
+    """A drawn fault. `at_s`: seconds from the beginning; `machines`: how many it concerns."""
 
     at_s: float
     kind: Kind
@@ -78,13 +80,15 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
+    """What one seed plays; the faults are in the order of their times."""
+
     seed: int
     size: Size
     faults: list[Fault]
 
 
 def kinds(names: list[str]) -> list[Kind]:
-    """Raises PlanError for an unknown name. None given: all."""
+    """The kinds of these names, all kinds without names. Raises PlanError for an unknown name."""
     unknown = [name for name in names if name not in list(Kind)]
     if unknown:
         raise PlanError(f"--fault: no fault is called {unknown[0]!r}")
@@ -92,21 +96,21 @@
 
 
 def size(name: str) -> Size:
-    """Raises PlanError for an unknown name."""
+    """The size of that name. Raises PlanError for an unknown one."""
     if name not in SIZES:
         raise PlanError(f"--size: {name!r} is none of {', '.join(SIZES)}")
     return SIZES[name]
 
 
 def draw(seed: int, of: Size, among: list[Kind]) -> Plan:
-    """The same seed, size and kinds draw the same faults at the same times."""
+    """Draw a plan; the same seed, size and kinds give the same faults at the same times."""
     rng = random.Random(f"soak {seed}")
     faults: list[Fault] = []
-    at = FIRST_S
-    while at < of.seconds:
-        for kind in rng.sample(among, min(rng.randint(1, OVERLAP), len(among))):
-            lasts = rng.choice([*PAUSES_S, LONGEST_S])
+    at_s = FIRST_FAULT_S
+    while at_s < of.seconds:
+        for kind in rng.sample(among, min(rng.randint(1, MAX_SIMULTANEOUS_FAULTS), len(among))):
+            duration_s = rng.choice([*FAULT_DURATIONS_S, LONGEST_FAULT_S])
             machines = max(1, round(of.workers * rng.choice((0.1, 0.3, 1.0))))
-            faults.append(Fault(round(at + rng.uniform(0.0, 2.0), 2), kind, lasts, machines))
-        at += rng.uniform(2.0, 9.0)
+            faults.append(Fault(round(at_s + rng.uniform(0.0, 2.0), 2), kind, duration_s, machines))
+        at_s += rng.uniform(2.0, 9.0)
     return Plan(seed, of, sorted(faults, key=lambda fault: fault.at_s))
--- a/umberward/soak/runner.py
+++ b/umberward/soak/runner.py
@@ -1,4 +1,4 @@
-"""Plays one seed of a soak from its beginning to the verdict."""
+"""Runs one seed of a soak from its beginning to the result."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 import shutil
 import tempfile
 import time
+from http import HTTPStatus
 from pathlib import Path
 
 import curio
@@ -20,16 +21,20 @@
 from umberward.soak.history import Event
 from umberward.soak.users import Users
 
-LOOK_S = 0.05
-KNOWN_S = 75.0  # troubles over, each job is answered about by each controller within this time
-LONGEST_S = 240.0  # ... and for so long it is looked whether the rest goes on
+CHECK_INTERVAL_S = 0.05
+ALL_KNOWN_S = 75.0  # faults over, within this time each controller answers polls of each job
+MAX_DRAIN_S = 240.0  # faults over, for so long it is checked that the unfinished jobs go on
 TIMELINE = 60  # events of a broken task, and as many lines of each controller's log
 KB = 1024.0
 
 
 class Result(msgspec.Struct):
-    """Of one seed. `processor_s` and `memory_mb`: of all controllers' processes together, and of
-    the largest; `overtaken` starts: those after a confirmed cancellation that were sent before."""
+    """The result of one seed.
+
+    `processor_s`: of all controllers' processes together; `memory_mb`: of the largest one;
+    `late_in_flight`, `late_sent_after`: starts after a confirmed cancellation, sent before it and
+    sent after it.
+    """
 
     seed: int
     workers: int
@@ -50,7 +55,10 @@
 
 
 class Run:
+    """The run of one plan."""
+
     def __init__(self, of: plan.Plan) -> None:
+        """Nothing runs yet."""
         self.of = of
         self.checker = Checker(teams(of.size), plan.TIMES.cancel_s)
         self.events: list[Event] = []
@@ -58,7 +66,10 @@
         self.unfinished = 0  # jobs that still went on when the run ended
 
     async def play(self) -> Result:
-        """Raises HarnessError or RuntimeError if the soak itself fails."""
+        """Run the plan on a cluster of its own.
+
+        Raises HarnessError or RuntimeError if the soak itself fails.
+        """
         began = time.monotonic()
         folder = Path(tempfile.mkdtemp(prefix="umberward-soak-"))
         cluster = SoakCluster(SoakCluster.local_plan(self.of), folder)
@@ -86,36 +97,36 @@
         cluster.began = time.monotonic()
         users = Users(cluster, rng, self.of.size.jobs_per_s)
         faults = Faults(cluster, users)
-        # Whichever ends first ends the run: the story, or a part of the soak that fails.
+        # Whichever ends first ends the run: the scenario, or a part of the soak that fails.
         async with curio.TaskGroup(wait=any) as group:
             await group.spawn(self._watch, cluster)
-            await group.spawn(self._story, cluster, users, faults)
+            await group.spawn(self._scenario, cluster, users, faults)
         if group.exception is not None:
             raise group.exception
 
-    async def _story(self, cluster: SoakCluster, users: Users, faults: Faults) -> None:
+    async def _scenario(self, cluster: SoakCluster, users: Users, faults: Faults) -> None:
         submitting = await cluster.group.spawn(users.run, self.of.size.seconds)
         await faults.run(self.of.faults)
         await submitting.join()
         await faults.end_all()
-        await self._calm(cluster, users)
+        await self._drain(cluster, users)
 
     async def _watch(self, cluster: SoakCluster) -> None:
         while True:
-            await curio.sleep(LOOK_S)
+            await curio.sleep(CHECK_INTERVAL_S)
             cluster.look()
             self.checker.tick(cluster.now())
 
-    async def _calm(self, cluster: SoakCluster, users: Users) -> None:
-        """Troubles over: each job is known to each controller, and goes on to its end."""
-        calm = cluster.now()
+    async def _drain(self, cluster: SoakCluster, users: Users) -> None:
+        """Check, faults over, that each controller knows each job, and that each job goes on."""
+        faults_over_at = cluster.now()
         asked = [(job, name) for job in self.checker.accepted for name in cluster.names]
-        while asked and cluster.now() < calm + KNOWN_S:
+        while asked and cluster.now() < faults_over_at + ALL_KNOWN_S:
             asked = [(job, name) for job, name in asked if await self._unknown(users, job, name)]
         for job, name in asked:
             self.checker.forgotten(cluster.now(), job, name)
         await users.cancel_endless()
-        while self.checker.unfinished() and cluster.now() < calm + LONGEST_S:
+        while self.checker.unfinished() and cluster.now() < faults_over_at + MAX_DRAIN_S:
             for job in self.checker.unfinished():
                 await users.ask("poll", job)
             self.checker.look_for_waiting(cluster.now())
@@ -123,9 +134,9 @@
         self.unfinished = len(self.checker.unfinished())
 
     async def _unknown(self, users: Users, job: str, name: str) -> bool:
-        return await users.ask("poll", job, name) != 200
+        return await users.ask("poll", job, name) != HTTPStatus.OK
 
-    # ---- what is told --------------------------------------------------------------------
+    # ---- the result ----------------------------------------------------------------------
 
     def _result(self, cluster: SoakCluster, seconds: float, folder: Path) -> Result:
         used = resource.getrusage(resource.RUSAGE_CHILDREN)
@@ -150,8 +161,7 @@
         )
 
     def _timeline(self, cluster: SoakCluster, folder: Path) -> list[str]:
-        """What was seen of the first broken job, with the faults and leaders, and what the
-        controllers have said of it."""
+        """Events and log lines about the first violation's job, with the faults and leaders."""
         broken = self.checker.broken[0]
         general = (history.FaultBegan, history.LeaderChanged, history.ProcessEnded)
         events = [
--- a/umberward/soak/users.py
+++ b/umberward/soak/users.py
@@ -1,8 +1,9 @@
-"""Users of a soak: they submit, ask, repeat and cancel at all controllers, side by side."""
+"""The users of a soak: they submit, poll, repeat and cancel at all controllers, concurrently."""
 
 from __future__ import annotations
 
 import random
+from http import HTTPStatus
 from typing import Any
 
 import curio
@@ -16,17 +17,25 @@
 SUBMIT_WAIT_S = 5.0
 POLL_WAIT_S = 2.0
 RETRY_S = 1.0
-PATIENCE_S = 60.0
+GIVE_UP_S = 60.0
 RUNS_S = (0.2, 0.5, 1.0, 3.0, 8.0, 15.0)
-CLOSE_S = (0.0, 0.002, 0.05)  # between questions about the same job
+CLOSE_GAPS_S = (0.0, 0.002, 0.05)  # between requests about the same job
 MOST_LIVE = 60  # jobs under way for each ten workers; users rest beyond that
 SOCKETS = 300
 POLLS = 3  # for each submission
-REPEATED, CANCELLED, LOOKED_AT, ODD = 0.2, 0.25, 0.3, 0.05  # parts of the jobs
+RECLAIMABLE_SHARE = 0.5
+SPREAD_SERVICE_SHARE = 0.3
+ZONE_SHARE = 0.2
+SAME_ZONE_GANG_SHARE = 0.5
+CHECKPOINT_SHARE = 0.3
+REPEATED, CANCELLED, LOOKED_AT, ODD = 0.2, 0.25, 0.3, 0.05  # shares of the jobs
 
 
 class Users:
+    """Sends requests about jobs of many kinds, and records the answers."""
+
     def __init__(self, cluster: SoakCluster, rng: random.Random, jobs_per_s: float) -> None:
+        """`jobs_per_s`: the mean rate of submissions."""
         self.cluster = cluster
         self.rng = rng
         self.jobs_per_s = jobs_per_s
@@ -35,7 +44,7 @@
         self.live: dict[str, dict[str, Any]] = {}  # accepted, and not known to be over
 
     async def run(self, until: float) -> None:
-        """Until that second of the run."""
+        """Submit and poll until that second of the run."""
         while self.cluster.now() < until:
             await curio.sleep(self.rng.expovariate(self.jobs_per_s))
             most = MOST_LIVE * max(1, len(self.cluster.workers) // 10)
@@ -47,12 +56,12 @@
                     await self.cluster.group.spawn(self.ask, "poll", job)
 
     async def cancel_many(self, count: int) -> None:
-        """So many of the jobs that are under way, all at once."""
+        """Cancel so many of the jobs that are under way, all at once."""
         for job in self.rng.sample(list(self.live), min(count, len(self.live))):
             await self.cluster.group.spawn(self.cancel, job)
 
     async def cancel_endless(self) -> None:
-        """What would never end by itself."""
+        """Cancel the jobs that would never end by themselves."""
         for job, spec in list(self.live.items()):
             if spec["shape"] == wire.SERVICE:
                 await self.cluster.group.spawn(self.cancel, job)
@@ -62,7 +71,7 @@
     async def _one_job(self) -> None:
         spec = self._spec()
         job = spec["uid"]
-        until = self.cluster.now() + PATIENCE_S
+        until = self.cluster.now() + GIVE_UP_S
         while True:
             status = await self.ask("submit", job, body=wire.encode(spec))
             if status not in (0, 429, 503, 504):
@@ -83,26 +92,26 @@
             await self._look_closely(job, spec)
 
     async def _again(self, job: str, spec: dict[str, Any]) -> None:
-        """The same submission once more, at any later time."""
+        """Send the same submission once more, a while later."""
         await curio.sleep(self.rng.uniform(0.0, 15.0))
         await self.ask("submit", job, body=wire.encode(spec))
 
     async def _look_closely(self, job: str, spec: dict[str, Any]) -> None:
-        gap_s = self.rng.choice(CLOSE_S)
+        gap_s = self.rng.choice(CLOSE_GAPS_S)
         for name in self.cluster.names:
             await self.cluster.group.spawn(self.ask, "poll", job, name)
             await self.cluster.group.spawn(self.ask, "submit", job, name, wire.encode(spec))
             await curio.sleep(gap_s)
 
     async def cancel(self, job: str) -> None:
-        """Until it is answered."""
+        """Send cancellations of the job until one is answered."""
         self.cluster.record(history.CancelAsked(self.cluster.now(), job))
-        until = self.cluster.now() + PATIENCE_S
-        while self.cluster.now() < until and await self.ask("cancel", job) != 200:
+        until = self.cluster.now() + GIVE_UP_S
+        while self.cluster.now() < until and await self.ask("cancel", job) != HTTPStatus.OK:
             await curio.sleep(RETRY_S)
 
     async def ask(self, kind: str, job: str, name: str = "", body: bytes = b"") -> int:
-        """Ask a controller, any without a `name`; the status of its answer, 0: there was none."""
+        """Send a request to the controller `name`, or to any; its status, 0 for no answer."""
         name = name or self.rng.choice(self.cluster.names)
         method, target, wait = {
             "submit": ("POST", "/v1/jobs", SUBMIT_WAIT_S),
@@ -148,7 +157,7 @@
             "yard": None,
             "same_place": False,
             "apart": False,
-            "reclaimable": rng.random() < 0.5,
+            "reclaimable": rng.random() < RECLAIMABLE_SHARE,
             "expect_s": 5.0,
             "snapshot_every_s": 0.0,
             "snapshot_cost_s": 0.0,
@@ -162,12 +171,12 @@
         spec["cores"] = rng.choice((1.0, 2.0, 4.0))
         if shape == wire.SERVICE:
             spec["expect_s"] = 0.0
-            spec["apart"] = rng.random() < 0.3
-        if rng.random() < 0.2:
+            spec["apart"] = rng.random() < SPREAD_SERVICE_SHARE
+        if rng.random() < ZONE_SHARE:
             spec["yard"] = rng.choice(self.cluster.zones)
-        elif shape == wire.GANG and rng.random() < 0.5:
+        elif shape == wire.GANG and rng.random() < SAME_ZONE_GANG_SHARE:
             spec["same_place"] = True
-        if rng.random() < 0.3:
+        if rng.random() < CHECKPOINT_SHARE:
             spec["snapshot_every_s"], spec["snapshot_cost_s"] = 2.0, 0.5
         why = self._make_odd(spec) if rng.random() < ODD else ""
         self._known(spec, why)
