--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,5 +20,5 @@
         type=int,
         default=0,
         metavar="DAYS",
-        help="Draw so many days of troubles (tests/test_troubles.py), each time others.",
+        help="Draw so many days of troubles (tests/test_fault_days.py), each time others.",
     )
--- a/tests/guards.py
+++ b/tests/mutations.py
@@ -104,7 +104,7 @@
 
     def load_done(self: Scheduler) -> None:
         whole(self)
-        self.all_settled = True
+        self.reconciliation_completed = True
         for job in self.jobs.values():
             job.requeue_unlocated()
 
@@ -155,7 +155,7 @@
 
 
 def allowed(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Scheduler, "allowed", lambda *_: True)
+    patch.setattr(Scheduler, "admits_offer", lambda *_: True)
 
 
 def apart(patch: pytest.MonkeyPatch) -> None:
@@ -219,16 +219,16 @@
 
     patch.setattr(StateWriter, "transaction_committed", job_marked)
 
-    from world import FakeState
+    from simulated_cluster import SimulatedStore
 
-    async def commit(self: FakeState, conditions: Any, writes: Any, **_: Any) -> Any:
+    async def commit(self: SimulatedStore, conditions: Any, writes: Any, **_: Any) -> Any:
         kept = [w for w in writes if not str(w.get("write", "")).startswith("jobs/live")]
         if "0" not in [str(stamp) for _, stamp in conditions]:
             writes = kept
         self.apply([], writes)
         return self.revision
 
-    patch.setattr(FakeState, "commit", commit)
+    patch.setattr(SimulatedStore, "commit", commit)
 
 
 def own_silence(patch: pytest.MonkeyPatch) -> None:
@@ -330,7 +330,7 @@
     def completions(self: StateWriter, job: Job) -> None:
         whole(self, job)
         if job.complete:
-            self.cluster.apply_job_end(job.id, FinalJobRecord(DONE), self.cluster.wall())
+            self.cluster.apply_job_end(job.id, FinalJobRecord(DONE), self.cluster.wall_clock())
 
     patch.setattr(StateWriter, "note_completions", completions)
 
@@ -465,7 +465,7 @@
     def denied(self: GangReservations, job: Job) -> set[Any]:
         first = next(iter(self.cluster.jobs.values()))
         long = [j for j in self.cluster.jobs.values() if j.gang and j.size > 1]
-        if long and job is not long[0] and self.cluster.wall() - long[0].ready_at > 48.0:
+        if long and job is not long[0] and self.cluster.wall_clock() - long[0].ready_at > 48.0:
             return set(self.cluster.machines)
         return whole(self, job) if first else set()
 
@@ -632,8 +632,8 @@
     def report(self: HeartbeatHandler, report: Any, now: Any, hello: bool) -> Any:
         orders = whole(self, report, now, hello)
         machine = self.cluster.machines.get(report.machine_id)
-        if machine is not None and machine.reconciled and machine.block is None:
-            machine.block = -1
+        if machine is not None and machine.reconciled and machine.block_number is None:
+            machine.block_number = -1
             machine.availability_changed()
         return orders
 
@@ -653,7 +653,7 @@
     patch.setattr(CancellationAnnouncer, "announce", lambda *_: None)
 
 
-GUARDS: dict[str, Patch] = {
+MUTATIONS: dict[str, Patch] = {
     "lease-let-go": lease_let_go,
     "longest-bound": longest_bound,
     "gang-done-together": gang_done_together,
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -23,7 +23,7 @@
 UNTOLD_S = 3.5  # a leader that can't be told of a cancellation starts nothing for longer than this
 
 
-class Told(NamedTuple):
+class ToldUser(NamedTuple):
     """What a job's user had been told at some moment."""
 
     accepted: bool
@@ -37,7 +37,7 @@
 
     def __init__(self, cluster: ClusterSettings, skus: Iterable[MachineType] = ()) -> None:
         self.cluster = cluster
-        self.skus = list(skus)
+        self.machine_types = list(skus)
         self.workers: dict[str, WorkerCore] = {}
         self.specs: dict[str, dict[str, Any]] = {}
         self.mates = Mates()
@@ -57,20 +57,20 @@
         self.calm_since: float | None = None  # since when there is no trouble any more
         self.waits_since: dict[str, float] = {}  # jobs that wait beside a machine with room
 
-    def kept(self) -> Mapping[Key, VersionedValue]:
+    def stored_keys(self) -> Mapping[Key, VersionedValue]:
         """What stands in the state service."""
         raise NotImplementedError
 
-    def gone(self, worker: WorkerCore) -> bool:
+    def is_gone(self, worker: WorkerCore) -> bool:
         """Whether its machine is."""
         raise NotImplementedError
 
     # ---- what users are told -----------------------------------------------------------
 
-    def told(self, id: str) -> Told:
-        return Told(id in self.submitted, self.ended.get(id))
+    def told(self, id: str) -> ToldUser:
+        return ToldUser(id in self.submitted, self.ended.get(id))
 
-    def check_phase(self, id: str, response: Response, told: Told | None = None) -> str | None:
+    def check_phase(self, id: str, response: Response, told: ToldUser | None = None) -> str | None:
         """`told`: what its user had been told when the question was sent; else all until now."""
         if response.status != 200:
             if response.status == 404 and id in self.specs and (told is None or told.accepted):
@@ -95,7 +95,7 @@
             self.ended[id] = phase
         return phase
 
-    def check_submission(self, spec: dict[str, Any], response: Response, told: Told) -> None:
+    def check_submission(self, spec: dict[str, Any], response: Response, told: ToldUser) -> None:
         """`spec`: what was sent, be it a repeat with another body."""
         id = spec.get("uid")
         if response.status in (400, 422) and told.accepted:
@@ -121,7 +121,7 @@
             return "nobody's"
         fits = [
             sku
-            for sku in self.skus
+            for sku in self.machine_types
             if spec["cores"] <= sku.cores
             and spec["accelerators"] <= sku.accelerators
             and spec["mem_gb"] <= sku.mem_gb
@@ -164,18 +164,18 @@
         if self.done_stays and name in spec.get("_done", ()):
             self.broken.append(f"{name} started again after it was done")
         self.starts[name] = self.starts.get(name, 0) + 1
-        started = (worker.host, worker.tenure, name, attempt)
+        started = (worker.host, worker.incarnation, name, attempt)
         if started in self.attempts:
             # The worker was told to forget this attempt while a start of it was still under way.
             self.broken.append(f"restarted: attempt {attempt} of {name} on {worker.host}")
         self.attempts.add(started)
         self.began.setdefault(id, self.now - self.submitted.get(id, self.now))
         for need in spec.get("waits_on") or ():
-            past = self.kept().get(Key(FINAL_JOBS_PREFIX + need))
+            past = self.stored_keys().get(Key(FINAL_JOBS_PREFIX + need))
             if past is None or past.data["phase"] != wire.DONE:
                 self.broken.append(f"too_early: {name} started before {need} was done")
         for other in self.workers.values():
-            if name in other.alive and not self.gone(other):
+            if name in other.running_tasks and not self.is_gone(other):
                 self.broken.append(f"ran_twice: {name} on {other.host} and {worker.host}")
         if self._overdue(id):
             self.broken.append(f"ran_cancelled: {name}")
@@ -192,11 +192,11 @@
         zones = [
             w.zone
             for w in self.workers.values()
-            for t in w.alive.values()
-            if t.name.split("/")[0] == id and not self.gone(w)
+            for t in w.running_tasks.values()
+            if t.name.split("/")[0] == id and not self.is_gone(w)
         ]
-        if spec.get("flavors") and worker.sku.name not in spec["flavors"]:
-            self.broken.append(f"wrong_place: {name} on a {worker.sku.name}")
+        if spec.get("flavors") and worker.machine_type.name not in spec["flavors"]:
+            self.broken.append(f"wrong_place: {name} on a {worker.machine_type.name}")
         if spec.get("yard") and worker.zone != spec["yard"]:
             self.broken.append(f"wrong_place: {name} in {worker.zone}")
         if worker.spot and not spec["reclaimable"]:
@@ -223,8 +223,8 @@
         """By teams: what is on machines."""
         found: dict[str, Resources] = {}
         for worker in self.workers.values():
-            if not self.gone(worker):
-                for name in worker.alive:
+            if not self.is_gone(worker):
+                for name in worker.running_tasks:
                     spec = self.specs[name.split("/")[0]]
                     need = Resources(spec["cores"], spec["accelerators"], spec["mem_gb"])
                     found[spec["owner"]] = found.get(spec["owner"], NO_RESOURCES).plus(need)
@@ -233,8 +233,8 @@
     def check_now(self) -> None:
         """What holds at every moment."""
         for worker in self.workers.values():
-            if not (self.gone(worker) or self.stands_still(worker)):
-                for name in worker.alive:
+            if not (self.is_gone(worker) or self.stands_still(worker)):
+                for name in worker.running_tasks:
                     if self._overdue(name.split("/")[0]):
                         self.broken.append(f"ran_cancelled: {name}")
         used = self.used()
@@ -245,8 +245,11 @@
             if 0 < team.gpus_max < accelerators - 1e-6:
                 self.broken.append(f"quota: {team.name} uses {accelerators} accelerators")
         self._check_waiting(used)
-        for key in self.kept():
-            if key.startswith(FINAL_JOBS_PREFIX) and self.kept()[key].data["phase"] == wire.DONE:
+        for key in self.stored_keys():
+            if (
+                key.startswith(FINAL_JOBS_PREFIX)
+                and self.stored_keys()[key].data["phase"] == wire.DONE
+            ):
                 spec = self.specs.get(key[len(FINAL_JOBS_PREFIX) :])
                 if spec is None:
                     continue  # a record that the scenario wrote itself
@@ -258,7 +261,7 @@
         if self.calm_since is None:
             self.waits_since.clear()
             return
-        for key in self.kept():
+        for key in self.stored_keys():
             id = key[len(LIVE_JOBS_PREFIX) :]
             if not key.startswith(LIVE_JOBS_PREFIX) or id not in self.specs:
                 continue
@@ -279,9 +282,9 @@
         if 0 < team.cpus_max < then.cores or 0 < team.gpus_max < then.accelerators:
             return False
         return any(
-            need.fits(worker.sku.capacity.minus(worker.booked))
-            and not self.gone(worker)
-            and (spec.get("flavors") is None or worker.sku.name in spec["flavors"])
+            need.fits(worker.machine_type.capacity.minus(worker.reserved))
+            and not self.is_gone(worker)
+            and (spec.get("flavors") is None or worker.machine_type.name in spec["flavors"])
             and spec.get("yard") in (None, worker.zone)
             and (spec["reclaimable"] or not worker.spot)
             for worker in self.workers.values()
@@ -291,7 +294,7 @@
         return [
             (name, worker.host)
             for worker in self.workers.values()
-            if not self.gone(worker)
-            for name in worker.alive
+            if not self.is_gone(worker)
+            for name in worker.running_tasks
             if name.split("/")[0] == id
         ]
--- a/tests/world.py
+++ b/tests/simulated_cluster.py
@@ -86,7 +86,7 @@
     }
 
 
-SKUS = {
+MACHINE_TYPES = {
     MachineTypeName(sku.name): sku
     for sku in (
         MachineType("small", 4.0, 16.0, 0.2, 10.0, ["a", "b"], image_cache_gb=50.0, spot_price=0.1),
@@ -98,7 +98,7 @@
 }
 
 
-class FakeState:
+class SimulatedStore:
     """The state service's semantics with the outcomes that a client may meet, and no sockets."""
 
     def __init__(self) -> None:
@@ -209,9 +209,11 @@
 class Worker(WorkerCore):
     """A worker's semantics, and what may befall it and its messages."""
 
-    def __init__(self, world: World, host: str, flavor: str, zone: str, spot: bool) -> None:
+    def __init__(
+        self, world: SimulatedCluster, host: str, flavor: str, zone: str, spot: bool
+    ) -> None:
         times = world.settings.platform.cluster.workers
-        sku = SKUS[MachineTypeName(flavor)]
+        sku = MACHINE_TYPES[MachineTypeName(flavor)]
         super().__init__(
             host,
             "127.0.0.1:9",
@@ -234,10 +236,14 @@
         self.slow = False  # a report that it sends is under way until this ends
         self.astray = False  # it reports to the former leader
         self.oneway = False  # its reports arrive, and nothing reaches it
-        self.said: deque[tuple[float, bytes]] = deque(maxlen=200)  # its reports, for late copies
-        self.under_way: tuple[float, int, bytes] | None = None  # sent when, in which session
+        self.sent_heartbeats: deque[tuple[float, bytes]] = deque(
+            maxlen=200
+        )  # its reports, for late copies
+        self.heartbeat_in_flight: tuple[float, int, bytes] | None = (
+            None  # sent when, in which session
+        )
         self.holding = False  # direct commands are held back and delivered later
-        self.held: list[HeldCommand] = []
+        self.held_commands: list[HeldCommand] = []
 
     def _fate(self, name: str, spec: JobSpec) -> Fate:
         return Fate(0.3) if self.sick else self.world.fate(name, spec)
@@ -255,44 +261,44 @@
             self.world.completed(task.name)
 
 
-class World(Rules):
+class SimulatedCluster(Rules):
     workers: dict[str, Worker]  # type: ignore[assignment]
 
     def __init__(
         self, raw: dict[str, Any] | None = None, operator: OperatorSettings | None = None
     ) -> None:
         self.settings = validate(raw or raw_settings(), operator or OperatorSettings())
-        super().__init__(self.settings.platform.cluster, SKUS.values())
+        super().__init__(self.settings.platform.cluster, MACHINE_TYPES.values())
         self.now = 100.0
-        self.store = FakeState()
+        self.store = SimulatedStore()
         self.scheduler: Scheduler | None = None
-        self.provisioner: Autoscaler | None = None
+        self.autoscaler: Autoscaler | None = None
         self.epoch = 0
         self.seen_revision = 0
         self.placing = True
         self.watching = True
         self.cloud_up = True
-        self.mirror = JobStateCache(self.settings, self.store, lambda: self.now)  # type: ignore[arg-type]
-        self.users = JobApi(
-            self.settings, self.store, self.mirror, SKUS, lambda: WallTime(self.now)
+        self.job_states = JobStateCache(self.settings, self.store, lambda: self.now)  # type: ignore[arg-type]
+        self.job_api = JobApi(
+            self.settings, self.store, self.job_states, MACHINE_TYPES, lambda: WallTime(self.now)
         )  # type: ignore[arg-type]
-        self.frozen = False  # the leader stands still, its clock goes on
+        self.paused = False  # the leader stands still, its clock goes on
         self.probes = 0
         self.store.applied = self._check_blocks
         self.blocked: set[str] = set()  # machines that stood in a block
         self.sweep_at = 0.0
         self.rng = random.Random(7)
-        self.former: list[Scheduler] = []
+        self.former_leaders: list[Scheduler] = []
         self.lost_commands: list[HeldCommand] = []  # that never arrive, and are not given up yet
         times = self.settings.platform.cluster.workers
-        self.led_since = self.now
-        self.tend_s = LeaseBounds(times).keepalive_s  # for so long the former one answers
+        self.leader_since = self.now
+        self.keepalive_s = LeaseBounds(times).keepalive_s  # for so long the former one answers
         # The other controllers, with the zone of each, and the zones that are cut off.
-        self.borrowers = {
+        self.delegates = {
             peer.label: (peer.site, Delegate(self.settings.platform.cluster.workers))
             for peer in self.settings.platform.peers
         }
-        self.apart: set[str] = set()
+        self.cut_off_zones: set[str] = set()
 
     # ---- controllers -------------------------------------------------------------------
 
@@ -303,23 +309,23 @@
 
     def succeed(self) -> None:
         """Another controller takes over, and has heard what the last leader had learnt."""
-        assert self.scheduler is not None and self.provisioner is not None
+        assert self.scheduler is not None and self.autoscaler is not None
         told = failover_snapshot.encode_snapshot(
-            failover_snapshot.take_snapshot(self.scheduler, self.provisioner, Instant(self.now))
+            failover_snapshot.take_snapshot(self.scheduler, self.autoscaler, Instant(self.now))
         )
         note("hints", told)
         self.take_blocks()
         found = failover_snapshot.decode_snapshot(told)
         assert found is not None
         failover_snapshot.restore_snapshot(
-            found, 1.0, self.scheduler, self.provisioner, Instant(self.now)
+            found, 1.0, self.scheduler, self.autoscaler, Instant(self.now)
         )
         self.take_jobs()
 
     def restart(self) -> None:
         """All controllers ended at once: the new leader has what the last one stored."""
-        assert self.scheduler is not None and self.provisioner is not None
-        told = failover_snapshot.take_snapshot(self.scheduler, self.provisioner, Instant(self.now))
+        assert self.scheduler is not None and self.autoscaler is not None
+        told = failover_snapshot.take_snapshot(self.scheduler, self.autoscaler, Instant(self.now))
         for number, part in enumerate(failover_snapshot.split_snapshot(told, 2, 1000)):
             self.store.apply([], [transactions.put(Key(f"{wire.SNAPSHOT_PREFIX}{number}"), part)])
         self.take_blocks()
@@ -327,19 +333,19 @@
             if key.startswith(wire.SNAPSHOT_PREFIX):
                 found = wire.convert(got.data, failover_snapshot.FailoverSnapshot)
                 failover_snapshot.restore_snapshot(
-                    found, 15.0, self.scheduler, self.provisioner, Instant(self.now)
+                    found, 15.0, self.scheduler, self.autoscaler, Instant(self.now)
                 )
         self.take_jobs()
 
     def take_blocks(self) -> None:
         self.store.apply([], [transactions.put(Key("leader"), {"node": "n", "nonce": "x"})])
         self.epoch = self.store.revision
-        self.led_since = self.now
+        self.leader_since = self.now
         if self.scheduler is not None:
-            self.former.append(self.scheduler)
+            self.former_leaders.append(self.scheduler)
         made = Scheduler(
             self.settings,
-            SKUS,
+            MACHINE_TYPES,
             FencingToken(self.epoch),
             Instant(self.now),
             lambda: WallTime(self.now),
@@ -348,7 +354,7 @@
         self.scheduler = made
         self.commands = CommandQueue(made, lambda: True)
         self.lost_commands = []
-        self.provisioner = Autoscaler(made, f"n-{self.epoch}", Instant(self.now))
+        self.autoscaler = Autoscaler(made, f"n-{self.epoch}", Instant(self.now))
         for key, got in list(self.store.keys.items()):
             if key.startswith(BLOCKS_PREFIX):
                 record = wire.convert(got.data, wire.BlockRecord)
@@ -366,15 +372,15 @@
         made.finish_loading()
         self.seen_revision = self.store.revision
 
-    def kept(self) -> dict[Key, VersionedValue]:
+    def stored_keys(self) -> dict[Key, VersionedValue]:
         return self.store.keys  # type: ignore[return-value]
 
-    def gone(self, worker: Worker) -> bool:  # type: ignore[override]
+    def is_gone(self, worker: Worker) -> bool:  # type: ignore[override]
         return worker.dead
 
     def cut_zone(self, zone: str, cut: bool) -> None:
         """The zone's workers and controllers reach each other and nobody else."""
-        self.apart = self.apart | {zone} if cut else self.apart - {zone}
+        self.cut_off_zones = self.cut_off_zones | {zone} if cut else self.cut_off_zones - {zone}
         for worker in self.workers.values():
             if worker.zone == zone:
                 worker.cut = cut
@@ -398,7 +404,7 @@
 
     def submit(self, spec: Any) -> Response:
         body = spec if isinstance(spec, bytes) else wire.encode(spec)
-        response = self._serve(self.users.submit, body)
+        response = self._serve(self.job_api.submit, body)
         if response.status in (200, 201) and isinstance(spec, dict):
             self.specs.setdefault(spec["uid"], spec)
             self.submitted.setdefault(spec["uid"], self.now)
@@ -406,7 +412,7 @@
         return response
 
     def poll(self, id: str) -> Response:
-        response = self._serve(self.users.poll, JobId(id))
+        response = self._serve(self.job_api.poll, JobId(id))
         self.check_phase(id, response)
         return response
 
@@ -414,7 +420,7 @@
         """So many polls together; how many requests to the state service they cost."""
 
         async def polls(id: JobId) -> Response:
-            asked = [await curio.spawn(self.users.poll, id) for _ in range(times)]
+            asked = [await curio.spawn(self.job_api.poll, id) for _ in range(times)]
             answers = [await task.join() for task in asked]
             assert all(answer.status == 200 for answer in answers)
             return answers[0]  # type: ignore[no-any-return]
@@ -427,7 +433,7 @@
         async def polls(id: JobId) -> Response:
             asked = []
             for _ in range(times):
-                asked.append(await curio.spawn(self.users.poll, id))
+                asked.append(await curio.spawn(self.job_api.poll, id))
                 await curio.sleep(gap_s)
             answers = [await task.join() for task in asked]
             assert all(answer.status == 200 for answer in answers)
@@ -436,35 +442,39 @@
         self._serve(polls, JobId(id))
 
     def cancel(self, id: str) -> Response:
-        response = self._serve(self.users.cancel, JobId(id))
+        response = self._serve(self.job_api.cancel, JobId(id))
         if response.status == 200 and self.check_phase(id, response) == wire.CANCELLED:
             self.cancelled.setdefault(id, self.now)
         return response
 
     def cancel_elsewhere(self, id: str) -> None:
         """Another controller takes the cancellation and tells the user."""
-        mirror, users = self.mirror, self.users
+        mirror, users = self.job_states, self.job_api
         self._other_controller()
         self.cancel(id)
-        self.mirror, self.users = mirror, users
+        self.job_states, self.job_api = mirror, users
 
     def _other_controller(self) -> None:
-        self.mirror = JobStateCache(self.settings, self.store, lambda: self.now)  # type: ignore[arg-type]
-        self.users = JobApi(
-            self.settings, self.store, self.mirror, SKUS, self.users.admission.wall_clock
+        self.job_states = JobStateCache(self.settings, self.store, lambda: self.now)  # type: ignore[arg-type]
+        self.job_api = JobApi(
+            self.settings,
+            self.store,
+            self.job_states,
+            MACHINE_TYPES,
+            self.job_api.admission.wall_clock,
         )  # type: ignore[arg-type]
 
     def poll_elsewhere(self, id: str) -> Response:
         """At a controller that was started just now."""
-        mirror, users = self.mirror, self.users
+        mirror, users = self.job_states, self.job_api
         self._other_controller()
         response = self.poll(id)
-        self.mirror, self.users = mirror, users
+        self.job_states, self.job_api = mirror, users
         return response
 
     def poll_elsewhere_at_once(self, id: str, times: int) -> list[Response]:
         async def polls(id: JobId) -> Any:
-            asked = [await curio.spawn(self.users.poll, id) for _ in range(times)]
+            asked = [await curio.spawn(self.job_api.poll, id) for _ in range(times)]
             return [await task.join() for task in asked]
 
         self._other_controller()
@@ -479,12 +489,12 @@
 
     def cancel_after_reading(self, id: str, seconds: float) -> None:
         async def meanwhile() -> None:
-            mirror, users = self.mirror, self.users
+            mirror, users = self.job_states, self.job_api
             self._other_controller()
-            running = await curio.spawn(self.mirror.run, daemon=True)
-            response = await self.users.cancel(JobId(id))
+            running = await curio.spawn(self.job_states.run, daemon=True)
+            response = await self.job_api.cancel(JobId(id))
             await running.cancel()
-            self.mirror, self.users = mirror, users
+            self.job_states, self.job_api = mirror, users
             assert self.check_phase(id, response) == wire.CANCELLED
             self.cancelled[id] = self.now
             self.now += seconds
@@ -493,7 +503,7 @@
 
     def _serve(self, call: Any, argument: Any) -> Response:
         async def serve() -> Response:
-            running = await curio.spawn(self.mirror.run, daemon=True)
+            running = await curio.spawn(self.job_states.run, daemon=True)
             response: Response = await call(argument)
             await running.cancel()
             return response
@@ -516,7 +526,7 @@
             if not worker.dead:
                 self._work(worker)
         scheduler = self.scheduler
-        if scheduler is not None and not self.frozen:
+        if scheduler is not None and not self.paused:
             now = Instant(self.now)
             scheduler.wake(now)
             if self.watching and self.store.mode != "down":
@@ -525,7 +535,7 @@
                 self.seen_revision = self.store.revision
                 scheduler.jobs_read_at = now
             if self.store.mode != "down":
-                self._lend(scheduler, now)
+                self._delegate(scheduler, now)
             self._give_up(scheduler, now)
             scheduler.tick(now)
             if scheduler.token_rotation.wanted and self.store.mode == "ok":
@@ -538,18 +548,18 @@
             self._write(scheduler)
             self._flush(scheduler)
             self._sweep(scheduler, now)
-            if self.cloud_up and self.provisioner is not None:
-                for machine in self.provisioner.machines_to_abandon(now):
-                    machine.returning = True
-                gone = [id for id in self.provisioner.machines_to_delete(now) if id in self.workers]
+            if self.cloud_up and self.autoscaler is not None:
+                for machine in self.autoscaler.unreachable_machines_to_return(now):
+                    machine.deletion_requested = True
+                gone = [id for id in self.autoscaler.machines_to_delete(now) if id in self.workers]
                 for id in gone:
                     note("machine deleted", id, self.now)
                     self.delete(id)
         self._check()
 
-    def _lend(self, scheduler: Scheduler, now: Instant) -> None:
-        for name, (zone, borrower) in self.borrowers.items():
-            if zone not in self.apart and now - borrower.asked_at >= 1.0:
+    def _delegate(self, scheduler: Scheduler, now: Instant) -> None:
+        for name, (zone, borrower) in self.delegates.items():
+            if zone not in self.cut_off_zones and now - borrower.asked_at >= 1.0:
                 loan = scheduler.delegate(
                     ControllerName(name), borrower.serial, borrower.unused, now
                 )
@@ -619,7 +629,7 @@
             worker = self.workers.get(command.machine)
             gives_up_at = now + command_sender.COMMAND_TIMEOUT_S
             if worker is not None and worker.holding:
-                worker.held.append(HeldCommand(command, scheduler, gives_up_at))
+                worker.held_commands.append(HeldCommand(command, scheduler, gives_up_at))
                 return
             if worker is not None and worker.oneway and not worker.dead:
                 # Packets that only one way passes: what was sent may have arrived.
@@ -632,7 +642,7 @@
 
     def _give_up(self, scheduler: Scheduler, now: Instant) -> None:
         """Commands that had no answer within the daemon's time-out."""
-        held = [one for worker in self.workers.values() for one in worker.held]
+        held = [one for worker in self.workers.values() for one in worker.held_commands]
         for one in [*held, *self.lost_commands]:
             if one.sender is scheduler and one.gives_up_at is not None and now >= one.gives_up_at:
                 one.gives_up_at = None
@@ -644,7 +654,7 @@
         """Deliver what was held back, however old."""
         worker = self.workers[name]
         worker.holding = False
-        held, worker.held = worker.held, []
+        held, worker.held_commands = worker.held_commands, []
         for one in held:
             report = self._do(worker, one.command)
             if one.gives_up_at is not None and one.sender is self.scheduler:
@@ -656,8 +666,8 @@
         del self.workers[name]
         if self.scheduler is not None:
             self.scheduler.remove_machines([name], Instant(self.now))  # type: ignore[list-item]
-        if self.provisioner is not None:
-            self.provisioner.machines_removed([name])  # type: ignore[list-item]
+        if self.autoscaler is not None:
+            self.autoscaler.machines_removed([name])  # type: ignore[list-item]
 
     # ---- workers -----------------------------------------------------------------------
 
@@ -670,34 +680,38 @@
         if self.now >= worker.report_at:
             # Its connections break: it turns to the next controller 1 s later, and so on.
             worker.report_at = self.now + (2.0 if worker.oneway else 1.0)
-            self._hello(worker)
+            self._send_heartbeat(worker)
 
-    def _hello(self, worker: Worker) -> None:
+    def _send_heartbeat(self, worker: Worker) -> None:
         sent = self.now
         if worker.cut:
             # Another controller of its zone may answer, and only it.
-            for zone, borrower in self.borrowers.values():
-                if zone == worker.zone and zone in self.apart:
+            for zone, borrower in self.delegates.values():
+                if zone == worker.zone and zone in self.cut_off_zones:
                     told = borrower.may_answer(
-                        MachineId(worker.host), worker.epoch, Instant(self.now)
+                        MachineId(worker.host), worker.fencing_token, Instant(self.now)
                     )
-                    worker.lease_from = sent if told else worker.lease_from
+                    worker.lease_renewed_at = sent if told else worker.lease_renewed_at
             return
-        if self.scheduler is None or self.frozen or worker.mute:
+        if self.scheduler is None or self.paused or worker.mute:
             return
-        if worker.under_way is None:
-            worker.under_way = (sent, worker.tenure, wire.encode(worker.report()))
-            worker.said.append((sent, worker.under_way[2]))
+        if worker.heartbeat_in_flight is None:
+            worker.heartbeat_in_flight = (sent, worker.incarnation, wire.encode(worker.report()))
+            worker.sent_heartbeats.append((sent, worker.heartbeat_in_flight[2]))
         if not worker.slow:
             self._deliver(worker)
 
     def _deliver(self, worker: Worker) -> None:
         """A report arrives, and its answer too, unless the worker has given it up."""
-        assert worker.under_way is not None
-        (sent, tenure, body), worker.under_way = worker.under_way, None
+        assert worker.heartbeat_in_flight is not None
+        (sent, tenure, body), worker.heartbeat_in_flight = worker.heartbeat_in_flight, None
         holder = self.scheduler
-        if worker.astray and self.former and self.now - self.led_since < self.tend_s:
-            holder = self.former[-1]  # it answers still, as it knows of no other
+        if (
+            worker.astray
+            and self.former_leaders
+            and self.now - self.leader_since < self.keepalive_s
+        ):
+            holder = self.former_leaders[-1]  # it answers still, as it knows of no other
         assert holder is not None
         orders = holder.receive_heartbeat(
             wire.decode_heartbeat_header(body), body, Instant(self.now)
@@ -742,7 +756,11 @@
         if scheduler is None:
             return
         usable, free = scheduler.schedulable_room()
-        found = {m.id: m.free(SKUS[m.type]) for m in scheduler.machines.values() if m.schedulable}
+        found = {
+            m.id: m.free_room(MACHINE_TYPES[m.machine_type])
+            for m in scheduler.machines.values()
+            if m.schedulable
+        }
         if found != free or {m.id for m in usable} != set(found):
             self.broken.append(f"kept of machines: {sorted(free)}, found {sorted(found)}")
 
@@ -750,7 +768,11 @@
         """No session is taken for over that its worker still lives in."""
         for machine in self.scheduler.machines.values() if self.scheduler is not None else ():
             worker = self.workers.get(machine.id)
-            if worker is not None and not worker.dead and worker.tenure < machine.min_incarnation:
+            if (
+                worker is not None
+                and not worker.dead
+                and worker.incarnation < machine.min_incarnation
+            ):
                 self.broken.append(f"session of {machine.id} taken for over")
 
     def _check_invariants(self) -> None:
--- a/tests/controllers.py
+++ b/tests/simulated_controllers.py
@@ -16,8 +16,8 @@
 import curio
 import msgspec
 from network import Clock, Jumping, Network
-from rules import Rules, Told
-from world import SKUS, raw_settings
+from rules import Rules, ToldUser
+from simulated_cluster import MACHINE_TYPES, raw_settings
 
 from umberward.control import controller as node_module
 from umberward.control.controller import Controller
@@ -47,7 +47,7 @@
 class Worker(WorkerCore):
     """Its starts and completions are checked."""
 
-    rules: Controllers
+    rules: SimulatedControllers
 
     def tick(self, now: float) -> None:
         if self.rules.stands_still(self):
@@ -65,7 +65,7 @@
             self.rules.completed(task.name)
 
 
-class Controllers(Rules):
+class SimulatedControllers(Rules):
     done_stays = False
 
     def __init__(
@@ -88,7 +88,7 @@
         raw["cluster"]["machine_limits"]["sockets"] = 400
         self.raw = raw
         self.operator = OperatorSettings(**{"idle_seconds": 86400.0, **(operator or {})})
-        super().__init__(validate(raw, OperatorSettings()).platform.cluster, SKUS.values())
+        super().__init__(validate(raw, OperatorSettings()).platform.cluster, MACHINE_TYPES.values())
         self.clock = Clock()
         self.rng = random.Random(seed)
         self.network = Network(self.clock, self.rng)
@@ -110,12 +110,12 @@
     def now(self) -> float:  # type: ignore[override]
         return self.clock.now
 
-    def kept(self) -> Mapping[Key, VersionedValue]:
+    def stored_keys(self) -> Mapping[Key, VersionedValue]:
         return self.state.core.keys  # type: ignore[return-value]
 
-    def gone(self, worker: WorkerCore) -> bool:
+    def is_gone(self, worker: WorkerCore) -> bool:
         # One that hangs may go on only within its lease.
-        over = self.now - worker.lease_from > self.cluster.workers.lease_s
+        over = self.now - worker.lease_renewed_at > self.cluster.workers.lease_s
         return worker.host not in self.workers or (over and self.stands_still(worker))
 
     def stands_still(self, worker: WorkerCore) -> bool:
@@ -127,7 +127,7 @@
     # ---- as a whole --------------------------------------------------------------------
 
     @contextlib.contextmanager
-    def playing(self) -> Iterator[Controllers]:
+    def playing(self) -> Iterator[SimulatedControllers]:
         with contextlib.ExitStack() as stack:
             stack.enter_context(self.clock.running())
             stack.enter_context(mock.patch.object(node_module, "Client", self.network.client))
@@ -153,10 +153,10 @@
         limits = self.cluster.state
         core = StateCore(int(limits.value_kb * 1024), limits.txn_ops)
         self.state = StateServer(core, limits, self.states)
-        self.cloud_core = CloudCore(list(SKUS.values()), 5.0, self.rng, 1.0)
+        self.cloud_core = CloudCore(list(MACHINE_TYPES.values()), 5.0, self.rng, 1.0)
         self.cloud_core.capacity = {
             Capacity(sku.name, zone, spot): self.rent if sku.name == "small" and not spot else 0
-            for sku in SKUS.values()
+            for sku in MACHINE_TYPES.values()
             for zone in sku.zones
             for spot in (True, False)
         }
@@ -258,7 +258,7 @@
         self.kernel.run(self._machine, name, flavor, zone)
 
     async def _machine(self, name: str, flavor: str, zone: str) -> None:
-        sku = SKUS[MachineTypeName(flavor)]
+        sku = MACHINE_TYPES[MachineTypeName(flavor)]
         machine = Machine(name, sku, zone, False, self.now, self.now)
         self.cloud_core.machines[name] = machine
         machine.up = True
@@ -271,7 +271,7 @@
         core = Worker(
             name,
             str(address),
-            machine.sku,
+            machine.machine_type,
             machine.zone,
             False,
             self.cluster.workers,
@@ -369,13 +369,13 @@
         self.requested.add(id)
         response = await self._users(name, "POST", f"/v1/jobs/{id}/cancel", b"", USERS_WAIT_S)
         if self._heard(id, response, told) == wire.CANCELLED:
-            past = self.kept().get(Key(FINAL_JOBS_PREFIX + id))
+            past = self.stored_keys().get(Key(FINAL_JOBS_PREFIX + id))
             if past is None or past.data["phase"] != wire.CANCELLED:
                 self.broken.append(f"{id} is called cancelled and was not committed")
             self.cancelled.setdefault(id, self.now)
         return response
 
-    def _heard(self, id: str, response: Response | None, told: Told) -> str | None:
+    def _heard(self, id: str, response: Response | None, told: ToldUser) -> str | None:
         if response is None:
             return None
         phase = self.check_phase(id, response, told)
--- a/tests/graph_world.py
+++ b/tests/simulated_graphs.py
@@ -8,8 +8,8 @@
 
 import curio
 import msgspec
+from simulated_cluster import MACHINE_TYPES, SimulatedCluster, Worker
 from traffic_recorder import note
-from world import SKUS, Worker, World
 
 from umberward.clients import state_client
 from umberward.core.types import Key, Version, WallTime
@@ -26,11 +26,11 @@
 FINAL = ("done", "failed", "not_run", "cancelled")
 
 
-class GraphWorld(World):
+class SimulatedGraphCluster(SimulatedCluster):
     def __init__(self, raw: dict[str, Any] | None = None) -> None:
         super().__init__(raw)
         self.store.strictest_limits = self.settings.platform.cluster.state.strictest()  # type: ignore[attr-defined]
-        self.board: GraphState | None = None
+        self.graph_state: GraphState | None = None
         self.seen_graphs = 0
         self.shapes: dict[str, Shape] = {}
         self.arrays: dict[str, tuple[str, int]] = {}  # array -> graph, kind
@@ -46,7 +46,7 @@
     def users_side(self) -> GraphApi:
         """Any controller's: one that has kept nothing."""
         wall = lambda: WallTime(self.now)  # noqa: E731
-        return GraphApi(self.settings, self.store, SKUS, wall, random.Random(3))  # type: ignore[arg-type]
+        return GraphApi(self.settings, self.store, MACHINE_TYPES, wall, random.Random(3))  # type: ignore[arg-type]
 
     def ask(self, method: str, path: str, body: Any = b"") -> Response:
         data = body if isinstance(body, bytes) else wire.encode(body)
@@ -134,7 +134,7 @@
 
     def take_jobs(self) -> None:
         assert self.scheduler is not None
-        self.board = GraphState(self.scheduler)
+        self.graph_state = GraphState(self.scheduler)
         for key, got in list(self.store.keys.items()):
             if key.startswith(records.LIVE):
                 self._put(key, got.data, got.version)
@@ -147,28 +147,28 @@
             record = wire.convert(data, GraphRecord)
             tasks = await read_tasks(self.store, id, record)  # type: ignore[arg-type]
             progress = await read_progress(self.store, id)  # type: ignore[arg-type]
-            assert self.board is not None
-            self.board.add(id, record, Version(stamp), tasks, progress)
+            assert self.graph_state is not None
+            self.graph_state.add(id, record, Version(stamp), tasks, progress)
 
         curio.run(read)
 
     def crash(self) -> None:
         super().crash()
-        self.board = None
+        self.graph_state = None
 
     def _step(self) -> None:
-        working = self.scheduler is not None and not self.frozen and self.store.mode != "down"
-        if working and self.watching and self.board is not None:
+        working = self.scheduler is not None and not self.paused and self.store.mode != "down"
+        if working and self.watching and self.graph_state is not None:
             news = self.store.core.news(records.LIVE, self.seen_graphs)
             self.seen_graphs = self.store.revision
             for change in news:
                 if change.deleted_key is not None and change.deleted_key.startswith(records.LIVE):
-                    self.board.remove(GraphId(change.deleted_key[len(records.LIVE) :]))
+                    self.graph_state.remove(GraphId(change.deleted_key[len(records.LIVE) :]))
                 elif change.put_key in self.store.keys and change.put_key.startswith(records.LIVE):
                     self._put(change.put_key, change.data, change.version)
         super()._step()
-        if working and self.board is not None:
-            for end in self.board.finished():
+        if working and self.graph_state is not None:
+            for end in self.graph_state.finished():
                 try:
                     curio.run(self.store.commit, end.conditions, end.writes)
                 except (
@@ -177,7 +177,7 @@
                     state_client.StateUnavailableError,
                 ):
                     continue
-                self.board.remove(end.id)
+                self.graph_state.remove(end.id)
 
     def clean(self, after_s: float) -> None:
         """The leader's cleaning, so much later."""
--- a/tests/test_troubles.py
+++ b/tests/test_fault_days.py
@@ -1,6 +1,6 @@
 """Pairs and triples of troubles, drawn: whole controllers keep the rules, and know every job.
 
-`python -m pytest tests/test_troubles.py --long-troubles N` draws N days, each time others.
+`python -m pytest tests/test_fault_days.py --long-troubles N` draws N days, each time others.
 """
 
 from __future__ import annotations
@@ -10,7 +10,6 @@
 
 import hypothesis.strategies as st
 import pytest
-from controllers import Controllers, Question
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis.stateful import (
     RuleBasedStateMachine,
@@ -19,7 +18,8 @@
     rule,
     run_state_machine_as_test,
 )
-from test_scenarios import Play
+from simulated_controllers import Question, SimulatedControllers
+from test_scenarios import ScenarioPlayer
 
 from umberward.local.links import LinkFault
 from umberward.protocol.wire import LIVE_JOBS_PREFIX
@@ -104,7 +104,7 @@
     @initialize(limit=limits, speed=speeds, report_s=st.sampled_from((1.0, 0.3)))
     def begins(self, limit: float = 0.0, speed: float = 1.0, report_s: float = 1.0) -> None:
         self.limit = limit
-        self.world = Controllers(3, rent=4, limits={"cpus_max": limit}, report_s=report_s)
+        self.world = SimulatedControllers(3, rent=4, limits={"cpus_max": limit}, report_s=report_s)
         self.open.enter_context(self.world.playing())
         self.world.cloud_core.speed = speed
         for name in NAMES:
@@ -118,7 +118,7 @@
     def _spec(self, tasks: int, runs: float, *more: str) -> dict[str, Any]:
         self.number += 1
         words = (f"shards={tasks}", f"runs={runs}", "cores=1", *more)
-        return Play._spec(None, f"req-{self.number:06}", words)  # type: ignore[arg-type]
+        return ScenarioPlayer._spec(None, f"req-{self.number:06}", words)  # type: ignore[arg-type]
 
     def _submit(
         self, node: str, tasks: int, runs: float, shape: str = "batch", yard: str | None = None
@@ -137,7 +137,7 @@
         """`busy`: the one on which most runs; or all."""
         if which == "m*":
             return which
-        order = sorted(self.world.workers.values(), key=lambda w: (len(w.alive), w.host))
+        order = sorted(self.world.workers.values(), key=lambda w: (len(w.running_tasks), w.host))
         return "m1" if not order else order[-1].host
 
     # ---- users -------------------------------------------------------------------------
@@ -150,7 +150,9 @@
 
     def _cancels(self, who: str) -> None:
         """The first of the jobs that run and that nobody has asked to cancel."""
-        running = sorted({n.split("/")[0] for w in self.world.workers.values() for n in w.alive})
+        running = sorted(
+            {n.split("/")[0] for w in self.world.workers.values() for n in w.running_tasks}
+        )
         for id in [id for id in running if id not in self.world.requested][:1]:
             self.world.cancel(id, self._node(who))
 
@@ -342,7 +344,7 @@
     def _live(self) -> list[str]:
         return [
             key[len(LIVE_JOBS_PREFIX) :]
-            for key in self.world.kept()
+            for key in self.world.stored_keys()
             if key.startswith(LIVE_JOBS_PREFIX)
         ]
 
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -16,10 +16,10 @@
 import pytest
 import tomli_w
 from click.testing import CliRunner
-from graph_world import FINAL, GraphWorld
 from hypothesis import strategies
-from test_scenarios import Play, _pairs, fails_unguarded, guarded, play
-from world import World, raw_settings
+from simulated_cluster import SimulatedCluster, raw_settings
+from simulated_graphs import FINAL, SimulatedGraphCluster
+from test_scenarios import ScenarioPlayer, _pairs, fails_unguarded, guarded, play
 
 from umberward.cli import main as cli
 from umberward.graphs import files, records
@@ -38,9 +38,9 @@
     return made
 
 
-class GraphPlay(Play):
-    make = GraphWorld
-    world: GraphWorld
+class GraphScenarioPlayer(ScenarioPlayer):
+    make = SimulatedGraphCluster
+    cluster: SimulatedGraphCluster
 
     def __init__(self) -> None:
         super().__init__()
@@ -73,27 +73,27 @@
             team=given.get("team", "red"), on_failure=given.get("on_failure", "go_on")
         )
         self.sent[id] = (options, tasks, given.get("parts", 1))
-        self.world.know(id, tasks, float(given.get("runs", 3)))
-        self.last = self.world.send(id, *self.sent[id])
+        self.cluster.know(id, tasks, float(given.get("runs", 3)))
+        self.last = self.cluster.send(id, *self.sent[id])
 
     def do_again(self, id: str) -> None:
-        self.last = self.world.send(id, *self.sent[id])
+        self.last = self.cluster.send(id, *self.sent[id])
 
     def do_part(self, id: str, number: str, *words: str) -> None:
         """Only one part of a graph, which is known as a whole from its first."""
         tasks = _tasks([word for word in words if "=" not in word])
         parts = int(_pairs([word for word in words if "=" in word])["parts"])
         self.sent.setdefault(id, (Options(team="red"), tasks, parts))
-        self.world.know(id, tasks)
-        part = self.world.cut(id, self.sent[id][0], tasks, parts)[int(number)]
-        self.last = self.world.ask("POST", "", part)
+        self.cluster.know(id, tasks)
+        part = self.cluster.cut(id, self.sent[id][0], tasks, parts)[int(number)]
+        self.last = self.cluster.ask("POST", "", part)
 
     def do_at_once(self, id: str, times: str) -> None:
         """The last graph, sent so many times at once to different controllers."""
-        parts = self.world.cut(id, *self.sent[id])
+        parts = self.cluster.cut(id, *self.sent[id])
 
         async def one() -> list[int]:
-            side = self.world.users_side()
+            side = self.cluster.users_side()
             return [(await side.serve("POST", "", "", wire.encode(part))).status for part in parts]
 
         async def all_of_them() -> list[list[int]]:
@@ -112,70 +112,70 @@
             "70-KiB": {**part, "tasks": [{"name": "a", "needs": ["x" * 100] * 1001}]},
             "slashes": {**part, "uid": "graph-1/2"},
         }[words[0]]
-        self.last = self.world.ask("POST", "" if path == "/" else path, body)
+        self.last = self.cluster.ask("POST", "" if path == "/" else path, body)
 
     def do_get(self, path: str) -> None:
-        self.last = self.world.ask("GET", path)
+        self.last = self.cluster.ask("GET", path)
 
     def do_fails(self, id: str, *names: str) -> None:
-        self.world.failing.update((id, name) for name in names)
+        self.cluster.failing.update((id, name) for name in names)
 
     def do_well(self, id: str, *names: str) -> None:
-        self.world.failing.difference_update((id, name) for name in names)
+        self.cluster.failing.difference_update((id, name) for name in names)
 
     def do_cancel_graph(self, id: str) -> None:
-        self.last = self.world.ask("POST", f"/{id}/cancel")
+        self.last = self.cluster.ask("POST", f"/{id}/cancel")
         if self.last.status == 200 and self.see_graph(id) == "cancelled":
-            for array, (graph, _) in self.world.arrays.items():
+            for array, (graph, _) in self.cluster.arrays.items():
                 if graph == id:
-                    self.world.cancelled.setdefault(array, self.world.now)
+                    self.cluster.cancelled.setdefault(array, self.cluster.now)
 
     def do_lead_old(self) -> None:
         """A version that knows no graphs takes over."""
-        self.world.take_blocks()
-        World.take_jobs(self.world)
-        self.world.board = None
+        self.cluster.take_blocks()
+        SimulatedCluster.take_jobs(self.cluster)
+        self.cluster.graph_state = None
 
     def do_tell(self) -> None:
-        self.world.tell_all()
+        self.cluster.tell_all()
 
     def do_clean(self, seconds: str) -> None:
-        self.world.clean(float(seconds))
+        self.cluster.clean(float(seconds))
 
     def do_run(self, seconds: str) -> None:
         for _ in range(max(1, int(float(seconds)))):
             super().do_run(str(min(1.0, float(seconds))))
-            if len(self.world.shapes) and sum(map(len, self.world.shapes.values())) < 200:
-                self.world.tell_all()
+            if len(self.cluster.shapes) and sum(map(len, self.cluster.shapes.values())) < 200:
+                self.cluster.tell_all()
 
     def see_graph(self, id: str) -> str:
-        return str(msgspec.msgpack.decode(self.world.ask("GET", f"/{id}").body)["phase"])
+        return str(msgspec.msgpack.decode(self.cluster.ask("GET", f"/{id}").body)["phase"])
 
     def see_count(self, id: str, what: str) -> int:
-        return int(msgspec.msgpack.decode(self.world.ask("GET", f"/{id}").body)[what])
+        return int(msgspec.msgpack.decode(self.cluster.ask("GET", f"/{id}").body)[what])
 
     def see_task(self, id: str, name: str) -> str:
-        return str(self.world.answers(id)[name]["phase"])
+        return str(self.cluster.answers(id)[name]["phase"])
 
     def see_task_because(self, id: str, name: str) -> str:
-        return str(self.world.answers(id)[name]["because"])
+        return str(self.cluster.answers(id)[name]["because"])
 
     def see_machines_of(self, id: str, name: str) -> int:
-        return len(self.world.answers(id)[name]["machines"])
+        return len(self.cluster.answers(id)[name]["machines"])
 
     def see_tries(self, id: str, name: str) -> int:
-        return self.world.tried.get((id, name), 0)
+        return self.cluster.tried.get((id, name), 0)
 
     def see_statuses(self) -> str:
         return ",".join(map(str, self.statuses))
 
     def see_stored(self) -> int:
         """How many records there are of graphs."""
-        return self.world.stored()
+        return self.cluster.stored()
 
     def see_writes_per_100_tasks_below(self, most: str) -> bool:
-        tasks = sum(len(shape) for shape in self.world.shapes.values())
-        return 100 * self.world.store.written / tasks < float(most)
+        tasks = sum(len(shape) for shape in self.cluster.shapes.values())
+        return 100 * self.cluster.store.written / tasks < float(most)
 
     def see_error(self) -> str:
         return str(msgspec.msgpack.decode(self.last.body)["error"]).replace(" ", "_")
@@ -183,18 +183,18 @@
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
 def test_graph_scenario(path: Path) -> None:
-    play(path, GraphPlay)
+    play(path, GraphScenarioPlayer)
 
 
 @pytest.mark.parametrize("path", guarded(FILES), ids=lambda path: path.stem)
 def test_graph_fails_without_its_guard(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    fails_unguarded(path, monkeypatch, lambda path: play(path, GraphPlay))
+    fails_unguarded(path, monkeypatch, lambda path: play(path, GraphScenarioPlayer))
 
 
 def test_what_is_cancelled_while_graphs_are_read_is_told_as_gone() -> None:
     """In the order in which it happened; else its tasks would start after the cancellation."""
-    game = GraphPlay()
-    world = game.world
+    game = GraphScenarioPlayer()
+    world = game.cluster
     world.takeover()
     game.do_graph("graph-1", "a", "b:a")
     game.do_graph("graph-2", "a")
@@ -207,7 +207,7 @@
             await world.users_side().cancel(GraphId("graph-2"))
 
     async def read() -> None:
-        keeper = GraphController(world.store, world.board, tell, lambda: None, lambda: True)  # type: ignore
+        keeper = GraphController(world.store, world.graph_state, tell, lambda: None, lambda: True)  # type: ignore
         await keeper.load()
         await keeper.follow()
         # Something was missed: what is not there any more is told as gone, once.
@@ -235,12 +235,12 @@
 
 def test_an_end_that_readies_thousands_walks_no_list_for_each() -> None:
     """It took the leader 0.7 s, in which it answered nobody."""
-    game = GraphPlay()
-    game.world.takeover()
+    game = GraphScenarioPlayer()
+    game.cluster.takeover()
     game.do_graph_wide("graph-1", "900")
-    game.world.run(0.2)
-    assert game.world.board is not None
-    (graph,) = game.world.board.graphs.values()
+    game.cluster.run(0.2)
+    assert game.cluster.graph_state is not None
+    (graph,) = game.cluster.graph_state.graphs.values()
     (job,) = graph.jobs
     job.requeued_tasks = Unwalked(job.requeued_tasks)
     job.mark_done(0)
@@ -393,8 +393,8 @@
     parts: int,
 ) -> None:
     """Whatever happens to controllers, machines, messages and the state service meanwhile."""
-    game = GraphPlay()
-    world = game.world
+    game = GraphScenarioPlayer()
+    world = game.cluster
     for number in range(4):
         game.do_machine(f"m{number}", "big" if number else "small", "a" if number % 2 else "b")
     game.do_lead()
@@ -432,8 +432,8 @@
 
 
 def _move(
-    world: GraphWorld,
-    game: GraphPlay,
+    world: SimulatedGraphCluster,
+    game: GraphScenarioPlayer,
     move: str,
     which: int,
     options: Options,
--- a/tests/test_direct_starts.py
+++ b/tests/test_inflight_commands.py
@@ -6,7 +6,7 @@
 
 import hypothesis.strategies as st
 from hypothesis import given
-from test_scenarios import Play
+from test_scenarios import ScenarioPlayer
 
 from umberward.core.types import (
     Attempt,
@@ -108,12 +108,12 @@
 
 
 def test_a_machine_on_which_an_unwanted_start_may_arrive_is_neither_lent_nor_returned() -> None:
-    game = Play()
+    game = ScenarioPlayer()
     game.do_peer("n1", "a")
     game.do_machine("m1", "small", "a")
     game.do_lead()
     game.do_run("3")
-    world, scheduler, provisioner = game.world, game.world.scheduler, game.world.provisioner
+    world, scheduler, provisioner = game.cluster, game.cluster.scheduler, game.cluster.autoscaler
     assert scheduler is not None and provisioner is not None
     machine = scheduler.machines[MachineId("m1")]
     now, later = Instant(world.now), Instant(world.now + 1000.0)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -4,9 +4,9 @@
 
 from typing import Any
 
-import guards
+import mutations
 import pytest
-from test_scenarios import FILES, Failed, Play, play
+from test_scenarios import FILES, Failed, ScenarioPlayer, play
 
 from umberward.core.types import Attempt, Instant, JobId, MachineId, TaskId
 from umberward.scheduling import invariants
@@ -23,15 +23,15 @@
     """A job whose first task runs on m1, and m2, which is empty."""
 
     def __init__(self) -> None:
-        self.game = Play()
+        self.game = ScenarioPlayer()
         for name in ("m1", "m2"):
             self.game.do_machine(name, "small", "a")
         self.game.do_lead()
         self.game.do_run("2")
         self.game.do_submit(JOB, "runs=50", "cores=4")
         self.game.do_run("2")
-        assert self.game.world.scheduler is not None
-        self.scheduler: Scheduler = self.game.world.scheduler
+        assert self.game.cluster.scheduler is not None
+        self.scheduler: Scheduler = self.game.cluster.scheduler
         self.job: Job = self.scheduler.jobs[JOB]
         self.placement = self.job.placements[0]
         self.other = next(
@@ -40,12 +40,12 @@
 
     def second(self) -> Placement:
         """Another attempt of the same task."""
-        now = Instant(self.game.world.now)
+        now = Instant(self.game.cluster.now)
         return Placement(TASK, Attempt(99), self.other.id, self.other.zone, self.job, now)
 
 
 def _hold_twice(scene: Scene) -> None:
-    assert not scene.scheduler.invariants.may_hold(scene.other, scene.job, scene.second())
+    assert not scene.scheduler.invariants.may_place(scene.other, scene.job, scene.second())
 
 
 def _start_beside_a_placement(scene: Scene) -> None:
@@ -112,7 +112,7 @@
 ) -> None:
     """With the machine not settled anew, the invariant alone refuses the second start."""
     monkeypatch.setattr(Invariants, "raises", False)
-    guards.settle_again(monkeypatch)
+    mutations.settle_again(monkeypatch)
     path = next(path for path in FILES if path.stem == "takeover_report_before_jobs")
     with pytest.raises(Failed, match=Invariant.STARTED_ALONE.value):
         play(path)
@@ -122,6 +122,6 @@
     scene = Scene()
     scene.scheduler.add_unplaced_task(scene.other, TASK)
     scene.scheduler.add_unplaced_task(scene.other, TASK)
-    assert scene.scheduler.unplaced_tasks == {TASK: 1}
-    scene.scheduler.remove_machines([MachineId(scene.other.id)], Instant(scene.game.world.now))
-    assert not scene.scheduler.unplaced_tasks
+    assert scene.scheduler.tasks_without_placement == {TASK: 1}
+    scene.scheduler.remove_machines([MachineId(scene.other.id)], Instant(scene.game.cluster.now))
+    assert not scene.scheduler.tasks_without_placement
--- a/tests/test_membership.py
+++ b/tests/test_leader_election.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import curio
-from world import raw_settings
+from simulated_cluster import raw_settings
 
 from umberward.clients import state_client
 from umberward.core.settings import OperatorSettings, validate
--- a/tests/test_odd_requests.py
+++ b/tests/test_odd_requests.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from test_scenarios import Play
+from test_scenarios import ScenarioPlayer
 
 from umberward.protocol import wire
 from umberward.protocol.http import Response
@@ -35,8 +35,8 @@
 }
 
 
-def _game(**limits: float) -> Play:
-    game = Play()
+def _game(**limits: float) -> ScenarioPlayer:
+    game = ScenarioPlayer()
     if limits:
         game.do_team(*(f"{name}={value}" for name, value in limits.items()))
     game.do_machine("m1", "small", "a")
@@ -46,14 +46,14 @@
 
 
 def _spec(**more: Any) -> dict[str, Any]:
-    return {**Play._spec(None, ID, ()), **more}  # type: ignore[arg-type]
+    return {**ScenarioPlayer._spec(None, ID, ()), **more}  # type: ignore[arg-type]
 
 
-def _sent(game: Play, spec: dict[str, Any]) -> Response:
-    kept = dict(game.world.store.keys)
-    response = game.world.submit(wire.encode(spec))
+def _sent(game: ScenarioPlayer, spec: dict[str, Any]) -> Response:
+    kept = dict(game.cluster.store.keys)
+    response = game.cluster.submit(wire.encode(spec))
     if response.status not in (200, 201):
-        assert game.world.store.keys == kept
+        assert game.cluster.store.keys == kept
     return response
 
 
@@ -106,13 +106,13 @@
 def test_a_job_that_can_never_run(more: dict[str, Any]) -> None:
     spec = _spec(**more)
     game = _game(cpus_max=8)
-    assert _sent(game, spec).status == 422 and game.world.unfit(spec)
+    assert _sent(game, spec).status == 422 and game.cluster.unfit(spec)
 
 
 def test_an_array_larger_than_its_teams_limit_runs_bit_by_bit() -> None:
     spec = _spec(shards=50)
     game = _game(cpus_max=8)
-    assert game.world.submit(spec).status == 201 and not game.world.unfit(spec)
+    assert game.cluster.submit(spec).status == 201 and not game.cluster.unfit(spec)
 
 
 @pytest.mark.parametrize("state", ["waiting", "running", "done", "cancelled"])
@@ -123,14 +123,14 @@
     game.do_run("2" if state != "done" else "8")
     if state == "cancelled":
         game.do_cancel(ID)
-    kept = dict(game.world.store.keys)
+    kept = dict(game.cluster.store.keys)
     phase = {"waiting": "pending"}.get(state, state)
     bodies = [_spec(**{name: value}) for name, value in WRONG.items() if name != "uid"]
     bodies += [_spec(owner="nobody"), _spec(cores=1e6), _spec(shards=3), _spec(cores=math.nan)]
     for body in [*bodies, {"uid": ID}]:
-        response = game.world.submit(wire.encode(body))
+        response = game.cluster.submit(wire.encode(body))
         assert response.status == 200 and _phase(response) == phase
-    assert game.world.store.keys == kept
+    assert game.cluster.store.keys == kept
 
 
 def test_a_cancellation_of_what_is_done_or_of_nothing() -> None:
@@ -138,9 +138,9 @@
     game.do_submit(ID, "runs=2")
     game.do_run("8")
     for _ in range(2):
-        response = game.world.cancel(ID)
+        response = game.cluster.cancel(ID)
         assert response.status == 200 and _phase(response) == "done"
-    kept = dict(game.world.store.keys)
-    assert game.world.cancel("req-000777").status == 404
-    assert game.world.poll("req-000777").status == 404
-    assert game.world.store.keys == kept and not game.world.broken
+    kept = dict(game.cluster.store.keys)
+    assert game.cluster.cancel("req-000777").status == 404
+    assert game.cluster.poll("req-000777").status == 404
+    assert game.cluster.store.keys == kept and not game.cluster.broken
--- a/tests/test_peers.py
+++ b/tests/test_peer_link.py
@@ -10,7 +10,7 @@
 import curio
 import msgspec
 import pytest
-from world import FakeState, raw_settings
+from simulated_cluster import SimulatedStore, raw_settings
 
 from umberward.control import cancellation_announcer
 from umberward.control.controller import Controller
@@ -122,7 +122,7 @@
         lost.append(1)
 
     settings = validate(raw_settings(), OperatorSettings())
-    store = FakeState()
+    store = SimulatedStore()
     store.set_role = lambda leading: None  # type: ignore[attr-defined]
     made = LeaderElection(settings, store, random.Random(1), _nothing, note)  # type: ignore[arg-type]
     made.fencing_token = FencingToken(20)
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from test_scenarios import Play
+from test_scenarios import ScenarioPlayer
 
 from umberward.core.types import NO_RESOURCES, Instant, MachineId, TeamName
 from umberward.scheduling import job_records
@@ -12,13 +12,13 @@
 
 def _gang_not_sent() -> Scheduler:
     """A gang of three whose mark is not committed yet stands on one machine."""
-    game = Play()
+    game = ScenarioPlayer()
     game.do_team("cpus_max=8")
     game.do_machine("m1", "small", "a")
     game.do_lead()
     game.do_run("2")
     game.do_submit("req-000001", "shards=3", "shape=ensemble", "cores=1", "runs=50")
-    world, scheduler = game.world, game.world.scheduler
+    world, scheduler = game.cluster, game.cluster.scheduler
     assert scheduler is not None
     job_records.apply_changes(scheduler, world.store.core.news("", world.seen_revision))
     scheduler.run_pass(Instant(world.now))
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from controllers import Controllers
-from test_scenarios import Play
+from simulated_controllers import SimulatedControllers
+from test_scenarios import ScenarioPlayer
 
 from umberward.leader import leader_election
 
@@ -12,7 +12,7 @@
 def _ends_again_and_again() -> tuple[int, float, int]:
     """The leader ends every 0.4 s for 4 s and is back after 0.05 s: how often it led in that time,
     the longest time without another leader, and the requests a second."""
-    game = Controllers()
+    game = SimulatedControllers()
     with game.playing():
         game.start("k0")
         game.run(2.0)
@@ -51,7 +51,7 @@
 
 
 def test_alone_it_leads_again() -> None:
-    game = Controllers()
+    game = SimulatedControllers()
     with game.playing():
         game.start("k0")
         game.run(2.0)
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("phase", PHASES)
 def test_a_leader_that_ends_in_any_phase_is_replaced_at_once(phase: str, after_s: float) -> None:
     """Three times in a row: no task runs twice, none is lost, and what ran goes on."""
-    game = Play()
+    game = ScenarioPlayer()
     for number in range(1, 5):
         game.do_machine(f"m{number}", "small", "a")
     game.do_lead()
@@ -104,8 +104,8 @@
     game.do_watch("on")
     game.do_lead()
     game.do_run("70")
-    assert not game.world.broken
+    assert not game.cluster.broken
     for id in ("req-000001", "req-000010", "req-000011", "req-000012"):
         game.do_poll(id)
         assert game.see_phase() == "done"
-    assert all(game.world.starts[f"req-000001/{n}"] == 1 for n in range(4))
+    assert all(game.cluster.starts[f"req-000001/{n}"] == 1 for n in range(4))
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -21,8 +21,8 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from guards import GUARDS
-from world import Worker, World, raw_settings
+from mutations import MUTATIONS
+from simulated_cluster import SimulatedCluster, Worker, raw_settings
 
 from umberward.cli import main as cli
 from umberward.clients.state_client import StateClient
@@ -69,15 +69,15 @@
     return {name: _value(value) for name, _, value in (word.partition("=") for word in words)}
 
 
-class Play:
-    make: Callable[..., World] = World
+class ScenarioPlayer:
+    make: Callable[..., SimulatedCluster] = SimulatedCluster
 
     def __init__(self) -> None:
-        self.world = self.make()
+        self.cluster = self.make()
         self.last: Any = None
         self.answers = 0
         self.defaults: dict[str, Any] = {}
-        self.said: dict[str, deque[tuple[float, bytes]]] = {}
+        self.sent_heartbeats: dict[str, deque[tuple[float, bytes]]] = {}
 
     def line(self, text: str) -> None:
         verb, *words = text.split()
@@ -91,50 +91,50 @@
 
     def do_team(self, *words: str) -> None:
         amounts = {name: float(value) for name, value in _pairs(list(words)).items()}
-        self.world = self.make(raw_settings(**amounts))
+        self.cluster = self.make(raw_settings(**amounts))
 
     def do_silence(self, seconds: str) -> None:
         """The operators' `silence.seconds`; to be said before anything else."""
-        self.world = self.make(None, OperatorSettings(silence_seconds=float(seconds)))
+        self.cluster = self.make(None, OperatorSettings(silence_seconds=float(seconds)))
 
     def do_peer(self, label: str, zone: str) -> None:
         """Another controller; to be said before anything else."""
         raw = raw_settings()
         raw["peers"] = [{"label": label, "site": zone, "addr": "127.0.0.1:5"}]
-        self.world = self.make(raw)
+        self.cluster = self.make(raw)
 
     def do_zone(self, name: str, what: str) -> None:
-        self.world.cut_zone(name, what == "cut")
+        self.cluster.cut_zone(name, what == "cut")
 
     def do_limits(self, *words: str) -> None:
         """The state service's limits that will be in force some day."""
         raw = raw_settings()
         raw["cluster"]["state"]["next"] = _pairs(list(words))
-        self.world = self.make(raw)
+        self.cluster = self.make(raw)
 
     def do_lower(self, *words: str) -> None:
         """From now on the state service has lower limits."""
         for name, value in _pairs(list(words)).items():
-            setattr(self.world.store.core, name, value)
+            setattr(self.cluster.store.core, name, value)
 
     def do_stored(self, fixture: str) -> None:
         """Records as the production version has written them."""
         text = (Path(__file__).parent / "records" / f"{fixture}.json").read_text()
         for path, data in msgspec.json.decode(text).items():
             # They may be larger than what may be written by now.
-            self.world.store.keep(path, data)
+            self.cluster.store.keep(path, data)
             if path.startswith(JOBS_PREFIX):
-                self.world.stood_there.add(path.rpartition("/")[2])
+                self.cluster.stood_there.add(path.rpartition("/")[2])
             if path.startswith("jobs/live/"):
-                self.world.accepted_before(data)
+                self.cluster.accepted_before(data)
             elif path.startswith("blocks/"):
                 for name, (_, flavor, zone, *_) in data["hosts"].items():
                     self.do_machine(name, flavor, zone)
 
     def do_remove(self, name: str) -> None:
         """The cloud has taken the machine."""
-        self.said[name] = self.world.workers[name].said
-        self.world.delete(name)
+        self.sent_heartbeats[name] = self.cluster.workers[name].sent_heartbeats
+        self.cluster.delete(name)
 
     def do_lowered_rate(self, now: str, later: str) -> None:
         """The state service refuses a transaction for its rate, once."""
@@ -151,55 +151,55 @@
         self.answers = int(store.limits.write_rps)
 
     def do_machine(self, name: str, flavor: str, zone: str, *kind: str) -> None:
-        self.world.workers[name] = Worker(self.world, name, flavor, zone, "spot" in kind)
+        self.cluster.workers[name] = Worker(self.cluster, name, flavor, zone, "spot" in kind)
 
     def do_machines(self, count: str, flavor: str, zone: str) -> None:
         for number in range(1, int(count) + 1):
             self.do_machine(f"m{number}", flavor, zone)
 
     def do_lead(self) -> None:
-        self.world.takeover()
+        self.cluster.takeover()
 
     def do_succeed(self) -> None:
-        self.world.succeed()
+        self.cluster.succeed()
 
     def do_restart(self) -> None:
-        self.world.restart()
+        self.cluster.restart()
 
     def do_read_blocks(self) -> None:
-        self.world.watching = False
-        self.world.take_blocks()
+        self.cluster.watching = False
+        self.cluster.take_blocks()
 
     def do_read_jobs(self) -> None:
-        self.world.take_jobs()
-        self.world.watching = True
+        self.cluster.take_jobs()
+        self.cluster.watching = True
 
     def do_aim(self, kind: str, job_class: str, within_s: str) -> None:
         """What operators aim at; the leader of now knows it."""
-        assert kind == "wait" and self.world.scheduler is not None
-        self.world.scheduler.class_aims[job_class] = (float(within_s), None)
+        assert kind == "wait" and self.cluster.scheduler is not None
+        self.cluster.scheduler.class_aims[job_class] = (float(within_s), None)
 
     def do_watch(self, mode: str) -> None:
         """Whether the leader hears of changes in the state service."""
-        self.world.watching = mode == "on"
+        self.cluster.watching = mode == "on"
 
     def do_crash(self) -> None:
-        self.world.crash()
+        self.cluster.crash()
 
     def do_run(self, seconds: str) -> None:
-        self.world.run(float(seconds))
+        self.cluster.run(float(seconds))
 
     def do_freeze(self, seconds: str) -> None:
         """The leader stands still for so long while its clock runs on."""
-        self.world.frozen = True
-        self.world.run(float(seconds))
-        self.world.frozen = False
+        self.cluster.paused = True
+        self.cluster.run(float(seconds))
+        self.cluster.paused = False
 
     def do_mend(self, id: str) -> None:
-        self.world.specs[id]["_mistaken"] = False
+        self.cluster.specs[id]["_mistaken"] = False
 
     def do_set(self, name: str, flag: str) -> None:
-        worker = self.world.workers[name]
+        worker = self.cluster.workers[name]
         clear = flag.startswith("not-")
         flag = flag.removeprefix("not-")
         if flag not in (
@@ -224,27 +224,37 @@
 
     def do_copy(self, name: str, age: str) -> None:
         """A late copy of the machine's report arrives, also when the machine is gone."""
-        self.said.update({name: worker.said for name, worker in self.world.workers.items()})
-        self.world.copy(self.said[name], float(age))
+        self.sent_heartbeats.update(
+            {name: worker.sent_heartbeats for name, worker in self.cluster.workers.items()}
+        )
+        self.cluster.copy(self.sent_heartbeats[name], float(age))
 
     def do_copies(self, name: str, age: str, every: str, seconds: str) -> None:
         """Copies of the same report come again and again."""
-        self.said.update({name: worker.said for name, worker in self.world.workers.items()})
-        said = deque([item for item in self.said[name] if self.world.now - item[0] >= float(age)])
+        self.sent_heartbeats.update(
+            {name: worker.sent_heartbeats for name, worker in self.cluster.workers.items()}
+        )
+        said = deque(
+            [
+                item
+                for item in self.sent_heartbeats[name]
+                if self.cluster.now - item[0] >= float(age)
+            ]
+        )
         for _ in range(round(float(seconds) / float(every))):
-            self.world.copy(said, 0.0)
-            self.world.run(float(every))
+            self.cluster.copy(said, 0.0)
+            self.cluster.run(float(every))
 
     def do_forget_deleted(self) -> None:
         """So many machines were deleted since that these are forgotten."""
-        assert self.world.scheduler is not None
-        self.world.scheduler.deleted_machines.clear()
+        assert self.cluster.scheduler is not None
+        self.cluster.scheduler.deleted_machines.clear()
 
     def do_lose_job(self, id: str) -> None:
         """The leader's memory has lost it."""
-        assert self.world.scheduler is not None
-        self.world.scheduler.jobs.pop(JobId(id))
-        self.world.scheduler.unplaced.pop(JobId(id), None)
+        assert self.cluster.scheduler is not None
+        self.cluster.scheduler.jobs.pop(JobId(id))
+        self.cluster.scheduler.jobs_to_place.pop(JobId(id), None)
 
     def do_lose_tasks(self, id: str) -> None:
         """The leader's books have lost the tasks that wait."""
@@ -261,27 +271,27 @@
 
     def do_garble(self, id: str) -> None:
         """Its live record cannot be read any more."""
-        self.world.store.apply([], [transactions.put(Key(LIVE_JOBS_PREFIX + id), {"spec": 7})])
+        self.cluster.store.apply([], [transactions.put(Key(LIVE_JOBS_PREFIX + id), {"spec": 7})])
 
     def do_copy_lacks(self, id: str) -> None:
         """The controller's copy of the states has lost the job, long after all were listed."""
-        self.world.mirror.live.pop(JobId(id), None)
-        self.world.mirror.listed_at -= 100.0
+        self.cluster.job_states.live.pop(JobId(id), None)
+        self.cluster.job_states.listed_at -= 100.0
 
     def do_notice(self, name: str, seconds: str) -> None:
-        self.world.workers[name].notice_at = self.world.now + float(seconds)
+        self.cluster.workers[name].notice_at = self.cluster.now + float(seconds)
 
     def do_release(self, name: str) -> None:
-        self.world.release(name)
+        self.cluster.release(name)
 
     def do_state(self, mode: str) -> None:
-        self.world.store.mode = mode
+        self.cluster.store.mode = mode
 
     def do_late(self) -> None:
-        self.world.store.deliver_late()
+        self.cluster.store.deliver_late()
 
     def do_cloud(self, mode: str) -> None:
-        self.world.cloud_up = mode == "up"
+        self.cluster.cloud_up = mode == "up"
 
     # ---- sockets -----------------------------------------------------------------------
 
@@ -360,14 +370,15 @@
     @contextlib.contextmanager
     def _serving(self) -> Iterator[str]:
         """A controller's address for users, with the world's state service behind it."""
-        node = Controller(self.world.settings)
-        node.router.job_api = self.world.users
+        node = Controller(self.cluster.settings)
+        node.router.job_api = self.cluster.job_api
         over = threading.Event()
 
         async def serve() -> None:
             server = Server(Address("127.0.0.1", 29391), node.router.serve, 8)
             running = [
-                await curio.spawn(part, daemon=True) for part in (server.run, self.world.mirror.run)
+                await curio.spawn(part, daemon=True)
+                for part in (server.run, self.cluster.job_states.run)
             ]
             while not over.is_set():
                 await curio.sleep(0.02)
@@ -453,7 +464,7 @@
             self.do_submit(f"req-{number:06d}", *words)
 
     def do_submit(self, id: str, *words: str) -> None:
-        self.last = self.world.submit(self._spec(id, words))
+        self.last = self.cluster.submit(self._spec(id, words))
 
     def do_submit_chain(self, first: str, last: str, after: str) -> None:
         for number in range(int(first), int(last) + 1):
@@ -466,30 +477,30 @@
 
     def do_meanwhile_cancel(self, id: str) -> None:
         """Another controller cancels it between the next reading and what is made of it."""
-        self.world.cancel_after_reading(id, 0.0)
+        self.cluster.cancel_after_reading(id, 0.0)
 
     def do_poll_elsewhere(self, id: str) -> None:
-        self.last = self.world.poll_elsewhere(id)
+        self.last = self.cluster.poll_elsewhere(id)
 
     def do_poll_elsewhere_at_once(self, id: str, times: str) -> None:
         """Several users ask a controller that was started just now; how many get the answer."""
-        responses = self.world.poll_elsewhere_at_once(id, int(times))
+        responses = self.cluster.poll_elsewhere_at_once(id, int(times))
         self.answers = sum(response.status == 200 for response in responses)
 
     def do_late_cancel(self, id: str) -> None:
-        self.world.cancel_elsewhere(id)
+        self.cluster.cancel_elsewhere(id)
 
     def do_raw(self, text: str) -> None:
-        self.last = self.world.submit(bytes.fromhex(text))
+        self.last = self.cluster.submit(bytes.fromhex(text))
 
     def do_poll(self, id: str) -> None:
-        self.last = self.world.poll(id)
+        self.last = self.cluster.poll(id)
 
     def do_poll_across_cancel(self, id: str, seconds: str) -> None:
-        self.last = self.world.poll_across_cancel(id, float(seconds))
+        self.last = self.cluster.poll_across_cancel(id, float(seconds))
 
     def do_cancel(self, id: str) -> None:
-        self.last = self.world.cancel(id)
+        self.last = self.cluster.cancel(id)
 
     # ---- expectations ------------------------------------------------------------------
 
@@ -509,35 +520,35 @@
 
     def see_live(self) -> int:
         """How many jobs have a live record."""
-        return sum(1 for key in self.world.store.keys if key.startswith(LIVE_JOBS_PREFIX))
+        return sum(1 for key in self.cluster.store.keys if key.startswith(LIVE_JOBS_PREFIX))
 
     def see_queued(self) -> int:
         """How many jobs are looked at for room."""
-        assert self.world.scheduler is not None
-        return len(self.world.scheduler.jobs_in_service_order(Instant(self.world.now)))
+        assert self.cluster.scheduler is not None
+        return len(self.cluster.scheduler.jobs_in_service_order(Instant(self.cluster.now)))
 
     def see_refused_writes(self) -> int:
-        return len(self.world.store.refused)
+        return len(self.cluster.store.refused)
 
     def see_rank(self, id: str) -> int:
         return self._job(id).priority
 
     def see_start_by_after_ready(self, id: str) -> int:
-        assert self.world.scheduler is not None
-        return round(self.world.scheduler.start_by(self._job(id)) - self._job(id).ready_at)
+        assert self.cluster.scheduler is not None
+        return round(self.cluster.scheduler.start_by(self._job(id)) - self._job(id).ready_at)
 
     def see_waited_before_ready(self, id: str) -> int:
         return round(self._job(id).ready_at - self._job(id).submitted_at)
 
     def _job(self, id: str) -> Job:
-        assert self.world.scheduler is not None
-        return self.world.scheduler.jobs[JobId(id)]
+        assert self.cluster.scheduler is not None
+        return self.cluster.scheduler.jobs[JobId(id)]
 
     def see_strange_fields(self) -> str:
         """What the production version would not know in the records of jobs."""
         known = {"spec", "at", "marked", "base", "done", "phase"} | set(PRODUCTION_SPEC)
         found = set()
-        for key, got in self.world.store.keys.items():
+        for key, got in self.cluster.store.keys.items():
             if key.startswith(JOBS_PREFIX):
                 found |= (set(got.data) | set(got.data.get("spec", ()))) - known
         return ",".join(sorted(found)) or "none"
@@ -551,21 +562,21 @@
         return self.last.retry_after is not None
 
     def see_running(self, id: str) -> int:
-        return len(self.world.running(id))
+        return len(self.cluster.running(id))
 
     def see_where(self, id: str) -> str:
-        return ",".join(sorted(host for _, host in self.world.running(id)))
+        return ",".join(sorted(host for _, host in self.cluster.running(id)))
 
     def see_listed(self, name: str) -> int:
         """How many tasks its reports list, those that have exited included."""
-        return len(self.world.workers[name].tasks)
+        return len(self.cluster.workers[name].tasks)
 
     def see_token_raises(self) -> int:
-        assert self.world.scheduler is not None
-        return self.world.scheduler.token_rotation.count
+        assert self.cluster.scheduler is not None
+        return self.cluster.scheduler.token_rotation.count
 
     def see_starts(self, task: str) -> int:
-        return self.world.starts.get(task, 0)
+        return self.cluster.starts.get(task, 0)
 
     def see_at_most(self, what: str, *words: str) -> bool:
         """Whether what something cost is within the bound given last."""
@@ -573,7 +584,7 @@
         return int(getattr(self, f"cost_{what}")(*words_)) <= int(bound)
 
     def cost_polls(self, id: str, times: str) -> int:
-        return self.world.poll_at_once(id, int(times))
+        return self.cluster.poll_at_once(id, int(times))
 
     def cost_reading(self, seconds: str) -> int:
         return self._counted("heartbeats_decoded", seconds)
@@ -587,10 +598,10 @@
 
     def cost_polls_one_by_one(self, id: str, times: str, gap_s: str) -> int:
         """Requests to the state service for polls one after the other, in each 0.15 s."""
-        began, before = time.monotonic(), self.world.store.requests
-        self.world.polls_one_by_one(id, int(times), float(gap_s))
+        began, before = time.monotonic(), self.cluster.store.requests
+        self.cluster.polls_one_by_one(id, int(times), float(gap_s))
         spans = 1 + (time.monotonic() - began) / 0.15
-        return round((self.world.store.requests - before) / spans)
+        return round((self.cluster.store.requests - before) / spans)
 
     def cost_looking(self, seconds: str) -> int:
         """Machines that are looked at for work that may be stopped."""
@@ -598,90 +609,90 @@
 
     def cost_renting(self) -> int:
         """How often a machine's room is compared with what waits, to find what to rent."""
-        assert self.world.provisioner is not None
-        self.world.provisioner.comparisons = 0
-        self.world.provisioner.scale_out_requests(Instant(self.world.now))
-        return self.world.provisioner.comparisons
+        assert self.cluster.autoscaler is not None
+        self.cluster.autoscaler.comparisons = 0
+        self.cluster.autoscaler.scale_out_requests(Instant(self.cluster.now))
+        return self.cluster.autoscaler.comparisons
 
     def cost_probing(self, seconds: str) -> int:
-        before = self.world.probes
-        self.world.run(float(seconds))
-        return self.world.probes - before
+        before = self.cluster.probes
+        self.cluster.run(float(seconds))
+        return self.cluster.probes - before
 
     def cost_lookups(self, id: str, times: str) -> int:
         """Requests to the state service for as many polls, one after the other."""
-        before = self.world.store.requests
+        before = self.cluster.store.requests
         for _ in range(int(times)):
-            assert self.world.poll(id).status == 404
-        return self.world.store.requests - before
+            assert self.cluster.poll(id).status == 404
+        return self.cluster.store.requests - before
 
     def cost_requests_of_waiting(self, id: str, count: str, first: str) -> int:
-        before = self.world.store.requests
+        before = self.cluster.store.requests
         self.do_submit_waiting_for_many(id, count, first)
         assert self.last.status == 201
-        return self.world.store.requests - before
+        return self.cluster.store.requests - before
 
     def cost_starting(self, id: str, seconds: str) -> int:
         """How often tasks of the job are started in so many seconds."""
 
         def count() -> int:
-            return sum(n for task, n in self.world.starts.items() if task.startswith(id + "/"))
+            return sum(n for task, n in self.cluster.starts.items() if task.startswith(id + "/"))
 
         before = count()
-        self.world.run(float(seconds))
+        self.cluster.run(float(seconds))
         return count() - before
 
     def _counted(self, name: str, seconds: str) -> int:
-        scheduler = self.world.scheduler
+        scheduler = self.cluster.scheduler
         before = getattr(scheduler, name)
-        self.world.run(float(seconds))
+        self.cluster.run(float(seconds))
         return int(getattr(scheduler, name)) - before
 
     def see_machines(self) -> int:
-        return len(self.world.workers)
+        return len(self.cluster.workers)
 
     def see_returning(self) -> int:
         """How many machines would be returned now."""
-        assert self.world.provisioner is not None
-        return len(self.world.provisioner.machines_to_return(Instant(self.world.now)))
+        assert self.cluster.autoscaler is not None
+        return len(self.cluster.autoscaler.machines_to_return(Instant(self.cluster.now)))
 
     def see_renting(self, flavor: str) -> int:
         """How many machines of the type would be rented now."""
-        assert self.world.provisioner is not None
-        rentals = self.world.provisioner.scale_out_requests(Instant(self.world.now))
+        assert self.cluster.autoscaler is not None
+        rentals = self.cluster.autoscaler.scale_out_requests(Instant(self.cluster.now))
         return sum(rental.machine_count for rental in rentals if rental.offer.type == flavor)
 
     def see_cut_off(self) -> bool:
-        assert self.world.scheduler is not None
-        return self.world.scheduler.is_isolated(Instant(self.world.now))
+        assert self.cluster.scheduler is not None
+        return self.cluster.scheduler.is_isolated(Instant(self.cluster.now))
 
     def see_unheard(self) -> bool:
-        assert self.world.scheduler is not None
-        return self.world.scheduler.heard_no_machine(Instant(self.world.now))
+        assert self.cluster.scheduler is not None
+        return self.cluster.scheduler.heard_no_machine(Instant(self.cluster.now))
 
     def see_deaf(self, name: str) -> bool:
-        assert self.world.scheduler is not None
-        return self.world.scheduler.machines[MachineId(name)].unreachable
+        assert self.cluster.scheduler is not None
+        return self.cluster.scheduler.machines[MachineId(name)].unreachable
 
     def see_usable(self) -> int:
         """How many machines may be given work."""
-        assert self.world.scheduler is not None
-        return len(self.world.scheduler.schedulable_room()[0])
+        assert self.cluster.scheduler is not None
+        return len(self.cluster.scheduler.schedulable_room()[0])
 
     def see_known(self) -> int:
         """How many machines the leader knows of."""
-        assert self.world.scheduler is not None
-        return len(self.world.scheduler.machines)
+        assert self.cluster.scheduler is not None
+        return len(self.cluster.scheduler.machines)
 
     def see_began_within(self, id: str, seconds: str) -> bool:
-        return self.world.began.get(id, math.inf) <= float(seconds)
+        return self.cluster.began.get(id, math.inf) <= float(seconds)
 
     def see_sick(self, name: str) -> bool:
-        assert self.world.scheduler is not None
-        return self.world.scheduler.machines[name].quarantined  # type: ignore[index]
+        assert self.cluster.scheduler is not None
+        return self.cluster.scheduler.machines[name].quarantined  # type: ignore[index]
 
 
-def play(path: Path, kind: type[Play] = Play) -> None:
+def play(path: Path, kind: type[ScenarioPlayer] = ScenarioPlayer) -> None:
     game = kind()
     for number, line in enumerate(path.read_text().splitlines(), 1):
         text = line.partition("#")[0].strip()
@@ -691,8 +702,8 @@
             game.line(text)
         except Failed as error:
             raise Failed(f"{path.name}:{number}: {error}") from None
-    if game.world.broken:
-        raise Failed(f"{path.name}: {game.world.broken[0]}")
+    if game.cluster.broken:
+        raise Failed(f"{path.name}: {game.cluster.broken[0]}")
 
 
 def _guard(path: Path) -> str | None:
@@ -711,7 +722,7 @@
     """With the guard that the file names taken out of the code, it must fail."""
     name = _guard(path)
     assert name is not None
-    GUARDS[name](patch)
+    MUTATIONS[name](patch)
     with pytest.raises((Failed, InvariantViolationError)):
         play(path)
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -6,8 +6,8 @@
 
 import curio
 import pytest
-from test_scenarios import Play
-from world import SKUS, raw_settings
+from simulated_cluster import MACHINE_TYPES, raw_settings
+from test_scenarios import ScenarioPlayer
 
 from umberward.control.controller import Controller
 from umberward.control.peer_contacts import PeerContact
@@ -57,7 +57,7 @@
         {"label": f"k{n}", "site": "a", "addr": f"127.0.0.1:{29380 + n}"} for n in range(peers)
     ]
     node = Controller(validate(raw, OperatorSettings()))
-    node.machine_types.update(SKUS)
+    node.machine_types.update(MACHINE_TYPES)
     return node
 
 
@@ -101,19 +101,19 @@
 
 def _cost_of_tasks(shards: int) -> tuple[int, int]:
     """Writes, and jobs that were looked at, while 60 tasks of a job start and end."""
-    game = Play()
+    game = ScenarioPlayer()
     for number in range(4):
         game.do_machine(f"m{number}", "small", "a")
     game.do_lead()
     game.do_run("2")
     game.do_submit("req-000001", f"shards={shards}", "cores=1", "runs=5", "expect_s=5")
     game.do_run("3")
-    scheduler = game.world.scheduler
+    scheduler = game.cluster.scheduler
     assert scheduler is not None
-    writes, looks = game.world.store.written, scheduler.jobs_examined
+    writes, looks = game.cluster.store.written, scheduler.jobs_examined
     game.do_run("20")
-    assert sum(game.world.starts.values()) >= 60
-    return game.world.store.written - writes, scheduler.jobs_examined - looks
+    assert sum(game.cluster.starts.values()) >= 60
+    return game.cluster.store.written - writes, scheduler.jobs_examined - looks
 
 
 def test_a_start_and_an_end_cost_the_same_in_a_job_of_any_size() -> None:
@@ -127,16 +127,16 @@
 def test_a_machine_with_the_address_of_one_that_is_gone() -> None:
     """It carries out what was meant for the other: the task counts there, and is not started again
     when the other is deleted."""
-    game = Play()
+    game = ScenarioPlayer()
     game.do_machine("m1", "small", "a")
     game.do_lead()
     game.do_run("2")
     game.do_set("m1", "holding")
     game.do_submit("req-000001", "runs=30")
     game.do_run("0.3")
-    world, scheduler = game.world, game.world.scheduler
+    world, scheduler = game.cluster, game.cluster.scheduler
     assert scheduler is not None
-    command = world.workers["m1"].held.pop().command  # its answer comes below
+    command = world.workers["m1"].held_commands.pop().command  # its answer comes below
     game.do_set("m1", "dead")
     game.do_machine("m2", "small", "a")
     game.do_run("2")
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -5,7 +5,7 @@
 
 import hypothesis.strategies as st
 from hypothesis import example, given, settings
-from test_scenarios import Play
+from test_scenarios import ScenarioPlayer
 
 TROUBLES = ("mute", "deaf", "slow", "cut", "holding", "astray", "oneway")
 WORKERS = ("m1", "m2", "m3")
@@ -43,7 +43,7 @@
 @example(OVERTAKEN)
 @example(FORMER)
 def test_no_living_session_is_taken_for_over(day: list[tuple[tuple[str, str, str], float]]) -> None:
-    game = Play()
+    game = ScenarioPlayer()
     for name in WORKERS:
         game.do_machine(name, "small", "a")
     game.do_lead()
@@ -69,16 +69,16 @@
                 game.do_release(worker)
         game.do_run(str(pause))
     game.do_run("15")
-    assert not game.world.broken
+    assert not game.cluster.broken
     # Whatever befell them, all that were accepted are known, and run once the links are whole.
     for name in WORKERS:
         for trouble in TROUBLES:
             game.do_set(name, f"not-{trouble}")
         game.do_release(name)
     game.do_run("40")
-    assert not game.world.broken
+    assert not game.cluster.broken
     for number in range(1, jobs + 1):
         game.do_poll(f"req-{number:06}")
         assert game.see_status() == 200
-    placed = sum(len(job.placements) for job in game.world.scheduler.jobs.values())
+    placed = sum(len(job.placements) for job in game.cluster.scheduler.jobs.values())
     assert placed == min(6, 2 + 2 * jobs)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -9,7 +9,7 @@
 
 from umberward.core.types import Address
 from umberward.protocol import http
-from umberward.protocol.http import Client, Request, Response, Server, Sockets
+from umberward.protocol.http import Client, Request, Response, Server, SocketBudget
 
 HERE = Address("127.0.0.1", 29440)
 MACHINES = 1000
@@ -19,7 +19,7 @@
 
 class Played:
     def __init__(self) -> None:
-        self.sockets = Sockets(SHARED, OF_CLIENT)
+        self.sockets = SocketBudget(SHARED, OF_CLIENT)
         self.client = Client(self.sockets)
         self.server = Server(HERE, self.serve, self.sockets, self.client)
         self.most = 0
@@ -27,7 +27,7 @@
     async def serve(self, request: Request) -> Response:
         if request.path == "/hello":
             assert request.origin is not None
-            await self.server.name(request.origin, request.query)
+            await self.server.name_connection(request.origin, request.query)
         self.most = max(self.most, SHARED - self.sockets.left)
         return Response(200)
 
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -4,7 +4,7 @@
 
 import curio
 import pytest
-from controllers import Controllers
+from simulated_controllers import SimulatedControllers
 
 from umberward.core.tasks import TaskScope
 from umberward.local.links import HELD, LinkFault
@@ -98,7 +98,7 @@
 
 def test_no_message_outlives_the_controllers() -> None:
     """A worker's report is due while the kernel shuts down, and its link holds messages."""
-    world = Controllers(size=1)
+    world = SimulatedControllers(size=1)
 
     async def slow_to_end() -> None:
         try:
--- a/tests/traffic_recorder.py
+++ b/tests/traffic_recorder.py
@@ -1,6 +1,6 @@
 """Digests of what goes over the wire and into the state service while a scenario is played.
 
-The stand-ins of the tests (`world.py`, `network.py`) call `note` with every message that passes
+The stand-ins of the tests (`simulated_cluster.py`, `network.py`) call `note` with every message
 them, as bytes. A digest covers all messages of a run in their order, so two versions of the code
 that have the same digests have said the same to users, workers, the cloud, the state service and
 each other. Nothing here may depend on the names of classes, fields or modules of the code.
--- a/tests/traffic_runs.py
+++ b/tests/traffic_runs.py
@@ -23,12 +23,12 @@
 from curio import TaskGroup
 from curio.sched import SchedBarrier
 from network import Clock, Jumping
+from test_fault_combinations import FILES as MEETING_FILES
+from test_fault_combinations import play_meeting
+from test_fault_days import EVENTS, HANGS, KEPT, PROCESSES, TROUBLES, Day
 from test_graphs import FILES as GRAPH_FILES
-from test_graphs import GraphPlay
-from test_meetings import FILES as MEETING_FILES
-from test_meetings import play_meeting
+from test_graphs import GraphScenarioPlayer
 from test_scenarios import FILES, play
-from test_troubles import EVENTS, HANGS, KEPT, PROCESSES, TROUBLES, Day
 from traffic_recorder import Digest, recording
 
 from umberward.scheduling.invariants import Invariants
@@ -68,7 +68,7 @@
     for path in FILES:
         runs[_name(path)] = functools.partial(play, path)
     for path in GRAPH_FILES:
-        runs[_name(path)] = functools.partial(play, path, GraphPlay)
+        runs[_name(path)] = functools.partial(play, path, GraphScenarioPlayer)
     for path in MEETING_FILES:
         runs[_name(path)] = functools.partial(play_meeting, path)
     runs = {name: run for name, run in runs.items() if name not in LEFT_OUT}
--- a/umberward/control/controller.py
+++ b/umberward/control/controller.py
@@ -40,7 +40,7 @@
     JobsCancelledByPeer,
 )
 from umberward.protocol import wire
-from umberward.protocol.http import Client, Connection, Response, Server, Sockets
+from umberward.protocol.http import Client, Connection, Response, Server, SocketBudget
 from umberward.protocol.wire import MachineType
 from umberward.scheduling.lease_delegation import Delegation
 
@@ -219,17 +219,17 @@
         return await self.heartbeat_api.serve_forwarded(body)
 
     def _name_connection(self, connection: Connection, machine_id: str) -> Awaitable[None]:
-        return self.server.name(connection, machine_id)
+        return self.server.name_connection(connection, machine_id)
 
 
-def _shared_sockets(process_limit: int) -> Sockets:
+def _shared_sockets(process_limit: int) -> SocketBudget:
     """Sockets that the public server and the client to workers and peers share.
 
     Each worker keeps a connection, and each user; the rest is for connections that the controller
     opens itself.
     """
     available = process_limit - UPSTREAM_SOCKETS - PEER_SOCKETS - SPARE_SOCKETS
-    return Sockets(
+    return SocketBudget(
         max(MIN_SHARED_SOCKETS, available),
         max(MIN_CLIENT_SOCKETS, process_limit // CLIENT_SOCKET_DIVISOR),
     )
--- a/umberward/graphs/graph_state.py
+++ b/umberward/graphs/graph_state.py
@@ -71,7 +71,7 @@
             self.scheduler.admit_job(job)
             if job.progress_unstored:
                 self.scheduler.writer.note_completions(job)
-        if self.scheduler.all_settled:
+        if self.scheduler.reconciliation_completed:
             # No machine is left on which a task started by a former leader could be found.
             for job in graph.jobs:
                 job.requeue_unlocated()
@@ -94,7 +94,7 @@
         """
         live_key = records.live_key(graph.id)
         writes = [
-            transactions.put(records.past_key(graph.id), graph.end(self.scheduler.wall())),
+            transactions.put(records.past_key(graph.id), graph.end(self.scheduler.wall_clock())),
             transactions.delete(live_key),
         ]
         # What the end record counts must agree with the arrays' records; `LiveGraph.ended` waits
@@ -103,7 +103,7 @@
 
     def _request_pass(self, job: Job) -> None:
         """Have the scheduler place this array's startable tasks in its next pass."""
-        self.scheduler.unplaced[job.id] = job
+        self.scheduler.jobs_to_place[job.id] = job
         self.scheduler.pass_wanted = True
 
     def _withdraw(self, job: Job, index: int) -> None:
--- a/umberward/leader/failover_snapshot.py
+++ b/umberward/leader/failover_snapshot.py
@@ -101,7 +101,7 @@
         machine_images=machine_images,
         runtime_ratio=dict(scheduler.runtime_ratios),
         headroom_peak=scheduler.headroom.peak,
-        accelerated_spec=scheduler.headroom.spec,
+        accelerated_spec=scheduler.headroom.latest_spec,
         quarantined=[
             str(machine.id) for machine in scheduler.machines.values() if machine.quarantined
         ],
@@ -222,7 +222,7 @@
             if 0 <= index < len(snapshot.images)
         }
         # Cached anew, so that these are the most recently used ones.
-        machine_type = scheduler.machine_types.get(machine.type)
+        machine_type = scheduler.machine_types.get(machine.machine_type)
         cache_gb = machine_type.image_cache_gb if machine_type is not None else 0.0
         for image, size_gb in learnt.items():
             machine.cache_image(image, size_gb, cache_gb)
--- a/umberward/leader/leader_election.py
+++ b/umberward/leader/leader_election.py
@@ -38,8 +38,8 @@
 ALL_JOB_HASHES = (0, 65536)  # the leader holds all jobs
 
 # A lease of T seconds by the state service's clock is taken to last this share of T by ours.
-CLOCK_DRIFT_FACTOR = 0.999
-LEASE_MARGIN_S = 0.15
+RENEWAL_DRIFT_FACTOR = 0.999
+RENEWAL_MARGIN_S = 0.15
 # A shorter time of keeping sessions alive without the state service is used up by the renewals and
 # reads of ordinary operation.
 MIN_KEEPALIVE_S = 3.0
@@ -115,7 +115,7 @@
             self.fencing_token is not None
             and self.lease is not None
             and self.clock()
-            < self.renewed_at + self.lease_seconds * CLOCK_DRIFT_FACTOR - LEASE_MARGIN_S
+            < self.renewed_at + self.lease_seconds * RENEWAL_DRIFT_FACTOR - RENEWAL_MARGIN_S
         )
 
     def may_start(self, jobs_read_at: Instant | None) -> bool:
--- a/umberward/leader/leader_loop.py
+++ b/umberward/leader/leader_loop.py
@@ -272,7 +272,7 @@
             now = monotonic_now()
             failover_snapshot.restore_snapshot(
                 snapshot,
-                age_s + (now - self.scheduler.started),
+                age_s + (now - self.scheduler.started_at),
                 self.scheduler,
                 self.autoscaler,
                 now,
--- a/umberward/leader/machine_scaler.py
+++ b/umberward/leader/machine_scaler.py
@@ -71,7 +71,7 @@
         """Drain machines that are not needed or lost, and delete those that are drained."""
         now = monotonic_now()
         idle = self.autoscaler.machines_to_return(now)
-        lost = self.autoscaler.machines_to_abandon(now)
+        lost = self.autoscaler.unreachable_machines_to_return(now)
         self.decision_s += monotonic_now() - now
         for machine in idle + lost:
             self._drain(machine)
@@ -85,11 +85,11 @@
         log.info(
             "machine_draining",
             machine=machine.id,
-            type=machine.type,
+            type=machine.machine_type,
             hears=not machine.unreachable,
             reports=machine.no_heartbeats_since is None,
         )
-        machine.returning = True
+        machine.deletion_requested = True
         machine.availability_changed()
 
     def _machines_removed(self, machine_ids: list[MachineId]) -> None:
@@ -128,7 +128,7 @@
                 # and its answer names the machines.
                 await curio.sleep(FAILURE_PAUSE_S)
             else:
-                self.autoscaler.machines_rented(request, machine_ids, monotonic_now())
+                self.autoscaler.machines_created(request, machine_ids, monotonic_now())
                 return
 
     # ---- the cloud's lists -------------------------------------------------------------
--- a/umberward/local/cloudcore.py
+++ b/umberward/local/cloudcore.py
@@ -53,7 +53,7 @@
     """A rented machine."""
 
     id: str
-    sku: MachineType
+    machine_type: MachineType
     zone: str
     spot: bool
     rented_at: float
@@ -66,7 +66,7 @@
 class Capacity(NamedTuple):
     """What the cloud has a limit for: machines of one type, in one zone, spot or not."""
 
-    sku: str
+    machine_type: str
     zone: str
     spot: bool
 
@@ -103,7 +103,7 @@
         speed: float,
     ) -> None:
         """`list_lag_s`: how far the list lags behind; `speed`: how much faster machines boot."""
-        self.skus = {machine_type.name: machine_type for machine_type in machine_types}
+        self.machine_types = {machine_type.name: machine_type for machine_type in machine_types}
         self.list_lag_s = list_lag_s
         self.rng = rng
         self.speed = speed
@@ -121,13 +121,13 @@
         """
         if claim in self.claims:
             return self.claims[claim]
-        machine_type = self.skus.get(kind.sku)
+        machine_type = self.machine_types.get(kind.machine_type)
         if (
             machine_type is None
             or kind.zone not in machine_type.zones
             or not 0 < count <= MAX_MACHINES_PER_REQUEST
         ):
-            raise InvalidRentalError(kind.sku, kind.zone, count)
+            raise InvalidRentalError(kind.machine_type, kind.zone, count)
         available = self.capacity.get(kind, MAX_MACHINES_PER_REQUEST) - self._rented_count(kind)
         count = min(count, available)
         if count <= 0:
@@ -137,7 +137,7 @@
 
     def _rented_count(self, kind: Capacity) -> int:
         return sum(
-            (machine.sku.name, machine.zone, machine.spot) == kind
+            (machine.machine_type.name, machine.zone, machine.spot) == kind
             for machine in self.machines.values()
         )
 
@@ -211,7 +211,7 @@
             CloudMachine(
                 machine.id,
                 machine.address,
-                machine.sku.name,
+                machine.machine_type.name,
                 machine.zone,
                 machine.spot,
                 "running" if machine.up else "booting",
--- a/umberward/local/cluster.py
+++ b/umberward/local/cluster.py
@@ -290,7 +290,7 @@
         return self.worker_core(
             machine.id,
             machine.address,
-            machine.sku,
+            machine.machine_type,
             machine.zone,
             machine.spot,
             self.workers_said,
@@ -369,7 +369,7 @@
     def _note_use(self) -> None:
         used: dict[str, float] = {}
         for worker, _ in self.workers.values():
-            for task in worker.core.alive.values():
+            for task in worker.core.running_tasks.values():
                 if task.spec is not None:
                     used[task.spec.team] = used.get(task.spec.team, 0.0) + task.spec.cores
         for team, cores in used.items():
@@ -437,7 +437,7 @@
     def status(self) -> str:
         """One line with the counts of everything that runs."""
         alive = sum(child is not None for child in self.children)
-        tasks = sum(len(worker.core.alive) for worker, _ in self.workers.values())
+        tasks = sum(len(worker.core.running_tasks) for worker, _ in self.workers.values())
         core = self.state.core
         jobs = sum(key.startswith(wire.LIVE_JOBS_PREFIX) for key in core.keys)
         graphs = sum(key.startswith(records.LIVE) for key in core.keys)
--- a/umberward/local/servers.py
+++ b/umberward/local/servers.py
@@ -287,7 +287,7 @@
     def _respond(self, request: Request) -> Response:
         route = (request.method, request.path)
         if route == ("GET", "/flavors"):
-            machine_types = wire.MachineTypeList(list(self.core.skus.values()))
+            machine_types = wire.MachineTypeList(list(self.core.machine_types.values()))
             return Response(HTTPStatus.OK, wire.encode(machine_types))
         if route == ("POST", "/hosts"):
             return self._rent(msgspec.convert(_body(request), _RentalRequest))
@@ -392,7 +392,7 @@
         The other is the leader that the controller names, or else the next one in the order of
         names, after a pause.
         """
-        incarnation, sent_at = self.core.tenure, time.monotonic()
+        incarnation, sent_at = self.core.incarnation, time.monotonic()
         leader = None
         try:
             response = await self.client.request(
--- a/umberward/local/workercore.py
+++ b/umberward/local/workercore.py
@@ -152,7 +152,7 @@
         """
         self.host = host
         self.address = address
-        self.sku = sku
+        self.machine_type = sku
         self.zone = zone
         self.spot = spot
         self.times = times
@@ -161,13 +161,15 @@
         self.fate = fate
         self.speed = speed
         self.now = now
-        self.tenure = 1  # the incarnation: the number of the session
-        self.serial = 0  # the sequence number of the session's last heartbeat
-        self.epoch = 0  # the highest fencing token seen
-        self.lease_from = now  # when the last answered heartbeat was sent, or the session began
+        self.incarnation = 1  # the incarnation: the number of the session
+        self.sequence = 0  # the sequence number of the session's last heartbeat
+        self.fencing_token = 0  # the highest fencing token seen
+        self.lease_renewed_at = (
+            now  # when the last answered heartbeat was sent, or the session began
+        )
         self.tasks: dict[tuple[str, int], Task] = {}  # by name and attempt
-        self.alive: dict[str, Task] = {}  # those of them that are not over, by name
-        self.booked = NO_RESOURCES
+        self.running_tasks: dict[str, Task] = {}  # those of them that are not over, by name
+        self.reserved = NO_RESOURCES
         self.images: set[str] = set()
         self.notice_at: float | None = None  # when the cloud takes the machine back
         self.changes = 0  # counts what a heartbeat is due for
@@ -178,23 +180,23 @@
     def tick(self, now: float) -> None:
         """Advance all tasks to `now`, or end the session if the worker's lease has expired."""
         elapsed_s, self.now = now - self.now, now
-        if now - self.lease_from > self.times.lease_s:
+        if now - self.lease_renewed_at > self.times.lease_s:
             self.end_session()
             return
-        for task in list(self.alive.values()):
+        for task in list(self.running_tasks.values()):
             if not task.over:
                 self._advance(task, elapsed_s)
 
     def end_session(self) -> None:
         """End all tasks without a report and begin the next session."""
-        for task in self.alive.values():
+        for task in self.running_tasks.values():
             self.mates.leave(task, self.now, self.times.gang_peer_s)
         self.tasks.clear()
-        self.alive.clear()
-        self.booked = NO_RESOURCES
-        self.tenure += 1
-        self.serial = 0
-        self.lease_from = self.now
+        self.running_tasks.clear()
+        self.reserved = NO_RESOURCES
+        self.incarnation += 1
+        self.sequence = 0
+        self.lease_renewed_at = self.now
         self.changes += 1
 
     def _advance(self, task: Task, elapsed_s: float) -> None:
@@ -258,14 +260,14 @@
         if cause != wire.DONE:
             self.mates.leave(task, self.now, self.times.gang_peer_s)
         task.exit(cause, stored=stored)
-        del self.alive[task.name]
-        self.booked = self.booked.minus(task.resources)
+        del self.running_tasks[task.name]
+        self.reserved = self.reserved.minus(task.resources)
         self.changes += 1
         self.exited(task.name, cause)
 
     def finish(self, name: str, cause: str) -> None:
         """End a running task whose duration could not be known beforehand; others stay."""
-        task = self.alive.get(name)
+        task = self.running_tasks.get(name)
         if task is not None and task.phase == wire.RUNNING:
             task.remaining_s, task.ends_as = 0.0, cause
             self._run(task, 0.0)
@@ -287,7 +289,7 @@
         if not self._accepts(fencing_token, incarnation):
             return False
         self._observe_token(fencing_token)
-        self.lease_from = sent_at
+        self.lease_renewed_at = sent_at
         self.execute(commands)
         return True
 
@@ -300,12 +302,12 @@
         return True
 
     def _accepts(self, fencing_token: int, incarnation: int) -> bool:
-        return fencing_token >= self.epoch and incarnation == self.tenure
+        return fencing_token >= self.fencing_token and incarnation == self.incarnation
 
     def _observe_token(self, fencing_token: int) -> None:
         """Note the token; a new one is due to be confirmed by a heartbeat."""
-        if fencing_token > self.epoch:
-            self.epoch = fencing_token
+        if fencing_token > self.fencing_token:
+            self.fencing_token = fencing_token
             self.changes += 1
 
     def execute(self, commands: Sequence[TaskCommand]) -> None:
@@ -334,7 +336,7 @@
         self.changes += 1
         if spec is None or not number.isdecimal() or int(number) >= spec.task_count:
             task.exit(NO_SUCH_TASK)
-        elif name in self.alive:
+        elif name in self.running_tasks:
             task.exit(ALREADY_RUNNING)
         elif not task.resources.fits(self._free_resources()):
             task.exit(NO_ROOM)
@@ -342,16 +344,16 @@
             self._admit(task, spec)
 
     def _admit(self, task: Task, spec: JobSpec) -> None:
-        self.alive[task.name] = task
-        self.booked = self.booked.plus(task.resources)
-        task.remaining_s = spec.image_gb / self.sku.image_pull_gb_per_s / self.speed
+        self.running_tasks[task.name] = task
+        self.reserved = self.reserved.plus(task.resources)
+        task.remaining_s = spec.image_gb / self.machine_type.image_pull_gb_per_s / self.speed
         if task.is_gang_member:
             self.mates.join(task)
         if task.remaining_s <= 0:
             self._advance(task, 0.0)
 
     def _free_resources(self) -> Resources:
-        return self.sku.capacity.minus(self.booked)
+        return self.machine_type.capacity.minus(self.reserved)
 
     def _kill(self, task: Task, grace_s: float) -> None:
         """Stop a task, after a checkpoint if it takes any and `grace_s` is long enough for one."""
@@ -368,15 +370,15 @@
 
     def report(self) -> Heartbeat:
         """The next heartbeat, with the state of all attempts that were not forgotten."""
-        self.serial += 1
+        self.sequence += 1
         return Heartbeat(
             self.host,
             self.address,
-            self.sku.name,
+            self.machine_type.name,
             self.zone,
-            self.tenure,
-            self.serial,
-            self.epoch,
+            self.incarnation,
+            self.sequence,
+            self.fencing_token,
             [
                 TaskStatus(task.name, task.attempt, task.phase, task.cause, task.stored)
                 for task in self.tasks.values()
--- a/umberward/protocol/http/__init__.py
+++ b/umberward/protocol/http/__init__.py
@@ -13,7 +13,7 @@
     Response,
 )
 from umberward.protocol.http.server import Server
-from umberward.protocol.http.socket_budget import Sockets
+from umberward.protocol.http.socket_budget import SocketBudget
 
 __all__ = [
     "Client",
@@ -24,5 +24,5 @@
     "RequestNotSentError",
     "Response",
     "Server",
-    "Sockets",
+    "SocketBudget",
 ]
--- a/umberward/protocol/http/client.py
+++ b/umberward/protocol/http/client.py
@@ -23,7 +23,7 @@
     request_head,
     request_head_bytes,
 )
-from umberward.protocol.http.socket_budget import Sockets
+from umberward.protocol.http.socket_budget import SocketBudget
 
 SOCKET_RECHECK_S = 0.1  # how often it is looked whether the server has given sockets back
 MAX_IDLE_PER_ADDRESS = 4  # connections kept for one address
@@ -52,9 +52,9 @@
 class Client:
     """Sends requests over kept connections."""
 
-    def __init__(self, most: Sockets | int) -> None:
+    def __init__(self, most: SocketBudget | int) -> None:
         """`most`: how many sockets it may open, or the budget that it shares with a server."""
-        self.sockets = Sockets.of(most)
+        self.sockets = SocketBudget.of(most)
         self.waiting: deque[curio.Event] = deque()  # requests that wait for a socket
         # Idle connections; the address least recently used comes first.
         self.idle: OrderedDict[Address, list[_KeptConnection]] = OrderedDict()
--- a/umberward/protocol/http/server.py
+++ b/umberward/protocol/http/server.py
@@ -23,7 +23,7 @@
     response_head_bytes,
     retry_after_header,
 )
-from umberward.protocol.http.socket_budget import Sockets
+from umberward.protocol.http.socket_budget import SocketBudget
 from umberward.protocol.wire import MAX_BODY_BYTES
 
 log = logger(__name__)
@@ -44,14 +44,14 @@
         self,
         address: Address,
         handler: Handler,
-        most: Sockets | int,
+        most: SocketBudget | int,
         client: Client | None = None,
     ) -> None:
         """`most`: how many sockets it may open, or the budget that it shares with `client`, whose
         idle connections are closed if there are too few."""
         self.address = address
         self.handler = handler
-        self.sockets = Sockets.of(most)
+        self.sockets = SocketBudget.of(most)
         self.client = client
         self.connections: set[Connection] = set()
         self.named: dict[str, Connection] = {}
@@ -114,7 +114,7 @@
         self.sockets.served += 1
         connection.task = await curio.spawn(self._serve, connection, daemon=True)
 
-    async def name(self, connection: Connection, name: str) -> None:
+    async def name_connection(self, connection: Connection, name: str) -> None:
         """Note who has connected. An earlier connection of the same client is closed: the client
         has given it up, though its end may never have arrived here."""
         earlier = self.named.get(name)
--- a/umberward/protocol/http/socket_budget.py
+++ b/umberward/protocol/http/socket_budget.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Sockets:
+class SocketBudget:
     """A budget of open sockets.
 
     The server has no fixed part of it. After a failover all workers connect at once, and a worker
@@ -19,9 +19,9 @@
         self.sent = 0  # open connections that the client has made
 
     @classmethod
-    def of(cls, budget: Sockets | int) -> Sockets:
+    def of(cls, budget: SocketBudget | int) -> SocketBudget:
         """The budget itself, or one of that many sockets that is shared with nobody."""
-        return budget if isinstance(budget, Sockets) else cls(budget, budget)
+        return budget if isinstance(budget, SocketBudget) else cls(budget, budget)
 
     @property
     def left(self) -> int:
--- a/umberward/scheduling/autoscaler.py
+++ b/umberward/scheduling/autoscaler.py
@@ -66,7 +66,7 @@
 
     # ---- responses of the cloud ----------------------------------------------------------
 
-    def machines_rented(
+    def machines_created(
         self, request: ScaleOutRequest, machine_ids: list[MachineId], now: Instant
     ) -> None:
         """Note the machines that a request has yielded; fewer than asked for: no more there."""
@@ -134,7 +134,9 @@
             if machine_id in scheduler.machines and scheduler.machines[machine_id].probe_unanswered
         ]
         scheduler.machines_to_delete.intersection_update(lost)
-        drained = [machine.id for machine in scheduler.machines.values() if machine.returning]
+        drained = [
+            machine.id for machine in scheduler.machines.values() if machine.deletion_requested
+        ]
         return lost + self._machines_not_come_up(now) + drained
 
     def _machines_not_come_up(self, now: Instant) -> list[MachineId]:
@@ -152,7 +154,7 @@
         ]
         return found
 
-    def machines_to_abandon(self, now: Instant) -> list[Machine]:
+    def unreachable_machines_to_return(self, now: Instant) -> list[Machine]:
         """Return the machines to return as this leader's messages do not reach them."""
         return self.scheduler.reachability.machines_to_return(now)
 
@@ -165,7 +167,7 @@
     def scale_out_requests(self, now: Instant) -> list[ScaleOutRequest]:
         """Return what to request from the cloud, at most one request for each offer."""
         scheduler = self.scheduler
-        if not scheduler.loaded or now - scheduler.started < FIRST_DECISION_S:
+        if not scheduler.loaded or now - scheduler.started_at < FIRST_DECISION_S:
             return []
         for machine_id in scheduler.machines:
             self.pending.pop(machine_id, None)
--- a/umberward/scheduling/cluster_state.py
+++ b/umberward/scheduling/cluster_state.py
@@ -84,11 +84,13 @@
         self.value_limit = int(cluster.state.strictest().value_kb * 1024)  # bytes of a record
         self.operator = settings.operator
         self.quota = Quota(cluster.teams)
-        self.wall = wall
+        self.wall_clock = wall
         self.rng = rng
         self.invariants = Invariants()
         self.loaded = False  # the jobs and machines of the previous term have been read
-        self.all_settled = False  # what each machine runs is known, or it runs nothing any more
+        self.reconciliation_completed = (
+            False  # what each machine runs is known, or it runs nothing any more
+        )
         self.pass_wanted = True  # something changed that may let a task start
         self._init_term(fencing_token, now)
         self._init_jobs()
@@ -102,7 +104,7 @@
         self.term_token = fencing_token  # the one with which the term began
         self.higher_token_seen = FencingToken(0)  # a higher one that a worker has seen
         self.token_rotation = TokenRotation()
-        self.started = now
+        self.started_at = now
         self.now = now
         self.last_wake = now  # when the clock was last read
         self.last_heartbeat_at = now  # when any worker was last heard of
@@ -118,7 +120,7 @@
         # Which jobs were cancelled lately could not be read: any machine may run tasks of theirs.
         self.cancellations_unread = False
         # Jobs that may have tasks to place, in the order in which they came to have some.
-        self.unplaced: dict[JobId, Job] = {}
+        self.jobs_to_place: dict[JobId, Job] = {}
         self.jobs_to_write: set[JobId] = set()  # with a placement intent or an end to store
         self.standings_outdated = True
         # Placements by who may preempt them: for most jobs there are none, and no use in looking.
@@ -138,7 +140,7 @@
         self.headroom = Headroom(self.machine_types, now)
         self.headroom_machines: set[MachineId] = set()  # kept open for accelerated work
         # Tasks that workers run without a placement, on all machines.
-        self.unplaced_tasks: Counter[TaskId] = Counter()
+        self.tasks_without_placement: Counter[TaskId] = Counter()
 
     def _init_counters(self) -> None:
         """Set the counters of work done, by which tests bound the cost of events and passes."""
@@ -162,7 +164,7 @@
             if machine is not None:
                 machine.standing_changed()
 
-    def allowed(
+    def admits_offer(
         self,
         job: Job,
         machine_type: MachineTypeName,
@@ -183,7 +185,7 @@
             suitable = set()
             for offer in self.offers:
                 machine_type = self.machine_types.get(offer.type)
-                if machine_type is None or not self.allowed(job, *offer):
+                if machine_type is None or not self.admits_offer(job, *offer):
                     continue
                 if job.need.fits(machine_type.capacity):
                     suitable.add(offer)
@@ -202,7 +204,7 @@
 
     def barred_machines(self, job: Job, open_machines: set[MachineId]) -> set[MachineId]:
         """Return those of `open_machines` of which the job may use only what headroom leaves."""
-        spec = self.headroom.spec
+        spec = self.headroom.latest_spec
         wait_s = None
         if spec is not None:
             wait_s, _ = self.class_aims.get(spec.job_class, NO_AIM)
@@ -210,7 +212,7 @@
             job, open_machines, self.estimate(job), wait_s or DEFAULT_WAIT_S
         )
 
-    def machine(
+    def find_or_add_machine(
         self,
         machine_id: MachineId,
         address: str,
@@ -281,11 +283,11 @@
         if not requeue:
             return
         job.put_back(placement.task.number)
-        self.unplaced[job.id] = job
+        self.jobs_to_place[job.id] = job
         if job.gang:
             # The rest of a gang is of no use without this task.
             for other in list(job.placements.values()):
-                if other.stop_grace is None:
+                if other.stop_grace_s is None:
                     self.stop(other, 0.0)
 
     def release_all(self, machine: Machine, reason: str) -> None:
@@ -303,21 +305,21 @@
         """Note a task that the machine runs without a placement, and that is to be stopped."""
         if task not in machine.unplaced_tasks:
             machine.unplaced_tasks.add(task)
-            self.unplaced_tasks[task] += 1
+            self.tasks_without_placement[task] += 1
 
     def clear_unplaced_tasks(self, machine: Machine) -> None:
         """Forget the tasks that the machine was noted to run without a placement."""
         for task in machine.unplaced_tasks:
-            self.unplaced_tasks[task] -= 1
-            if not self.unplaced_tasks[task]:
-                del self.unplaced_tasks[task]
+            self.tasks_without_placement[task] -= 1
+            if not self.tasks_without_placement[task]:
+                del self.tasks_without_placement[task]
         machine.unplaced_tasks.clear()
 
     def stop(self, placement: Placement, grace_s: float) -> None:
         """Stop a task, with so many seconds to save a checkpoint; a shorter grace overrides."""
-        if placement.stop_grace is not None and placement.stop_grace <= grace_s:
+        if placement.stop_grace_s is not None and placement.stop_grace_s <= grace_s:
             return
-        placement.stop_grace = grace_s
+        placement.stop_grace_s = grace_s
         machine = self.machines.get(placement.machine)
         if machine is None:
             return
@@ -344,9 +346,9 @@
         """Start a task whose intent is stored, unless an invariant refuses it."""
         machine = self.machines[placement.machine]
         job = self.jobs.get(placement.task.job)
-        if not self.invariants.may_start(job, placement, self.unplaced_tasks):
+        if not self.invariants.may_start(job, placement, self.tasks_without_placement):
             if job is not None:
-                job.held_until = max(job.held_until, self.now + REFUSED_START_PAUSE_S)
+                job.retry_not_before = max(job.retry_not_before, self.now + REFUSED_START_PAUSE_S)
             self.release(machine, placement)
             return
         placement.sent = True
@@ -365,6 +367,6 @@
             if placement is None or placement.attempt != attempt:
                 if task not in machine.exited_tasks:
                     return True
-            elif placement.stop_grace is not None and not placement.seen_on_worker:
+            elif placement.stop_grace_s is not None and not placement.seen_on_worker:
                 return True
         return False
--- a/umberward/scheduling/command_queue.py
+++ b/umberward/scheduling/command_queue.py
@@ -89,9 +89,11 @@
             return False
         task_id, attempt = task_command.started_attempt
         placement = machine.placements.get(task_id)
-        if placement is None or placement.attempt != attempt or placement.stop_grace is not None:
+        if placement is None or placement.attempt != attempt or placement.stop_grace_s is not None:
             return False
         if machine.incarnation != command.incarnation or not self.may_start():
             return False
         job = self.cluster.jobs.get(placement.task.job)
-        return self.cluster.invariants.may_start(job, placement, self.cluster.unplaced_tasks)
+        return self.cluster.invariants.may_start(
+            job, placement, self.cluster.tasks_without_placement
+        )
--- a/umberward/scheduling/command_results.py
+++ b/umberward/scheduling/command_results.py
@@ -57,7 +57,7 @@
         machine = self.cluster.machines.get(probe.machine)
         if machine is None:
             return
-        machine.probing = False
+        machine.probe_inflight = False
         if heartbeat is None:
             self._probe_unanswered(machine, now)
             return
--- a/umberward/scheduling/consolidation.py
+++ b/umberward/scheduling/consolidation.py
@@ -86,11 +86,11 @@
         machine_types = self.cluster.machine_types
         lowest = min(self.unit_price(name) for name in machine_types)
         wasteful = [
-            (machine_types[m.type].hourly_price - lowest * m.allocated.cores, m.id, m)
+            (machine_types[m.machine_type].hourly_price - lowest * m.allocated.cores, m.id, m)
             for m in usable
             if m.placements
             and m.id not in headroom_machines
-            and MOVE_PRICE_RATIO_MAX * self.unit_price(m.type) > lowest
+            and MOVE_PRICE_RATIO_MAX * self.unit_price(m.machine_type) > lowest
             and all(
                 placement.priority == HIGHEST_PRIORITY and placement.need.accelerators <= 0
                 for placement in m.placements.values()
@@ -120,7 +120,7 @@
                 return _Move(job, placement, source, target, MOVE_DOWNTIME_S)
             target = self._choose_target(job, placement, cheaper, free)
             if target is None:
-                max_unit_price = MOVE_PRICE_RATIO_MAX * self.unit_price(source.type)
+                max_unit_price = MOVE_PRICE_RATIO_MAX * self.unit_price(source.machine_type)
                 self.replicas_without_room.append((job, max_unit_price))
             elif pulling is None:
                 downtime_s = MOVE_DOWNTIME_S + cluster.slowest_image_pull_s(job)
@@ -133,11 +133,11 @@
         """Yield some replicas that may move, with their machine and the cheaper ones with room."""
         examined = 0
         for source in sources:
-            max_unit_price = MOVE_PRICE_RATIO_MAX * self.unit_price(source.type)
+            max_unit_price = MOVE_PRICE_RATIO_MAX * self.unit_price(source.machine_type)
             cheaper = [
                 machine
                 for machine in with_room
-                if self.unit_price(machine.type) < max_unit_price
+                if self.unit_price(machine.machine_type) < max_unit_price
                 and machine.id not in self.preemption.reservations
             ]
             for placement in list(source.placements.values()):
@@ -183,7 +183,7 @@
         job.service
         and not job.requeued_tasks
         and not job.unlocated_tasks
-        and placement.stop_grace is None
+        and placement.stop_grace_s is None
         and placement.running_since is not None
         and now - placement.running_since > MIN_REPLICA_RUN_S
     )
--- a/umberward/scheduling/deadline_triage.py
+++ b/umberward/scheduling/deadline_triage.py
@@ -70,7 +70,7 @@
             return
         self.triage_not_before = Instant(now + TRIAGE_INTERVAL_S)
         self.late_jobs = set()
-        wall = self.cluster.wall()
+        wall = self.cluster.wall_clock()
         by_kind: dict[_WorkKind, list[Job]] = {}
         for job in jobs:
             if job.spec.deadline_s is not None and not (job.gang or job.service or job.faulty):
@@ -102,11 +102,11 @@
         """Return how many cores or accelerators do such work at once: in use by it, or free."""
         total = 0.0
         for machine in self.cluster.schedulable.machines.values():
-            machine_type = self.cluster.machine_types.get(machine.type)
+            machine_type = self.cluster.machine_types.get(machine.machine_type)
             load = machine.load_by_priority().get(kind)
             if load is not None:
                 total += load.accelerators if kind.accelerated else load.cores
             if machine_type is not None:
-                free = machine.free(machine_type)
+                free = machine.free_room(machine_type)
                 total += max(0.0, free.accelerators if kind.accelerated else free.cores)
         return total
--- a/umberward/scheduling/failure_attribution.py
+++ b/umberward/scheduling/failure_attribution.py
@@ -158,10 +158,10 @@
 
     def _delay_retry(self, job: Job, now: Instant) -> None:
         """Hold a faulty job back; tasks that fail together while it is held count as one retry."""
-        if now < job.held_until:
+        if now < job.retry_not_before:
             return
         doublings = min(job.retry_count, RETRY_PAUSE_DOUBLINGS_MAX)
-        job.held_until = now + min(MAX_RETRY_PAUSE_S, RETRY_PAUSE_FACTOR**doublings)
+        job.retry_not_before = now + min(MAX_RETRY_PAUSE_S, RETRY_PAUSE_FACTOR**doublings)
         job.retry_count += 1
 
     def _exonerate_if_running(self, job: Job, now: Instant) -> None:
@@ -181,7 +181,7 @@
         if job.faulty:
             log.info("job_exonerated", job=job.id)
             job.faulty = False
-            job.held_until = 0.0
+            job.retry_not_before = 0.0
         self._update_quarantines(job, now)
         self.cluster.pass_wanted = True
 
--- a/umberward/scheduling/failure_detector.py
+++ b/umberward/scheduling/failure_detector.py
@@ -52,7 +52,7 @@
         self.cut_off_zones: set[ZoneName] = set()  # zones that may be cut off
         self.machines_seen = 0  # machines that have sent a heartbeat to this leader
         self.machines_heard = 0  # ... and still do
-        self.count_not_before = cluster.started
+        self.count_not_before = cluster.started_at
         # Since when this leader may be cut off, and has sent probes to find out.
         self.suspected_since: Instant | None = None
 
@@ -77,7 +77,7 @@
         """End expired sessions, probe silent machines, and note the end of reconciliation."""
         self.machine_checks.tick(now)
         self._probe_when_silent(now)
-        if not self.cluster.all_settled and self.cluster.loaded:
+        if not self.cluster.reconciliation_completed and self.cluster.loaded:
             self._check_reconciliation_completed(now)
 
     def hears_nothing(self, now: Instant) -> bool:
@@ -91,7 +91,10 @@
 
     def is_isolated(self, now: Instant) -> bool:
         """Whether the workers seem to be out of this leader's reach, all but a few."""
-        if now - self.cluster.started < ISOLATED_AFTER_TIMEOUTS * self.cluster.heartbeat_timeout():
+        if (
+            now - self.cluster.started_at
+            < ISOLATED_AFTER_TIMEOUTS * self.cluster.heartbeat_timeout()
+        ):
             return False
         if self.suspected_since is not None and now - self.suspected_since > PROBE_WAIT_S:
             return True
@@ -108,7 +111,7 @@
         cut off itself has seen none. All machines may be down as well, so this alone is no reason
         to step down.
         """
-        if now - self.cluster.started < self._heartbeat_overdue_s():
+        if now - self.cluster.started_at < self._heartbeat_overdue_s():
             return False
         machines = self.cluster.machines.values()
         return len(machines) >= MIN_WORKERS and not any(m.heartbeat_seen for m in machines)
@@ -126,7 +129,7 @@
         self.cluster.unanswered_probes = {machine.id for machine in silent}
         if not silent:
             return
-        preempted = [machine for machine in silent if machine.notice_at is not None]
+        preempted = [machine for machine in silent if machine.preempted_at is not None]
         self._mark_for_deletion(preempted)
         cut_off_zones = self._update_cut_off_zones(now)
         silent = [
@@ -170,12 +173,12 @@
             for machine in self.cluster.machines.values()
         ):
             return
-        self.cluster.all_settled = True
+        self.cluster.reconciliation_completed = True
         for job in self.cluster.jobs.values():
             job.requeue_unlocated()
-            self.cluster.unplaced[job.id] = job
+            self.cluster.jobs_to_place[job.id] = job
         self.cluster.pass_wanted = True
-        log.info("reconciliation_completed", after_s=round(now - self.cluster.started, 1))
+        log.info("reconciliation_completed", after_s=round(now - self.cluster.started_at, 1))
 
     # ---- silence of all machines -------------------------------------------------------------
 
@@ -219,7 +222,9 @@
         elif self.suspected_since is None:
             self.suspected_since = now
             candidates = [
-                m for m in self.cluster.machines.values() if m.heartbeat_seen and not m.returning
+                m
+                for m in self.cluster.machines.values()
+                if m.heartbeat_seen and not m.deletion_requested
             ]
             sample_size = min(PROBED_WORKERS, len(candidates))
             for machine in self.cluster.rng.sample(candidates, sample_size):
@@ -237,7 +242,7 @@
         silent = []
         for machine_id in self.cluster.unanswered_probes:
             machine = self.cluster.machines.get(machine_id)
-            if machine is None or not machine.probe_unanswered or machine.returning:
+            if machine is None or not machine.probe_unanswered or machine.deletion_requested:
                 continue
             if (
                 machine.suspected_since is None
@@ -289,7 +294,7 @@
         """
         heard: dict[ZoneName, list[bool]] = {}
         for machine in self.cluster.machines.values():
-            if machine.zone in self.delegator.zones and machine.notice_at is None:
+            if machine.zone in self.delegator.zones and machine.preempted_at is None:
                 heard.setdefault(machine.zone, []).append(self._is_heard(machine, now))
         return {
             zone
@@ -309,6 +314,6 @@
             machine.reconciled
             and machine.token_seen == self.cluster.fencing_token
             and now - machine.last_heard_at < self.cluster.heartbeat_timeout()
-            and not (machine.unplaced_tasks or machine.returning or machine.lease_expired)
+            and not (machine.unplaced_tasks or machine.deletion_requested or machine.lease_expired)
             and not (machine.has_stopping_tasks or self.cluster.has_unwanted_start(machine))
         )
--- a/umberward/scheduling/gang_preemption.py
+++ b/umberward/scheduling/gang_preemption.py
@@ -99,7 +99,7 @@
     """Return the seconds until the job's image is on the machine."""
     if ImageName(job.spec.image) in machine.images:
         return 0.0
-    return job.spec.image_gb / cluster.machine_types[machine.type].image_pull_gb_per_s
+    return job.spec.image_gb / cluster.machine_types[machine.machine_type].image_pull_gb_per_s
 
 
 def _stop_s(cluster: ClusterState, victims: list[Placement]) -> float:
--- a/umberward/scheduling/gang_reservation.py
+++ b/umberward/scheduling/gang_reservation.py
@@ -73,7 +73,7 @@
 
     def _gangs_to_reserve_for(self, waiting: list[Job]) -> list[Job]:
         """Return the gangs that have waited for long and could start, the oldest first."""
-        wall = self.cluster.wall()
+        wall = self.cluster.wall_clock()
         gangs = [
             job
             for job in waiting
@@ -174,7 +174,7 @@
         key = job.preemption_key
         ending = []
         for placement in machine.placements.values():
-            if placement.stop_grace is None and may_preempt(key, placement.preemption_key):
+            if placement.stop_grace_s is None and may_preempt(key, placement.preemption_key):
                 continue
             remaining_s = self._remaining_s(placement, now)
             if remaining_s < math.inf:
@@ -189,7 +189,7 @@
     def _remaining_s(self, placement: Placement, now: Instant) -> float:
         """Return the expected seconds to the task's end; a replica never ends."""
         owner = self.cluster.jobs.get(placement.task.job)
-        if owner is None or placement.stop_grace is not None:
+        if owner is None or placement.stop_grace_s is not None:
             return 0.0
         if owner.service:
             return math.inf
--- a/umberward/scheduling/headroom.py
+++ b/umberward/scheduling/headroom.py
@@ -53,8 +53,10 @@
     def __init__(self, machine_types: dict[MachineTypeName, MachineType], now: Instant) -> None:
         """`machine_types` is the cloud's list, which its owner keeps up to date."""
         self.machine_types = machine_types
-        self.need = NO_RESOURCES  # the largest accelerated task seen
-        self.spec: JobSpec | None = None  # the latest accelerated job: where such work may run
+        self.largest_need = NO_RESOURCES  # the largest accelerated task seen
+        self.latest_spec: JobSpec | None = (
+            None  # the latest accelerated job: where such work may run
+        )
         self.lowest_priority = 0  # the least important priority of accelerated work seen
         self.running_count = 0  # accelerated tasks that have a placement
         self.waiting_count = 0  # ... and that wait for one
@@ -64,23 +66,23 @@
 
     def placement_added(self, placement: Placement) -> None:
         """Count a placement, if it is of accelerated work."""
-        if placement.prompt:
+        if placement.needs_prompt_start:
             self.running_count += 1
             self._note_need(placement.need)
 
     def placement_released(self, placement: Placement) -> None:
         """Take back what `placement_added` counted."""
-        if placement.prompt:
+        if placement.needs_prompt_start:
             self.running_count -= 1
 
     def update(self, waiting: Iterable[Job], now: Instant) -> None:
         """Count the accelerated tasks that wait, and let the peak follow."""
         self.waiting_count = 0
         for job in waiting:
-            if job.prompt:
+            if job.needs_prompt_start:
                 self.waiting_count += job.startable_count()
                 self.lowest_priority = max(self.lowest_priority, job.priority)
-                self.spec = job.spec
+                self.latest_spec = job.spec
                 self._note_need(job.need)
         tasks = self.running_count + self.waiting_count
         decayed = tasks + (self.peak - tasks) * math.exp((self.updated_at - now) / PEAK_DECAY_S)
@@ -91,17 +93,17 @@
         """Take over what the previous leader saw, unless more was seen since."""
         self.peak = max(self.peak, peak)
         self.lowest_priority = max(self.lowest_priority, PRIORITIES[spec.priority])
-        if self.spec is None:
-            self.spec = spec
+        if self.latest_spec is None:
+            self.latest_spec = spec
         self._note_need(need)
 
     def _note_need(self, need: Resources) -> None:
-        if need.accelerators >= self.need.accelerators:
-            self.need = need
+        if need.accelerators >= self.largest_need.accelerators:
+            self.largest_need = need
 
     def open_task_count(self) -> int:
         """Return for how many tasks to keep room open, as accelerated work is likely to come."""
-        if self.need.accelerators <= 0:
+        if self.largest_need.accelerators <= 0:
             return 0
         return max(0, round(self.peak) - self.running_count)
 
@@ -112,12 +114,12 @@
         spot: bool,  # noqa: FBT001 - the fields of a MachineOffer, in order
     ) -> bool:
         """Tell whether accelerated work may run on such a machine, were it empty."""
-        spec, machine_type = self.spec, self.machine_types.get(machine_type_name)
+        spec, machine_type = self.latest_spec, self.machine_types.get(machine_type_name)
         if spec is None:
             return False
         return (
             machine_type is not None
-            and self.need.fits(machine_type.capacity)
+            and self.largest_need.fits(machine_type.capacity)
             and (spec.machine_types is None or machine_type_name in spec.machine_types)
             and (spec.zone is None or zone == spec.zone)
             and (spec.spot or not spot)
@@ -133,7 +135,7 @@
         Where none is open, those that will be soonest are left to run empty: else short tasks that
         come and go would keep accelerated work out for ever.
         """
-        if self.need.accelerators <= 0:
+        if self.largest_need.accelerators <= 0:
             return set(), set()
         cores_by_zone = self._cores_by_zone(by_offer)
         candidates = []
@@ -143,7 +145,7 @@
             zone_cores = cores_by_zone.get(offer.zone, 0.0)
             for machine in machines.values():
                 room = free[machine.id].plus(self.preemptable_room(machine))
-                if room.accelerators >= self.need.accelerators:
+                if room.accelerators >= self.largest_need.accelerators:
                     candidates.append(self._candidate(machine, room, zone_cores))
         candidates.sort()
         machine_ids = [candidate.machine_id for candidate in candidates]
@@ -174,7 +176,7 @@
             for (accelerated, priority), load in machine.load_by_priority().items()
         )
         return _Candidate(
-            not self.need.fits(room),
+            not self.largest_need.fits(room),
             machine.id not in self.open_machines,
             -zone_cores,
             weight,
--- a/umberward/scheduling/heartbeats.py
+++ b/umberward/scheduling/heartbeats.py
@@ -74,7 +74,7 @@
         self.writer = writer
         self.reconciliation = TaskReconciliation(cluster, reachability, failure_attribution, writer)
         self.duplicates = 0  # duplicates since they were last logged
-        self.duplicates_logged_at = cluster.started
+        self.duplicates_logged_at = cluster.started_at
 
     @property
     def deferred_forgets(self) -> int:
@@ -124,7 +124,7 @@
         self._update_machine(machine, heartbeat, now, source)
         if not machine.reconciled and not self._may_reconcile(machine, heartbeat, now, source):
             return _without_commands()
-        if machine.block is None and self.cluster.loaded:
+        if machine.block_number is None and self.cluster.loaded:
             self.writer.assign_block(machine)
         periodic = source is HeartbeatSource.PERIODIC
         commands = self.reconciliation.reconcile(machine, heartbeat, now, periodic=periodic)
@@ -146,7 +146,7 @@
             or header.sequence <= machine.sequence
             or header.fencing_token != self.cluster.fencing_token
             or header.preemption_notice_s is not None
-            or machine.returning
+            or machine.deletion_requested
             or machine.probe_unanswered
             or machine.lease_expired
             or not machine.heartbeat_seen
@@ -167,10 +167,12 @@
         if (
             machine is not None
             and machine.reconciled
-            and machine.block is not None
-            and machine.notice_at is None
-            and not (machine.exited_tasks or machine.unplaced_tasks or machine.returning)
-            and all(p.seen_on_worker and p.stop_grace is None for p in machine.placements.values())
+            and machine.block_number is not None
+            and machine.preempted_at is None
+            and not (machine.exited_tasks or machine.unplaced_tasks or machine.deletion_requested)
+            and all(
+                p.seen_on_worker and p.stop_grace_s is None for p in machine.placements.values()
+            )
         ):
             machine.unchanged_heartbeat = bytes(header.tasks)
 
@@ -194,7 +196,7 @@
         machine_type = MachineTypeName(heartbeat.machine_type)
         if machine_type not in self.cluster.machine_types:
             return None
-        machine = self.cluster.machine(
+        machine = self.cluster.find_or_add_machine(
             machine_id,
             heartbeat.address,
             machine_type,
@@ -214,7 +216,7 @@
         is applied from the heartbeats of a machine that is being deleted, so nothing on it is
         stopped either: what is cancelled until the cloud deletes it must end with its lease.
         """
-        return heartbeat.incarnation >= machine.min_incarnation and not machine.returning
+        return heartbeat.incarnation >= machine.min_incarnation and not machine.deletion_requested
 
     # ---- session ---------------------------------------------------------------------------
 
@@ -301,10 +303,10 @@
 
     def _apply_preemption_notice(self, machine: Machine, notice_s: float, now: Instant) -> None:
         """The cloud deletes the spot machine in `notice_s` seconds."""
-        if machine.notice_at is None:
+        if machine.preempted_at is None:
             log.info("spot_preemption_notice", machine=machine.id, in_s=notice_s)
             self._checkpoint_before_preemption(machine, notice_s)
-        machine.notice_at = Instant(now + notice_s)
+        machine.preempted_at = Instant(now + notice_s)
 
     def _checkpoint_before_preemption(self, machine: Machine, notice_s: float) -> None:
         """Stop the tasks that can save a checkpoint in time: they resume on other machines.
--- a/umberward/scheduling/invariants.py
+++ b/umberward/scheduling/invariants.py
@@ -44,7 +44,7 @@
         """Begin without violations."""
         self.violations: Counter[Invariant] = Counter()
 
-    def may_hold(self, machine: Machine, job: Job, placement: Placement) -> bool:
+    def may_place(self, machine: Machine, job: Job, placement: Placement) -> bool:
         """Whether the placement may be added to its job and machine."""
         other = job.placements.get(placement.task.number) or machine.placements.get(placement.task)
         if other is None:
--- a/umberward/scheduling/job_records.py
+++ b/umberward/scheduling/job_records.py
@@ -35,7 +35,7 @@
     for change in changes:
         if change.put_key is not None and change.put_key.startswith(FINAL_JOBS_PREFIX):
             job_id = JobId(change.put_key[len(FINAL_JOBS_PREFIX) :])
-            apply_final_record(scheduler, job_id, change.data, scheduler.wall())
+            apply_final_record(scheduler, job_id, change.data, scheduler.wall_clock())
 
 
 def apply_job_record(scheduler: Scheduler, key: str, data: object, version: int) -> None:
--- a/umberward/scheduling/jobs.py
+++ b/umberward/scheduling/jobs.py
@@ -128,7 +128,7 @@
 
     def _init_scheduling(self) -> None:
         """What the scheduling pass knows about the job."""
-        self.held_until = 0.0  # not placed before this reading of the steady clock
+        self.retry_not_before = 0.0  # not placed before this reading of the steady clock
         self.failed_passes = 0
         # Jobs of one class need the same kind of capacity: if one finds none, none of them does.
         machine_types = self.spec.machine_types
@@ -141,7 +141,9 @@
         # The offers that suit the job, with the counter of changes at which they were computed.
         self.suitable_offers: tuple[int, set[MachineOffer]] | None = None
         self.standing = (1, self.priority)  # the smaller, the earlier it is served
-        self.prompt = False  # accelerated work that should start soon after its submission
+        self.needs_prompt_start = (
+            False  # accelerated work that should start soon after its submission
+        )
         self.next_goal_at = -math.inf  # the latest start that meets its next objective
 
     @classmethod
--- a/umberward/scheduling/machine_blocks.py
+++ b/umberward/scheduling/machine_blocks.py
@@ -58,8 +58,8 @@
         """Take over a block as a new leader reads it from the state service."""
         machine_ids = set()
         for machine in machines:
-            if machine.block in (None, number):
-                machine.block = number
+            if machine.block_number in (None, number):
+                machine.block_number = number
                 machine.availability_changed()
                 machine_ids.add(machine.id)
             else:
@@ -81,8 +81,8 @@
 
     def remove(self, machine: Machine) -> None:
         """Take a machine that no longer exists out of its blocks."""
-        if machine.block is not None:
-            self._remove_from_block(machine.id, machine.block)
+        if machine.block_number is not None:
+            self._remove_from_block(machine.id, machine.block_number)
         pending_number = self._pending_numbers.pop(machine.id, None)
         if pending_number is not None:
             # A block that still names the machine would count as changed after every write.
@@ -129,7 +129,7 @@
             {
                 str(machine_id): (
                     machine.address,
-                    str(machine.type),
+                    str(machine.machine_type),
                     str(machine.zone),
                     machine.spot,
                 )
@@ -152,7 +152,7 @@
             self._pending_numbers.pop(machine_id, None)
             machine = self._cluster.machines.get(machine_id)
             if machine is not None:
-                machine.block = number
+                machine.block_number = number
                 machine.availability_changed()
 
     def _accepts_machine(self, number: int) -> bool:
--- a/umberward/scheduling/machine_checks.py
+++ b/umberward/scheduling/machine_checks.py
@@ -65,11 +65,11 @@
     def _check_silence(self, machine: Machine, now: Instant) -> Instant:
         """Probe a machine of which nothing was heard for too long."""
         timeout_s = self.cluster.heartbeat_timeout()
-        if machine.returning:
+        if machine.deletion_requested:
             return Instant(now + timeout_s)
-        if not machine.probing and now - machine.last_heard_at > timeout_s:
+        if not machine.probe_inflight and now - machine.last_heard_at > timeout_s:
             self.reachability.send_probe(machine)
-        if machine.probing:
+        if machine.probe_inflight:
             return Instant(now + CHECK_AGAIN_S)
         return Instant(min(now, machine.last_heard_at) + timeout_s)
 
@@ -77,7 +77,7 @@
         """Note a machine that answers but has sent no heartbeat of its own for too long."""
         if machine.no_heartbeats_since is not None:
             return NO_CHECK_DUE
-        if machine.probe_unanswered or machine.returning:
+        if machine.probe_unanswered or machine.deletion_requested:
             return NO_CHECK_DUE
         if now - machine.heartbeat_at > self.reachability.no_heartbeat_s:
             self.reachability.heartbeats_missing(machine, now)
@@ -91,11 +91,11 @@
         if machine.predecessor_expired:
             return NO_CHECK_DUE
         takeover_s = self.delegator.bounds.takeover_s
-        if now - self.cluster.started > takeover_s:
+        if now - self.cluster.started_at > takeover_s:
             # Nobody can have renewed its session for so long.
             machine.predecessor_expired = True
             return NO_CHECK_DUE
-        return Instant(self.cluster.started + takeover_s)
+        return Instant(self.cluster.started_at + takeover_s)
 
     def _check_lease(self, machine: Machine, now: Instant) -> Instant:
         """Expire the lease of a reconciled machine: the worker has killed all its tasks."""
--- a/umberward/scheduling/machine_selection.py
+++ b/umberward/scheduling/machine_selection.py
@@ -76,7 +76,7 @@
     Those on which the job's tasks have failed are used only if there are no others.
     """
     machines, free, barred = candidates
-    need, headroom_need = job.need, cluster.headroom.need
+    need, headroom_need = job.need, cluster.headroom.largest_need
     image = ImageName(job.spec.image)
     suitable = cluster.suitable_offers(job)
     avoided = job.avoided_machines
@@ -131,7 +131,7 @@
     """
     image_missing = 0.0 if image in machine.images else 1.0
     not_spot = 0.0 if machine.spot else 1.0
-    accelerators = cluster.machine_types[machine.type].accelerators
+    accelerators = cluster.machine_types[machine.machine_type].accelerators
     if job.service or job.gang:
         return (image_missing, accelerators, -machine.allocated.cores)
     kept_open = float(machine.id in cluster.headroom_machines)
--- a/umberward/scheduling/machines.py
+++ b/umberward/scheduling/machines.py
@@ -38,7 +38,7 @@
     # ---- identity (from the heartbeat or the stored blocks) ----
     id: MachineId
     address: str  # where its worker takes commands and probes
-    type: MachineTypeName
+    machine_type: MachineTypeName
     zone: ZoneName
     spot: bool  # the cloud may take it back at short notice
     known_since: Instant
@@ -46,7 +46,7 @@
     changed_machines: dict[MachineId, None]
     offer: MachineOffer = field(init=False)
     # `state_writer`: the committed block of machine names that lists it; None: not stored yet.
-    block: int | None = field(init=False, default=None)
+    block_number: int | None = field(init=False, default=None)
 
     # ---- session and lease (`heartbeats`, `failure_detector`) ----
     incarnation: Incarnation = field(init=False, default=Incarnation(0))
@@ -85,7 +85,7 @@
     probe_not_before: Instant = field(init=False)  # when it may be probed on suspicion again
     # Since when it answers probes and commands but sends no heartbeat.
     no_heartbeats_since: Instant | None = field(init=False, default=None)
-    probing: bool = field(init=False, default=False)  # a probe is under way
+    probe_inflight: bool = field(init=False, default=False)  # a probe is under way
     probe_unanswered: bool = field(init=False, default=False)  # silent, and no answer to a probe
 
     # ---- tasks and resources (`cluster_state`, `reconciliation`) ----
@@ -111,8 +111,8 @@
     quarantined_since: Instant | None = field(init=False, default=None)
 
     # ---- deletion (`autoscaler`) ----
-    notice_at: Instant | None = field(init=False, default=None)  # when the cloud takes it back
-    returning: bool = field(init=False, default=False)  # its deletion was requested
+    preempted_at: Instant | None = field(init=False, default=None)  # when the cloud takes it back
+    deletion_requested: bool = field(init=False, default=False)  # its deletion was requested
 
     # Sums over the placements that each pass asks for; None: to be computed anew.
     _free: tuple[MachineType, Resources] | None = field(init=False, default=None)
@@ -121,7 +121,7 @@
 
     def __post_init__(self) -> None:
         """Count everything that is timed from the moment at which the machine became known."""
-        self.offer = MachineOffer(self.type, self.zone, self.spot)
+        self.offer = MachineOffer(self.machine_type, self.zone, self.spot)
         self.incarnation_since = self.known_since
         self.heartbeat_at = self.known_since
         self.last_heard_at = self.known_since
@@ -166,11 +166,11 @@
         """Whether it may be given new tasks."""
         return (
             self.reconciled
-            and self.block is not None
-            and self.notice_at is None
+            and self.block_number is not None
+            and self.preempted_at is None
             and not (
                 self.quarantined
-                or self.returning
+                or self.deletion_requested
                 or self.probe_unanswered
                 or self.lease_expired
                 or self.unplaced_tasks
@@ -195,9 +195,9 @@
     @property
     def has_stopping_tasks(self) -> bool:
         """Whether a task here is being stopped and has not ended yet."""
-        return any(placement.stop_grace is not None for placement in self.placements.values())
+        return any(placement.stop_grace_s is not None for placement in self.placements.values())
 
-    def free(self, machine_type: MachineType) -> Resources:
+    def free_room(self, machine_type: MachineType) -> Resources:
         """The resources that no task is placed on; `machine_type` is that of `type`."""
         if self._free is None or self._free[0] is not machine_type:
             self._free = (machine_type, machine_type.capacity.minus(self.allocated))
@@ -208,7 +208,7 @@
         if self._preemptable is None:
             sums: dict[PreemptionKey, Resources] = {}
             for placement in self.placements.values():
-                if placement.stop_grace is None:
+                if placement.stop_grace_s is None:
                     key = placement.preemption_key
                     sums[key] = sums.get(key, NO_RESOURCES).plus(placement.need)
             self._preemptable = sums
--- a/umberward/scheduling/offer_selection.py
+++ b/umberward/scheduling/offer_selection.py
@@ -92,7 +92,7 @@
             if tasks_per_machine <= 0:
                 continue
             for offer in _offers_of(machine_type):
-                if not self.scheduler.allowed(job, *offer) or zone not in (None, offer.zone):
+                if not self.scheduler.admits_offer(job, *offer) or zone not in (None, offer.zone):
                     continue
                 price = _effective_price(machine_type, spot=offer.spot)
                 if price is None or not self.is_available(offer) or self.is_exhausted(offer):
@@ -102,7 +102,7 @@
     def _max_task_price(self, job: Job) -> float:
         """Return the highest price of one task for an hour that the job's urgency justifies."""
         scheduler = self.scheduler
-        waited_s = scheduler.wall() - job.ready_at
+        waited_s = scheduler.wall_clock() - job.ready_at
         patience_s = AFFORDABLE_WAIT_SHARE * (scheduler.start_by(job) - job.ready_at)
         max_price = math.inf
         if waited_s <= patience_s:
--- a/umberward/scheduling/placement_pass.py
+++ b/umberward/scheduling/placement_pass.py
@@ -122,10 +122,10 @@
             except Exception:
                 # The others are served all the same, and it is tried again.
                 job.failed_passes += 1
-                job.held_until = now + min(MAX_FAILED_PASS_PAUSE_S, 2.0**job.failed_passes)
-                log.exception("job_not_placed", job=job.id, again_s=job.held_until - now)
+                job.retry_not_before = now + min(MAX_FAILED_PASS_PAUSE_S, 2.0**job.failed_passes)
+                log.exception("job_not_placed", job=job.id, again_s=job.retry_not_before - now)
         self.preemption.denied_machines = set()
-        if not cluster.all_settled:
+        if not cluster.reconciliation_completed:
             return
         if state.preemptable is not None:
             self.replica_moves.move_replicas(
@@ -253,7 +253,7 @@
             machine.id: state.free[machine.id]
             if machine.id in state.headroom_machines and affordable.may_use_leftovers
             else affordable.usable_room(
-                machine, state.free[machine.id], machine_types[machine.type]
+                machine, state.free[machine.id], machine_types[machine.machine_type]
             )
             for machine in search.machines
         }
@@ -310,7 +310,7 @@
             task = TaskId(job.id, index)
             placement = Placement(task, attempt, machine_id, machine.zone, job, now)
             placement.intent_stored = index < job.placed_below
-            if not self.cluster.invariants.may_hold(machine, job, placement):
+            if not self.cluster.invariants.may_place(machine, job, placement):
                 continue
             self.cluster.add_placement(machine, job, placement)
             free[machine_id] = free[machine_id].minus(job.need)
--- a/umberward/scheduling/placements.py
+++ b/umberward/scheduling/placements.py
@@ -23,7 +23,7 @@
     need: Resources
     team: TeamName
     spec: JobSpec
-    prompt: bool
+    needs_prompt_start: bool
 
     @property
     def preemption_key(self) -> PreemptionKey:
@@ -51,12 +51,12 @@
         "phase",
         "running_since",
         "checkpoint_interval_s",
-        "stop_grace",
+        "stop_grace_s",
         "stopped_at",
         "intent_stored",
         "adopted_from_predecessor",
         "image_fetched",
-        "prompt",
+        "needs_prompt_start",
     )
 
     def __init__(
@@ -86,9 +86,9 @@
         self.phase = ""  # as its worker reported it last; empty: not reported yet
         self.running_since: Instant | None = None
         self.checkpoint_interval_s = job.spec.checkpoint_interval_s
-        self.stop_grace: float | None = None  # seconds to save in; None: it is not being stopped
+        self.stop_grace_s: float | None = None  # seconds to save in; None: it is not being stopped
         self.stopped_at = placed_at
-        self.prompt = job.prompt
+        self.needs_prompt_start = job.needs_prompt_start
 
     @property
     def priority(self) -> int:
--- a/umberward/scheduling/preemptable_work.py
+++ b/umberward/scheduling/preemptable_work.py
@@ -74,12 +74,12 @@
         known = self._plans.get((key, job.need, machine.id))
         if known is not None and known[0] == free:
             plan = known[1]
-            if plan is None or all(victim.stop_grace is None for victim in plan.victims):
+            if plan is None or all(victim.stop_grace_s is None for victim in plan.victims):
                 return plan
         victims = [
             placement
             for placement in machine.placements.values()
-            if placement.stop_grace is None and may_preempt(key, placement.preemption_key)
+            if placement.stop_grace_s is None and may_preempt(key, placement.preemption_key)
         ]
         plan = victim_selection.select_victims(job.need, free, victims, self.now)
         self._plans[key, job.need, machine.id] = (free, plan)
--- a/umberward/scheduling/preemption.py
+++ b/umberward/scheduling/preemption.py
@@ -99,7 +99,7 @@
         if job.service or job.gang:
             return True
         # An array waits at first: tasks end all the time, and the next free room is its anyway.
-        waited_s = self.cluster.wall() - job.ready_at
+        waited_s = self.cluster.wall_clock() - job.ready_at
         return waited_s >= self.cluster.preemption_delay(job)
 
     def _machine_plans(
@@ -144,7 +144,7 @@
             # Room in one zone is of no use beyond what the job may have there.
             zone = self.cluster.machines[plan.machine_id].zone
             if zones.count(zone) >= max_per_zone or any(
-                victim.stop_grace is not None for victim in plan.victims
+                victim.stop_grace_s is not None for victim in plan.victims
             ):
                 continue
             zones.append(zone)
@@ -211,7 +211,7 @@
         start_within_s, _ = self.cluster.class_aims.get(job.spec.job_class, NO_AIM)
         if start_within_s is None:
             return False
-        left_s = start_within_s - (self.cluster.wall() - job.ready_at)
+        left_s = start_within_s - (self.cluster.wall_clock() - job.ready_at)
         return 0.0 < left_s < self.cluster.slowest_image_pull_s(job)
 
     def preempt_near_image(
--- a/umberward/scheduling/reachability.py
+++ b/umberward/scheduling/reachability.py
@@ -164,7 +164,7 @@
 
     def send_probe(self, machine: Machine) -> None:
         """Probe the machine now; its result comes to `CommandResults.probe_completed`."""
-        machine.probing = True
+        machine.probe_inflight = True
         self.cluster.outbox.append(Probe(machine.id, machine.address))
 
     def partially_reachable(self) -> list[Machine]:
@@ -189,7 +189,7 @@
         returned_at_once = self._few_machines()
         found: list[Machine] = []
         for machine in self.partially_reachable():
-            if machine.returning:
+            if machine.deletion_requested:
                 continue
             since = machine.suspected_since if machine.unreachable else machine.no_heartbeats_since
             if since is not None and now - since > self._keep_s(machine) * keep_factor:
@@ -205,12 +205,12 @@
 
     def _keep_s(self, machine: Machine) -> float:
         """How long to keep a machine out of reach: a lease, or the boot time of another one."""
-        machine_type = self.cluster.machine_types.get(machine.type)
+        machine_type = self.cluster.machine_types.get(machine.machine_type)
         return max(self.lease_s, 0.0 if machine_type is None else machine_type.boot_s)
 
     def _probe(self, machine: Machine, now: Instant) -> None:
         """Probe the machine unless a probe is under way or it was probed just before."""
-        if machine.probing or machine.returning or now < machine.probe_not_before:
+        if machine.probe_inflight or machine.deletion_requested or now < machine.probe_not_before:
             return
         interval_s = UNREACHABLE_PROBE_INTERVAL_S if machine.unreachable else PROBE_INTERVAL_S
         machine.probed_at = now
--- a/umberward/scheduling/reconciliation.py
+++ b/umberward/scheduling/reconciliation.py
@@ -136,8 +136,8 @@
             placement.seen_on_worker = True
             self.reachability.confirm_reachable(machine, now)
         self.progress.phase_reported(machine, placement, status.phase, now)
-        if placement.stop_grace is not None:
-            current.add_command(KILL, status, placement.stop_grace)
+        if placement.stop_grace_s is not None:
+            current.add_command(KILL, status, placement.stop_grace_s)
 
     def _reconcile_unlisted(
         self, current: _HeartbeatPass, task_id: TaskId, placement: Placement
@@ -147,7 +147,7 @@
         may_arrive = machine.inflight_starts.may_arrive(task_id, placement.attempt)
         if placement.seen_on_worker and not may_arrive:
             self.cluster.release(machine, placement)
-        elif placement.stop_grace is None:
+        elif placement.stop_grace_s is None:
             # The start may be lost; repeating it has no effect where it was executed.
             if current.periodic:
                 self._repeat_start(current, placement)
@@ -167,7 +167,7 @@
             # The response to the previous heartbeat carried the start as well.
             self.reachability.suspect(current.machine, current.now)
         job = self.cluster.jobs.get(placement.task.job)
-        if self.cluster.invariants.may_start(job, placement, self.cluster.unplaced_tasks):
+        if self.cluster.invariants.may_start(job, placement, self.cluster.tasks_without_placement):
             placement.start_sent_sequence = sequence
             current.commands.append(TaskCommand(START, str(placement.task), placement.attempt))
 
--- a/umberward/scheduling/replica_moves.py
+++ b/umberward/scheduling/replica_moves.py
@@ -71,7 +71,7 @@
         self, headroom_machines: set[MachineId], work: PreemptableWork
     ) -> list[Machine]:
         """Return the kept machines without room for an accelerated task, the emptiest first."""
-        need = self.cluster.headroom.need
+        need = self.cluster.headroom.largest_need
         blocked = [
             machine
             for machine in work.usable
@@ -114,7 +114,7 @@
     return (
         job.service
         and not job.requeued_tasks
-        and placement.stop_grace is None
+        and placement.stop_grace_s is None
         and placement.running_since is not None
         and now - placement.running_since >= MIN_REPLICA_RUN_S
         and now - job.preempted_at >= PREEMPT_PAUSE_S
--- a/umberward/scheduling/scale_in.py
+++ b/umberward/scheduling/scale_in.py
@@ -19,7 +19,7 @@
     `affordable`: the jobs that wait for spot machines. None is returned before each machine's tasks
     are known.
     """
-    if not scheduler.all_settled:
+    if not scheduler.reconciliation_completed:
         return []
     # Jobs of one class need the same: one of them stands for all.
     waiting = {
@@ -48,7 +48,7 @@
 def _is_empty(scheduler: Scheduler, machine: Machine) -> bool:
     """Tell whether the machine surely runs nothing, and no start may still arrive there."""
     return (
-        not (machine.placements or machine.unplaced_tasks or machine.returning)
+        not (machine.placements or machine.unplaced_tasks or machine.deletion_requested)
         and machine.reconciled
         and not scheduler.has_unwanted_start(machine)
     )
@@ -56,7 +56,7 @@
 
 def _is_idle_for_long(scheduler: Scheduler, machine: Machine, now: Instant) -> bool:
     """Tell whether it is idle for longer than operators allow, and than a new one takes to boot."""
-    machine_type = scheduler.machine_types.get(machine.type)
+    machine_type = scheduler.machine_types.get(machine.machine_type)
     boot_s = machine_type.boot_s if machine_type is not None else 0.0
     idle_s = now - max(machine.idle_since, machine.known_since)
     return idle_s > max(scheduler.operator.idle_seconds, boot_s)
@@ -69,10 +69,10 @@
     affordable: Mapping[JobId, AffordableMachines],
 ) -> bool:
     """Tell whether a waiting job could use it: a gang may wait for more machines than this one."""
-    machine_type = scheduler.machine_types.get(machine.type)
+    machine_type = scheduler.machine_types.get(machine.machine_type)
     return machine_type is not None and any(
         job.need.fits(machine_type.capacity)
-        and scheduler.allowed(job, *machine.offer)
+        and scheduler.admits_offer(job, *machine.offer)
         and (job.id not in affordable or machine.offer in affordable[job.id].offers)
         for job in waiting
     )
--- a/umberward/scheduling/scale_out.py
+++ b/umberward/scheduling/scale_out.py
@@ -63,8 +63,8 @@
         while missing_tasks > 0 and position < len(machines):
             self.comparisons += 1
             machine = machines[position]
-            room = machine.room(prompt=job.prompt)
-            if need.fits(room) and self.scheduler.allowed(job, *machine.offer):
+            room = machine.room(prompt=job.needs_prompt_start)
+            if need.fits(room) and self.scheduler.admits_offer(job, *machine.offer):
                 fitting = min(missing_tasks, need.count_within(room))
                 machine.free = machine.free.minus(need, fitting)
                 missing_tasks -= fitting
@@ -107,7 +107,7 @@
         best = min(zones, key=lambda zone: zone[:2])
         left = task_count - best.missing_tasks
         for machine in best.machines:
-            fitting = min(left, job.need.count_within(machine.room(prompt=job.prompt)))
+            fitting = min(left, job.need.count_within(machine.room(prompt=job.needs_prompt_start)))
             machine.free = machine.free.minus(job.need, fitting)
             left -= fitting
         if best.choice is not None:
@@ -120,13 +120,16 @@
         machines_by_zone: dict[ZoneName, list[SimulatedMachine]] = {}
         for machine in self.machines:
             self.comparisons += 1
-            fits = need.fits(machine.room(prompt=job.prompt))
-            if fits and self.scheduler.allowed(job, *machine.offer):
+            fits = need.fits(machine.room(prompt=job.needs_prompt_start))
+            if fits and self.scheduler.admits_offer(job, *machine.offer):
                 machines_by_zone.setdefault(machine.offer.zone, []).append(machine)
         found = []
         for zone in self._all_zones():
             machines = machines_by_zone.get(zone, [])
-            room = sum(need.count_within(machine.room(prompt=job.prompt)) for machine in machines)
+            room = sum(
+                need.count_within(machine.room(prompt=job.needs_prompt_start))
+                for machine in machines
+            )
             missing = task_count - room
             choice = self.offers.cheapest(job, missing, zone) if missing > 0 else None
             if missing <= 0 or choice is not None:
@@ -143,16 +146,17 @@
         """Request machines ahead of accelerated work that would wait too long for them."""
         scheduler = self.scheduler
         headroom, rent_spare = scheduler.headroom, scheduler.operator.rent_spare
-        if headroom.spec is None or rent_spare <= 0:
+        if headroom.latest_spec is None or rent_spare <= 0:
             return
-        start_within_s, _ = scheduler.class_aims.get(headroom.spec.job_class, NO_AIM)
+        start_within_s, _ = scheduler.class_aims.get(headroom.latest_spec.job_class, NO_AIM)
         if start_within_s is None:
             return
         missing = round(headroom.open_task_count() * rent_spare)
         missing -= sum(
             1
             for machine in self.machines
-            if headroom.need.fits(machine.room(prompt=True)) and headroom.could_run(*machine.offer)
+            if headroom.largest_need.fits(machine.room(prompt=True))
+            and headroom.could_run(*machine.offer)
         )
         offer = self._cheapest_for_headroom(start_within_s)
         if offer is not None and missing > 0:
@@ -165,9 +169,12 @@
         headroom = self.scheduler.headroom
         best: tuple[float, MachineOffer] | None = None
         for machine_type in self.scheduler.machine_types.values():
-            if not headroom.need.fits(machine_type.capacity) or headroom.spec is None:
+            if (
+                not headroom.largest_need.fits(machine_type.capacity)
+                or headroom.latest_spec is None
+            ):
                 continue
-            pull_s = headroom.spec.image_gb / machine_type.image_pull_gb_per_s
+            pull_s = headroom.latest_spec.image_gb / machine_type.image_pull_gb_per_s
             if machine_type.boot_s + pull_s <= start_within_s:
                 continue
             for offer in _ordinary_offers(machine_type):
@@ -183,7 +190,7 @@
             if self._has_cheaper_room(job, max_unit_price):
                 continue  # it is on its way
             for _, offer in sorted(self._cheaper_offers(job, max_unit_price)):
-                if self.offers.is_available(offer) and self.scheduler.allowed(job, *offer):
+                if self.offers.is_available(offer) and self.scheduler.admits_offer(job, *offer):
                     self._add_machines(job, OfferChoice(offer, 1), 1, 1)
                     break
 
@@ -192,7 +199,7 @@
         return any(
             unit_price(machine.offer.type) < max_unit_price
             and job.need.fits(machine.free)
-            and self.scheduler.allowed(job, *machine.offer)
+            and self.scheduler.admits_offer(job, *machine.offer)
             for machine in self.machines
         )
 
--- a/umberward/scheduling/schedulable_machines.py
+++ b/umberward/scheduling/schedulable_machines.py
@@ -39,10 +39,10 @@
         """Bring the index up to date with the machines noted in `changed`."""
         for machine_id in self.changed:
             machine = machines.get(machine_id)
-            machine_type = None if machine is None else machine_types.get(machine.type)
+            machine_type = None if machine is None else machine_types.get(machine.machine_type)
             if machine is not None and machine_type is not None and machine.schedulable:
                 self.machines[machine_id] = machine
-                self.free[machine_id] = machine.free(machine_type)
+                self.free[machine_id] = machine.free_room(machine_type)
                 self.by_offer.setdefault(machine.offer, {})[machine_id] = machine
             elif machine_id in self.machines:
                 del self.free[machine_id]
--- a/umberward/scheduling/scheduler.py
+++ b/umberward/scheduling/scheduler.py
@@ -172,7 +172,7 @@
         """Apply what a transaction of this leader has committed."""
         for job, final in self.writer.transaction_committed(transaction, version, now):
             log.info("job_ended", job=job.id, phase=final.phase)
-            self.apply_job_end(job.id, final, final.ended_at or self.wall())
+            self.apply_job_end(job.id, final, final.ended_at or self.wall_clock())
             self.remove_job(job.id)
 
     def reconcile_key(self, key: Key, found: VersionedValue | None) -> None:
@@ -193,11 +193,11 @@
         """Load one block of the stored machine list, and probe its machines."""
         machines = []
         for name, (address, machine_type, zone, spot) in record.machines.items():
-            machine = self.machine(
+            machine = self.find_or_add_machine(
                 MachineId(name), address, MachineTypeName(machine_type), ZoneName(zone), spot, now
             )
             machines.append(machine)
-            if not machine.heartbeat_seen and not machine.probing:
+            if not machine.heartbeat_seen and not machine.probe_inflight:
                 self._probe(machine)
         self.writer.load_block(number, version, machines)
 
@@ -221,7 +221,7 @@
         )
 
     def _probe(self, machine: Machine) -> None:
-        machine.probing = True
+        machine.probe_inflight = True
         self.outbox.append(Probe(machine.id, machine.address))
 
     # ---- jobs ----------------------------------------------------------------------------
@@ -245,10 +245,10 @@
 
     def admit_job(self, job: Job) -> None:
         """Let the job's tasks start from now on."""
-        self.jobs[job.id] = self.unplaced[job.id] = job
+        self.jobs[job.id] = self.jobs_to_place[job.id] = job
         if job.complete:
             self.writer.note_completions(job)  # all tasks are done and its end was not written
-        job.prompt = self.is_prompt(job)
+        job.needs_prompt_start = self.is_prompt(job)
         if not job.placed_below:
             log.info(
                 "job_ready",
@@ -274,7 +274,7 @@
         self.waiting_jobs.job_gone(job_id)
         self.recently_ended[job_id] = self.now
         job = self.jobs.pop(job_id, None)
-        self.unplaced.pop(job_id, None)
+        self.jobs_to_place.pop(job_id, None)
         if job is None:
             return
         job.ended = True
@@ -293,7 +293,9 @@
         This leader may never have known the job, and its tasks may be on machines that have not
         reported yet.
         """
-        if not (self.all_settled or self.is_live(job_id) or job_id in self.recently_ended):
+        if not (
+            self.reconciliation_completed or self.is_live(job_id) or job_id in self.recently_ended
+        ):
             self.cancelled_jobs.setdefault(job_id, Job.of_remaining(job_id, remaining))
 
     def find_unknown_jobs(self, entries: Iterable[wire.KeyValue], now: Instant) -> list[JobId]:
@@ -333,7 +335,7 @@
         """Queue tasks that got lost and forget what is over; to be called every few seconds."""
         self.unlocated_tasks.requeue_overdue(now)
         self._forget_recently_ended(now)
-        if self.all_settled:
+        if self.reconciliation_completed:
             self.unlocated_tasks.forget_cancelled_jobs()
             self.unlocated_tasks.find_lost_tasks(now)
 
@@ -356,7 +358,7 @@
             machine = self.machines.get(machine_id)
             if machine is None:
                 continue
-            machine.returning = True
+            machine.deletion_requested = True
             self.release_all(machine, "machine gone")
             del self.machines[machine_id]
             machine.availability_changed()
--- a/umberward/scheduling/service_order.py
+++ b/umberward/scheduling/service_order.py
@@ -64,13 +64,13 @@
         Jobs without a startable task are dropped from `ClusterState.unplaced` on the way.
         """
         cluster = self.cluster
-        wall = cluster.wall()
-        cluster.jobs_examined += len(cluster.unplaced)
+        wall = cluster.wall_clock()
+        cluster.jobs_examined += len(cluster.jobs_to_place)
         startable: list[Job] = []
-        for job in list(cluster.unplaced.values()):
+        for job in list(cluster.jobs_to_place.values()):
             if not job.startable_count():
-                del cluster.unplaced[job.id]
-            elif job.held_until <= now:
+                del cluster.jobs_to_place[job.id]
+            elif job.retry_not_before <= now:
                 startable.append(job)
         self.deadline_triage.update(startable, now)
         late_jobs = self.deadline_triage.late_jobs
--- a/umberward/scheduling/simulated_machines.py
+++ b/umberward/scheduling/simulated_machines.py
@@ -55,7 +55,7 @@
         job for job, _ in scheduler.consolidation.replicas_without_room
     ]
     headroom = scheduler.headroom
-    least = smallest_need(jobs, headroom.need)
+    least = smallest_need(jobs, headroom.largest_need)
     for_accelerated = {offer: headroom.could_run(*offer) for offer in scheduler.offers}
     simulated = []
     usable, free_by_machine = scheduler.schedulable_room()
@@ -68,7 +68,7 @@
             simulated.append(SimulatedMachine(machine.offer, free, preemptable))
     if scheduler.reachability.many_unreachable():
         for machine in scheduler.reachability.partially_reachable():
-            machine_type = scheduler.machine_types.get(machine.type)
+            machine_type = scheduler.machine_types.get(machine.machine_type)
             if machine_type is not None:
                 simulated.append(SimulatedMachine(machine.offer, machine_type.capacity))
     return simulated
--- a/umberward/scheduling/spot_policy.py
+++ b/umberward/scheduling/spot_policy.py
@@ -82,7 +82,7 @@
     It is infinite if the job may not run there.
     """
     machine_type = cluster.machine_types.get(offer.type)
-    if machine_type is None or not cluster.allowed(job, *offer):
+    if machine_type is None or not cluster.admits_offer(job, *offer):
         return math.inf
     tasks_per_machine = job.need.count_within(machine_type.capacity)
     price = machine_type.spot_price if offer.spot else machine_type.hourly_price
@@ -100,7 +100,7 @@
     by_kind: dict[_JobKind, AffordableMachines] = {}
     slots: dict[_JobKind, int] = {}  # how many of a kind's tasks the affordable machines take
     tasks_ahead: Counter[_JobKind] = Counter()
-    wall = cluster.wall()
+    wall = cluster.wall_clock()
     for job in waiting:
         if not _may_wait(cluster, job, wall):
             continue
@@ -124,7 +124,7 @@
 
 def _may_wait(cluster: ClusterState, job: Job, wall: WallTime) -> bool:
     """Tell whether the job is of the two kinds of work that wait for affordable machines."""
-    if job.service or job.gang or job.prompt:
+    if job.service or job.gang or job.needs_prompt_start:
         return False
     if job.need.accelerators > 0:
         return True
--- a/umberward/scheduling/state_writer.py
+++ b/umberward/scheduling/state_writer.py
@@ -207,7 +207,9 @@
             return None  # a job with conditions ends together with what they name
         # Only the jobs that depend on this one need the time of its end.
         ended_at = (
-            round(self.cluster.wall(), END_TIME_DIGITS) if job.id in graph.dependents else None
+            round(self.cluster.wall_clock(), END_TIME_DIGITS)
+            if job.id in graph.dependents
+            else None
         )
         return wire.FinalJobRecord(wire.DONE, job.size, ended_at)
 
@@ -218,7 +220,7 @@
         record cannot be read. No task may start without an intent; the job waits for its user to
         cancel it, and must not delay others.
         """
-        job.held_until = math.inf
+        job.retry_not_before = math.inf
         self.jobs_to_write.discard(job.id)
         for placement in list(job.placements.values()):
             if not placement.intent_stored:
@@ -251,7 +253,7 @@
             if index < job.placed_below and not placement.intent_stored:
                 placement.intent_stored = True
                 job.unstored_intents -= 1
-                if placement.stop_grace is None and placement.machine in self.cluster.machines:
+                if placement.stop_grace_s is None and placement.machine in self.cluster.machines:
                     self.cluster.send_start(placement)
 
     # ---- after a conflict or an unknown outcome ----------------------------------------
--- a/umberward/scheduling/summaries.py
+++ b/umberward/scheduling/summaries.py
@@ -43,9 +43,9 @@
 def _offer_line(cluster: ClusterState, offer: MachineOffer, machines: list[Machine]) -> LogFields:
     """Count the machines of one offer, how many are empty, and how much of them is allocated."""
     total_cores = sum(
-        cluster.machine_types[machine.type].cores
+        cluster.machine_types[machine.machine_type].cores
         for machine in machines
-        if machine.type in cluster.machine_types
+        if machine.machine_type in cluster.machine_types
     )
     allocated_cores = sum(machine.allocated.cores for machine in machines)
     tasks_by_class: Counter[str] = Counter()
@@ -65,7 +65,7 @@
 
 def _backlog_lines(cluster: ClusterState) -> list[LogFields]:
     backlogs: dict[str, _ClassBacklog] = {}
-    for job in cluster.unplaced.values():
+    for job in cluster.jobs_to_place.values():
         tasks = job.startable_count()
         if not tasks:
             continue
@@ -81,7 +81,7 @@
             "waiting": job_class,
             "tasks": backlog.tasks,
             "jobs": backlog.jobs,
-            "oldest_s": round(cluster.wall() - backlog.oldest_submitted_at),
+            "oldest_s": round(cluster.wall_clock() - backlog.oldest_submitted_at),
         }
         for job_class, backlog in sorted(backlogs.items())
     ]
--- a/umberward/scheduling/task_adoption.py
+++ b/umberward/scheduling/task_adoption.py
@@ -48,7 +48,7 @@
         placement = self._build_placement(machine, job, task_id, status, now)
         if placement is None:
             return None
-        placement.stop_grace = 0.0
+        placement.stop_grace_s = 0.0
         self._add(machine, job, placement)
         return placement
 
@@ -67,7 +67,7 @@
     ) -> Placement | None:
         """Build the placement of a running task; None if an invariant refuses it."""
         placement = Placement(task_id, Attempt(status.attempt), machine.id, machine.zone, job, now)
-        if not self.cluster.invariants.may_hold(machine, job, placement):
+        if not self.cluster.invariants.may_place(machine, job, placement):
             return None
         placement.intent_stored = True
         placement.sent = True
--- a/umberward/scheduling/task_progress.py
+++ b/umberward/scheduling/task_progress.py
@@ -57,7 +57,7 @@
             log.debug("task_exited", task=task_id, machine=machine.id, cause=status.cause)
             if status.cause in REFUSED_START_CAUSES:
                 log.info("start_refused", machine=machine.id, task=task_id, cause=status.cause)
-                job.held_until = max(job.held_until, now + REFUSED_START_PAUSE_S)
+                job.retry_not_before = max(job.retry_not_before, now + REFUSED_START_PAUSE_S)
 
     def phase_reported(
         self, machine: Machine, placement: Placement, phase: str, now: Instant
@@ -96,11 +96,11 @@
                 self.cluster.stop(other, 0.0)
         self.writer.note_completions(job)
         # The window of tasks that may be placed may have moved on.
-        self.cluster.unplaced[job.id] = job
+        self.cluster.jobs_to_place[job.id] = job
 
     def _image_used(self, machine: Machine, job: Job) -> None:
         """The worker has the job's image, in its cache if the machine type has one."""
-        machine_type = self.cluster.machine_types.get(machine.type)
+        machine_type = self.cluster.machine_types.get(machine.machine_type)
         cache_gb = 0.0 if machine_type is None else machine_type.image_cache_gb
         machine.cache_image(ImageName(job.spec.image), job.spec.image_gb, cache_gb)
 
@@ -110,7 +110,7 @@
             return
         job.has_begun = True
         if not placement.adopted_from_predecessor:
-            waited_s = round(self.cluster.wall() - job.ready_at, 1)
+            waited_s = round(self.cluster.wall_clock() - job.ready_at, 1)
             log.info("job_began", job=job.id, waited_s=waited_s)
 
     def _log_late_replica(self, job: Job, placement: Placement, now: Instant) -> None:
@@ -123,7 +123,7 @@
         first_start = placement.task.number not in job.replicas_run
         job.replicas_run.add(placement.task.number)
         start_within_s, _ = self.cluster.class_aims.get(job.spec.job_class, (None, None))
-        waited_s = self.cluster.wall() - job.ready_at
+        waited_s = self.cluster.wall_clock() - job.ready_at
         if start_within_s is None or waited_s <= start_within_s:
             return
         if placement.adopted_from_predecessor or not first_start:
--- a/umberward/scheduling/unlocated_tasks.py
+++ b/umberward/scheduling/unlocated_tasks.py
@@ -48,7 +48,7 @@
                 del self.locate_until[job_id]
                 if job is not None:
                     job.requeue_unlocated()
-                    cluster.unplaced[job_id] = job
+                    cluster.jobs_to_place[job_id] = job
                     cluster.pass_wanted = True
 
     def forget_cancelled_jobs(self) -> None:
@@ -84,7 +84,7 @@
             if job.unlocated_tasks and cluster.quota.has_limit(job.team):
                 counted = usage.get(job.team, NO_RESOURCES)
                 usage[job.team] = counted.plus(job.need, len(job.unlocated_tasks))
-        if cluster.all_settled or not (usage or cluster.cancellations_unread):
+        if cluster.reconciliation_completed or not (usage or cluster.cancellations_unread):
             return usage
         # They are on machines not heard under this token, as far as these have room.
         capacity = self._unreconciled_capacity()
@@ -95,7 +95,7 @@
     def _jobs_to_count(self) -> Iterable[Job]:
         """Once all machines have settled, only the jobs that are still waited for matter."""
         cluster = self.cluster
-        if not cluster.all_settled:
+        if not cluster.reconciliation_completed:
             return (*cluster.jobs.values(), *cluster.cancelled_jobs.values())
         waited_for = (
             cluster.jobs.get(job_id) or cluster.cancelled_jobs.get(job_id)
@@ -108,7 +108,7 @@
         capacity = NO_RESOURCES
         for machine in self.cluster.machines.values():
             if not (machine.reconciled or machine.predecessor_expired):
-                machine_type = self.cluster.machine_types.get(machine.type)
+                machine_type = self.cluster.machine_types.get(machine.machine_type)
                 capacity = (
                     UNLIMITED if machine_type is None else capacity.plus(machine_type.capacity)
                 )
--- a/umberward/soak/cluster.py
+++ b/umberward/soak/cluster.py
@@ -70,18 +70,20 @@
             super().tick(now)
             return
         self.now = now
-        if self.alive and now - self.lease_from > self.times.lease_s:
+        if self.running_tasks and now - self.lease_renewed_at > self.times.lease_s:
             self.record(history.SessionOver(self.clock(), self.host))
 
     def start(self, name: str, attempt: int) -> None:
         """Start an attempt, and record it unless it was refused."""
-        known = set(self.alive)
+        known = set(self.running_tasks)
         now = self.clock()
         super().start(name, attempt)
         task = self.tasks[(name, attempt)]
         if name in known or task.cause in ("no_such", "in_use", "no_room"):
             return
-        self.record(history.TaskStarted(now, self.host, self.tenure, name, attempt, self.sent_at))
+        self.record(
+            history.TaskStarted(now, self.host, self.incarnation, name, attempt, self.sent_at)
+        )
         if task.over:
             self.record(history.TaskEnded(now, self.host, name, attempt, str(task.cause)))
 
@@ -265,7 +267,7 @@
 
     async def add_machines(self, count: int) -> None:
         """Add machines that have booted already, with their workers."""
-        machine_types = self.cloud.core.skus
+        machine_types = self.cloud.core.machine_types
         for number in range(count):
             now = time.monotonic()
             machine_type = machine_types[WORKER_TYPES[number % len(WORKER_TYPES)]]
@@ -284,10 +286,10 @@
             history.MachineUp(
                 self.now(),
                 machine.id,
-                machine.sku.name,
+                machine.machine_type.name,
                 machine.zone,
                 machine.spot,
-                machine.sku.cores,
+                machine.machine_type.cores,
             )
         )
         names = {address: name for name, address in self.nodes.items()}
--- a/umberward/soak/faults.py
+++ b/umberward/soak/faults.py
@@ -158,7 +158,7 @@
     def _hosts(self, count: int) -> list[str]:
         """The machines with the most tasks, at most `count`."""
         cores = [worker.core for worker, _ in self.cluster.workers.values()]
-        cores.sort(key=lambda core: (-len(core.alive), core.host))
+        cores.sort(key=lambda core: (-len(core.running_tasks), core.host))
         return [core.host for core in cores[:count]]
 
 
