--- a/run.py
+++ b/run.py
@@ -5,7 +5,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent / "target" / "deps"))
 
-from umberward.cli.main import run  # noqa: E402  (the path must be set first)
+from umberward.cli.main import run  # the path must be set first
 
 if __name__ == "__main__":
     run()
