--- a/umberward/scheduling/__init__.py
+++ b/umberward/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""What a holder of machines decides, without I/O: reports and results come in, effects go out."""
+"""Scheduling decisions without I/O: heartbeats and results in, commands and transactions out."""
