--- a/umberward/scheduling/cluster_state.py
+++ b/umberward/scheduling/cluster_state.py
@@ -31,7 +31,7 @@
 from umberward.protocol.wire import KILL, START, MachineType, TaskCommand
 from umberward.scheduling.headroom import Headroom
 from umberward.scheduling.invariants import Invariants
-from umberward.scheduling.job_timing import DEFAULT_WAIT_S, JobTiming
+from umberward.scheduling.job_timing import DEFAULT_START_WITHIN_S, JobTiming
 from umberward.scheduling.jobs import Job, Placement, PreemptionKey
 from umberward.scheduling.machines import Machine
 from umberward.scheduling.objectives import NO_AIM
@@ -41,7 +41,7 @@
 
 log = logger(__name__)
 
-REFUSED_START_PAUSE_S = 1.0  # pause of a job after an invariant refused one of its starts
+INVARIANT_REFUSAL_PAUSE_S = 1.0  # pause of a job after an invariant refused one of its starts
 
 
 class DirectCommand(NamedTuple):
@@ -205,11 +205,11 @@
     def barred_machines(self, job: Job, open_machines: set[MachineId]) -> set[MachineId]:
         """Return those of `open_machines` of which the job may use only what headroom leaves."""
         spec = self.headroom.latest_spec
-        wait_s = None
+        start_within_s = None
         if spec is not None:
-            wait_s, _ = self.class_aims.get(spec.job_class, NO_AIM)
+            start_within_s, _ = self.class_aims.get(spec.job_class, NO_AIM)
         return self.headroom.barred_machines(
-            job, open_machines, self.estimate(job), wait_s or DEFAULT_WAIT_S
+            job, open_machines, self.estimate(job), start_within_s or DEFAULT_START_WITHIN_S
         )
 
     def find_or_add_machine(
@@ -328,9 +328,11 @@
         if not placement.sent:
             self.release(machine, placement)
             return
-        self.command(machine, [TaskCommand(KILL, str(placement.task), placement.attempt, grace_s)])
+        self.queue_commands(
+            machine, [TaskCommand(KILL, str(placement.task), placement.attempt, grace_s)]
+        )
 
-    def command(self, machine: Machine, commands: list[TaskCommand]) -> None:
+    def queue_commands(self, machine: Machine, commands: list[TaskCommand]) -> None:
         """Put commands for a worker into the outbox, one message for each worker."""
         for message in self.outbox:
             if isinstance(message, DirectCommand) and message.machine == machine.id:
@@ -348,12 +350,14 @@
         job = self.jobs.get(placement.task.job)
         if not self.invariants.may_start(job, placement, self.tasks_without_placement):
             if job is not None:
-                job.retry_not_before = max(job.retry_not_before, self.now + REFUSED_START_PAUSE_S)
+                job.retry_not_before = max(
+                    job.retry_not_before, self.now + INVARIANT_REFUSAL_PAUSE_S
+                )
             self.release(machine, placement)
             return
         placement.sent = True
         machine.inflight_starts.sent(placement.task, placement.attempt)
-        self.command(machine, [TaskCommand(START, str(placement.task), placement.attempt)])
+        self.queue_commands(machine, [TaskCommand(START, str(placement.task), placement.attempt)])
 
     def has_unwanted_start(self, machine: Machine) -> bool:
         """Tell whether a start of a task that is to be stopped may still be executed there.
--- a/umberward/scheduling/dependencies.py
+++ b/umberward/scheduling/dependencies.py
@@ -163,7 +163,7 @@
             job.ready_at = WallTime(max(job.ready_at, ended_at))
         return [self.jobs.pop(ready_id) for ready_id in ready]
 
-    def job_gone(self, job_id: JobId) -> None:
+    def job_removed(self, job_id: JobId) -> None:
         """Forget a job whose live record is gone."""
         dependencies = list(self.graph.dependencies.get(job_id, ()))
         self.jobs.pop(job_id, None)
--- a/umberward/scheduling/job_records.py
+++ b/umberward/scheduling/job_records.py
@@ -1,4 +1,4 @@
-"""Takes the job records that were read from the state service into the scheduler. No I/O."""
+"""Apply job records read from the state service to the scheduler. No I/O."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 
 log = logger(__name__)
 
-ENDED_BEFORE_DEPENDENTS = 0.0  # a time of day before any submission
+# Wall-clock time before any submission: such an end does not delay when dependents become ready.
+ENDED_BEFORE_DEPENDENTS = 0.0
 
 
 def apply_changes(scheduler: Scheduler, changes: Sequence[wire.KeyChange]) -> None:
     """Apply the changes that a watch has returned.
 
-    Final records come first: whether a job was done or cancelled decides what becomes of its
-    dependents, and its live record is deleted in the same transaction.
+    Final records are applied first: a job's live record is deleted in the same transaction, and
+    whether the job was done or cancelled decides whether its dependents run.
     """
     apply_final_records(scheduler, changes)
     for change in changes:
@@ -31,7 +32,7 @@
 
 
 def apply_final_records(scheduler: Scheduler, changes: Sequence[wire.KeyChange]) -> None:
-    """Apply the final records among the changes that a watch has returned."""
+    """Apply only the final records among the changes that a watch has returned."""
     for change in changes:
         if change.put_key is not None and change.put_key.startswith(FINAL_JOBS_PREFIX):
             job_id = JobId(change.put_key[len(FINAL_JOBS_PREFIX) :])
@@ -54,8 +55,8 @@
 ) -> None:
     """Apply the live record of a job that the scheduler did not know.
 
-    `now` is a reading of the leader's steady clock. No task of a job with a malformed record can
-    start; its user sees the job as pending and can cancel it.
+    `now` is the leader's monotonic time. No task of a job with a malformed record can start; its
+    user sees the job as pending and can cancel it.
     """
     try:
         scheduler.adopt_unknown_job(wire.convert(found.data, JobRecord), found.version, now)
@@ -71,8 +72,8 @@
 ) -> None:
     """Apply the record of how a job has ended.
 
-    `default_ended_at` is the time of day of the end if the record has none, which means that no
-    job depended on this one when the record was written.
+    `default_ended_at` is the wall-clock time of the end if the record has none, which means that
+    no job depended on this one when the record was written.
     """
     try:
         final = wire.convert(data, FinalJobRecord)
--- a/umberward/scheduling/jobs.py
+++ b/umberward/scheduling/jobs.py
@@ -38,7 +38,7 @@
     "may_preempt",
 ]
 
-RECORD_SPARE_BYTES = 128  # of a record besides the spec and the bitmap
+RECORD_OVERHEAD_BYTES = 128  # of a record besides the spec and the bitmap
 TASKS_PER_BITMAP_BYTE = 4  # the bitmap is stored in hexadecimal digits
 # Bounds of the window: the tasks from the first unfinished one to the last that may be started.
 MIN_TASK_WINDOW = 16
@@ -94,12 +94,12 @@
 
     def _init_progress(self, record: JobRecord, value_limit: int) -> None:
         """The progress of the tasks as the record has it."""
-        spare_bytes = value_limit - wire.json_size(self.spec) - RECORD_SPARE_BYTES
+        spare_bytes = value_limit - wire.json_size(self.spec) - RECORD_OVERHEAD_BYTES
         self.window = max(
             MIN_TASK_WINDOW, min(MAX_TASK_WINDOW, spare_bytes * TASKS_PER_BITMAP_BYTE)
         )
         self.placed_below = record.placed_below
-        self.stored_progress = CompletedTasks.of_record(record)
+        self.stored_progress = CompletedTasks.from_record(record)
         self.done_below, self.done_bitmap = self.stored_progress
         self.progress_stored_at = 0.0  # by the leader's steady clock
         if self.gang and self.done_count:
@@ -121,7 +121,7 @@
         self.faulty = False  # its tasks fail on every machine: the job itself is at fault
         self.retry_count = 0  # attempts since it was found faulty
         self.longest_failed_run_s = 0.0
-        self.replicas_run: set[int] = set()  # replicas of a service that have run
+        self.started_replicas: set[int] = set()  # replicas of a service that have run
         self.has_begun = False  # one of its tasks was reported as running
         self.ran_well = False
         self.preempted_at = 0.0
@@ -144,10 +144,10 @@
         self.needs_prompt_start = (
             False  # accelerated work that should start soon after its submission
         )
-        self.next_goal_at = -math.inf  # the latest start that meets its next objective
+        self.next_latest_start = -math.inf  # the latest start that meets its next objective
 
     @classmethod
-    def of_remaining(cls, job_id: JobId, remaining: RemainingTasks) -> Job:
+    def from_remaining_tasks(cls, job_id: JobId, remaining: RemainingTasks) -> Job:
         """A cancelled job, of which only the resources matter that its tasks may still use."""
         spec = JobSpec(
             job_id=job_id,
@@ -369,14 +369,14 @@
         """The record and its companion writes are committed as `version`."""
         self.version = version
         self.placed_below = record.placed_below
-        self.stored_progress = CompletedTasks.of_record(record)
+        self.stored_progress = CompletedTasks.from_record(record)
         self.progress_stored_at = now
 
     def adopt_record(self, record: StoredProgressRecord, version: Version) -> None:
         """Take over the record that the state service has after a write of unknown outcome."""
         self.version = version
         self.placed_below = max(self.placed_below, record.placed_below)
-        self.stored_progress = CompletedTasks.of_record(record)
+        self.stored_progress = CompletedTasks.from_record(record)
 
     def encode_done_bitmap(self) -> str | None:
         """The bitmap of completions for the record; None: it does not fit.
--- a/umberward/scheduling/scheduler.py
+++ b/umberward/scheduling/scheduler.py
@@ -248,7 +248,7 @@
         self.jobs[job.id] = self.jobs_to_place[job.id] = job
         if job.complete:
             self.writer.note_completions(job)  # all tasks are done and its end was not written
-        job.needs_prompt_start = self.is_prompt(job)
+        job.needs_prompt_start = self.requires_prompt_start(job)
         if not job.placed_below:
             log.info(
                 "job_ready",
@@ -271,7 +271,7 @@
 
     def remove_job(self, job_id: JobId) -> None:
         """Stop a job whose live record is gone: it is done, or some controller cancelled it."""
-        self.waiting_jobs.job_gone(job_id)
+        self.waiting_jobs.job_removed(job_id)
         self.recently_ended[job_id] = self.now
         job = self.jobs.pop(job_id, None)
         self.jobs_to_place.pop(job_id, None)
@@ -296,7 +296,7 @@
         if not (
             self.reconciliation_completed or self.is_live(job_id) or job_id in self.recently_ended
         ):
-            self.cancelled_jobs.setdefault(job_id, Job.of_remaining(job_id, remaining))
+            self.cancelled_jobs.setdefault(job_id, Job.from_remaining_tasks(job_id, remaining))
 
     def find_unknown_jobs(self, entries: Iterable[wire.KeyValue], now: Instant) -> list[JobId]:
         """Return the live jobs among the records read just now that this leader does not know.
--- a/umberward/scheduling/state_writer.py
+++ b/umberward/scheduling/state_writer.py
@@ -194,7 +194,7 @@
             job.progress_stored_at = now
         elif wire.json_size(record) > self.value_limit:
             log.error("record_too_large", job=job.id)
-            self._park_job(job)
+            self._suspend_job(job)
         else:
             builder.add_job_record(job, record, companions)
 
@@ -213,7 +213,7 @@
         )
         return wire.FinalJobRecord(wire.DONE, job.size, ended_at)
 
-    def _park_job(self, job: Job) -> None:
+    def _suspend_job(self, job: Job) -> None:
         """Place no more tasks of a job that cannot get a record of its placement intents.
 
         Either its spec was accepted under wider limits and leaves no room for one, or its stored
@@ -312,7 +312,7 @@
             # jobs must not fail together with those of this one.
             log.error("record_malformed", job=job.id, error=error)  # noqa: TRY400 - no traceback
             job.record_unreadable = True
-            self._park_job(job)
+            self._suspend_job(job)
             return
         self.send_stored_starts(job)
 
--- a/umberward/scheduling/summaries.py
+++ b/umberward/scheduling/summaries.py
@@ -1,6 +1,6 @@
-"""Figures about the fleet and the commands in flight, for the leader's periodic log lines. No I/O.
+"""Summaries of the fleet and of commands in flight for the leader's periodic log lines. No I/O.
 
-The field names are those of the log lines (docs/operators/log.md) and stay as operators know them.
+The field names are part of the log format (docs/operators/log.md) and must not change.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 LogFields = dict[str, str | int | float | bool]
 
-UNKNOWN_JOB_CLASS = "-"  # class of tasks whose job is not live any more
+UNKNOWN_JOB_CLASS = "-"  # shown for tasks whose job is no longer live
 
 
 class _ClassBacklog(NamedTuple):
@@ -26,7 +26,7 @@
 
 
 def fleet_summary(cluster: ClusterState) -> list[LogFields]:
-    """Return one line of log fields for each machine offer, then one for each waiting job class."""
+    """Return the log fields of one line per machine offer, then of one per waiting job class."""
     return [*_offer_lines(cluster), *_backlog_lines(cluster)]
 
 
@@ -41,7 +41,7 @@
 
 
 def _offer_line(cluster: ClusterState, offer: MachineOffer, machines: list[Machine]) -> LogFields:
-    """Count the machines of one offer, how many are empty, and how much of them is allocated."""
+    """Count the machines of one offer, the empty ones, and the share of allocated cores."""
     total_cores = sum(
         cluster.machine_types[machine.machine_type].cores
         for machine in machines
@@ -88,7 +88,7 @@
 
 
 def inflight_summary(cluster: ClusterState, deferred_forgets: int) -> dict[str, int]:
-    """Count the starts that may still reach a worker, and what that has caused in this term."""
+    """Count the starts that may still reach a worker, and their effects in this term."""
     inflight_counts = [len(machine.inflight_starts) for machine in cluster.machines.values()]
     return {
         "may_arrive": sum(inflight_counts),
--- a/umberward/scheduling/task_adoption.py
+++ b/umberward/scheduling/task_adoption.py
@@ -1,4 +1,4 @@
-"""Adoption of tasks that a former leader started and that a worker still runs. No I/O."""
+"""Adoption of tasks that a previous leader started and that a worker still runs. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TaskAdoption:
-    """Gives placements to tasks that workers list and that this leader has not placed."""
+    """Creates placements for tasks that workers list and that this leader has not placed."""
 
     def __init__(self, cluster: ClusterState) -> None:
         """Adopt tasks into `cluster`."""
@@ -19,7 +19,7 @@
     def adopt(
         self, machine: Machine, task_id: TaskId, status: TaskStatus, now: Instant
     ) -> Placement | None:
-        """Place a listed task where it runs; returns None if it must be stopped instead."""
+        """Place a listed task on its machine; return None if it must be stopped instead."""
         job = self.cluster.jobs.get(task_id.job)
         if job is None:
             return self._adopt_cancelled(machine, task_id, status, now)
@@ -28,7 +28,7 @@
         placement = self._build_placement(machine, job, task_id, status, now)
         if placement is None:
             return None
-        job.replicas_run.add(task_id.number)
+        job.started_replicas.add(task_id.number)
         self._add(machine, job, placement)
         return placement
 
@@ -37,8 +37,8 @@
     ) -> Placement | None:
         """Place a task of a cancelled job, to be stopped at once.
 
-        It occupies resources and counts towards its team's quota until it ends. Returns None if
-        the job's record is not known, and with it what the task uses.
+        It occupies resources and counts towards its team's quota until it ends. Return None if the
+        job's record is not known, as the task's resources are then unknown too.
         """
         job = self.cluster.cancelled_jobs.get(task_id.job)
         if job is None or task_id.number not in job.unlocated_tasks:
@@ -53,7 +53,7 @@
         return placement
 
     def _may_adopt(self, machine: Machine, job: Job, task_id: TaskId, status: TaskStatus) -> bool:
-        """Whether a former leader can have placed this attempt, and no other one stands."""
+        """Return whether a previous leader may have placed it and it has no other placement."""
         if not self.cluster.loaded or task_id.number >= job.size or job.is_done(task_id.number):
             return False
         if task_id in machine.placements or task_id.number in job.placements:
@@ -81,5 +81,5 @@
 
 
 def _is_gang_attempt(job: Job, attempt: int) -> bool:
-    """Whether all placed tasks of a gang are of this attempt: a gang runs as one attempt."""
+    """Return whether all placed tasks of a gang have this attempt: a gang runs as one attempt."""
     return all(placement.attempt == attempt for placement in job.placements.values())
--- a/umberward/scheduling/task_progress.py
+++ b/umberward/scheduling/task_progress.py
@@ -1,4 +1,4 @@
-"""What follows from the phases and exits of tasks that workers report. No I/O."""
+"""Handling of the task phases and exits that workers report. No I/O."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 log = logger(__name__)
 
 FAILED_CAUSE = "error"  # the task itself failed (PROTOCOL, "POST /hello")
-REFUSED_START_CAUSES = ("no_room", "in_use", "no_such")  # the worker did not start it
-REFUSED_START_PAUSE_S = 0.5  # before other tasks of the job are placed
+REFUSED_START_CAUSES = ("no_room", "in_use", "no_such")  # the worker did not start the task
+WORKER_REFUSAL_PAUSE_S = 0.5  # pause of a job after a worker refused one of its starts
 RUNTIME_RATIO_MIN, RUNTIME_RATIO_MAX = 0.1, 10.0  # of the actual to the expected run time
-RUNTIME_RATIO_WEIGHT = 0.05  # of the latest task in a class's moving average
+RUNTIME_RATIO_WEIGHT = 0.05  # weight of the latest task in its class's moving average
 
 
 class TaskProgress:
-    """Applies the phases and exits of tasks to placements, jobs and statistics."""
+    """Applies task phases and exits to placements, jobs and run time statistics."""
 
     def __init__(
         self, cluster: ClusterState, failure_attribution: FailureAttribution, writer: StateWriter
     ) -> None:
-        """Failures are passed to `failure_attribution`, completions to `writer`."""
+        """Pass failures to `failure_attribution` and completions to `writer`."""
         self.cluster = cluster
         self.failure_attribution = failure_attribution
         self.writer = writer
@@ -40,7 +40,7 @@
         placement: Placement | None,
         now: Instant,
     ) -> None:
-        """Apply an exit; `placement` is that of the exited attempt, if it still stands."""
+        """Apply an exit; `placement` is that of the exited attempt, None if it was released."""
         job = self.cluster.jobs.get(task_id.job)
         if placement is not None:
             placement.seen_on_worker = True
@@ -57,7 +57,7 @@
             log.debug("task_exited", task=task_id, machine=machine.id, cause=status.cause)
             if status.cause in REFUSED_START_CAUSES:
                 log.info("start_refused", machine=machine.id, task=task_id, cause=status.cause)
-                job.retry_not_before = max(job.retry_not_before, now + REFUSED_START_PAUSE_S)
+                job.retry_not_before = max(job.retry_not_before, now + WORKER_REFUSAL_PAUSE_S)
 
     def phase_reported(
         self, machine: Machine, placement: Placement, phase: str, now: Instant
@@ -71,7 +71,7 @@
         if job is None:
             return
         if phase in (wire.RUNNING, wire.WAITING_FOR_GANG):
-            self._image_used(machine, job)
+            self._record_image_use(machine, job)
         if phase == wire.RUNNING and placement.running_since is None:
             placement.running_since = now
             self._log_job_began(job, placement)
@@ -85,7 +85,7 @@
         placement: Placement | None,
         now: Instant,
     ) -> None:
-        """Mark the task, and those that complete with it, as done and to be stored."""
+        """Mark the task and those that complete with it as done, and queue them for storing."""
         self.failure_attribution.task_succeeded(machine, job, placement, now)
         if placement is not None and placement.running_since is not None:
             self._record_runtime(job, now - placement.running_since)
@@ -95,17 +95,17 @@
             if other is not None and not job.gang:
                 self.cluster.stop(other, 0.0)
         self.writer.note_completions(job)
-        # The window of tasks that may be placed may have moved on.
+        # The window of tasks that may be placed may have advanced.
         self.cluster.jobs_to_place[job.id] = job
 
-    def _image_used(self, machine: Machine, job: Job) -> None:
-        """The worker has the job's image, in its cache if the machine type has one."""
+    def _record_image_use(self, machine: Machine, job: Job) -> None:
+        """Record that the worker has the job's image, cached if the machine type has a cache."""
         machine_type = self.cluster.machine_types.get(machine.machine_type)
         cache_gb = 0.0 if machine_type is None else machine_type.image_cache_gb
         machine.cache_image(ImageName(job.spec.image), job.spec.image_gb, cache_gb)
 
     def _log_job_began(self, job: Job, placement: Placement) -> None:
-        """Log the wait of a job's first task; an adopted task began under a former leader."""
+        """Log how long the job waited for its first task, unless a previous leader started it."""
         if job.has_begun:
             return
         job.has_begun = True
@@ -114,14 +114,14 @@
             log.info("job_began", job=job.id, waited_s=waited_s)
 
     def _log_late_replica(self, job: Job, placement: Placement, now: Instant) -> None:
-        """Log how a replica missed its class's start objective, so that operators can improve it.
+        """Log a replica that missed its class's start objective, with what operators can act on.
 
         Only the first start of each replica counts, and only under the leader that placed it.
         """
         if not job.service:
             return
-        first_start = placement.task.number not in job.replicas_run
-        job.replicas_run.add(placement.task.number)
+        first_start = placement.task.number not in job.started_replicas
+        job.started_replicas.add(placement.task.number)
         start_within_s, _ = self.cluster.class_aims.get(job.spec.job_class, (None, None))
         waited_s = self.cluster.wall_clock() - job.ready_at
         if start_within_s is None or waited_s <= start_within_s:
