--- a/umberward/scheduling/cluster_state.py
+++ b/umberward/scheduling/cluster_state.py
@@ -1,8 +1,8 @@
 """The state of a cluster as its leader knows it: jobs, machines and placements. No I/O.
 
-What one part of the scheduler decides, the others see here; the parts know the cluster state and
-never each other's insides. Its methods are what several parts need: where a job may run, and the
-steps that keep a placement's accounts from the decision until its task is surely off the machine.
+The parts of the scheduler share their decisions through this state and don't depend on each
+other's internals. Its methods are those that several parts need: where a job may run, and the
+bookkeeping of a placement from the decision until its task is certainly off the machine.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class DirectCommand(NamedTuple):
-    """Task commands to send to a worker at once, not in a heartbeat's response."""
+    """Task commands sent to a worker at once instead of in a heartbeat's response."""
 
     machine: MachineId
     address: str
@@ -70,89 +70,92 @@
         machine_types: dict[MachineTypeName, MachineType],
         fencing_token: FencingToken,
         now: Instant,
-        wall: Callable[[], WallTime],
+        wall_clock: Callable[[], WallTime],
         rng: random.Random,
     ) -> None:
         """Start a term with an empty cluster.
 
-        `machine_types` is the cloud's list, which its owner keeps up to date; `now` is this
-        process's monotonic clock; `wall` reads its wall clock; `rng` breaks ties.
+        `machine_types` is the cloud's list, updated in place by the caller; `now` is this
+        process's monotonic time; `wall_clock` reads its wall clock; `rng` breaks ties.
         """
         cluster = settings.platform.cluster
         super().__init__(cluster.objectives, machine_types)
         self.worker_times = cluster.workers
-        self.value_limit = int(cluster.state.strictest().value_kb * 1024)  # bytes of a record
+        # Largest value of the state service, in bytes.
+        self.value_limit = int(cluster.state.strictest().value_kb * 1024)
         self.operator = settings.operator
         self.quota = Quota(cluster.teams)
-        self.wall_clock = wall
+        self.wall_clock = wall_clock
         self.rng = rng
         self.invariants = Invariants()
-        self.loaded = False  # the jobs and machines of the previous term have been read
-        self.reconciliation_completed = (
-            False  # what each machine runs is known, or it runs nothing any more
-        )
-        self.pass_wanted = True  # something changed that may let a task start
+        self.loaded = False  # the stored jobs and machines have been read
+        # For each machine, it is known what it runs or certain that it runs nothing any more.
+        self.reconciliation_completed = False
+        self.pass_wanted = True  # something changed that may allow a task to start
         self._init_term(fencing_token, now)
         self._init_jobs()
         self._init_machines(now)
         self._init_counters()
-        self.outbox: list[DirectCommand | Probe] = []  # to be sent by the leader's loop
+        self.outbox: list[DirectCommand | Probe] = []  # sent by the leader's event loop
 
     def _init_term(self, fencing_token: FencingToken, now: Instant) -> None:
-        """Set the fencing tokens, and the times of the leader's monotonic clock."""
-        self.fencing_token = fencing_token  # the one in use; rises with a rotation
-        self.term_token = fencing_token  # the one with which the term began
-        self.higher_token_seen = FencingToken(0)  # a higher one that a worker has seen
+        """Initialize the fencing tokens and the times, which are monotonic."""
+        self.fencing_token = fencing_token  # current token; increases with each rotation
+        self.term_token = fencing_token  # token at the start of the term
+        self.higher_token_seen = FencingToken(0)  # higher token that a worker has reported
         self.token_rotation = TokenRotation()
         self.started_at = now
         self.now = now
-        self.last_wake = now  # when the clock was last read
-        self.last_heartbeat_at = now  # when any worker was last heard of
-        # Every cancellation before this time is known: when the latest listing of the jobs that
-        # was answered had been asked for. None: this term has read none yet.
+        self.last_wake = now  # last check for a pause of this process
+        self.last_heartbeat_at = now  # last heartbeat of any worker
+        # Every cancellation before this time is known: when the latest answered listing of the
+        # jobs was requested. None: no listing has been read in this term.
         self.jobs_read_at: Instant | None = None
 
     def _init_jobs(self) -> None:
-        """Set the fields that concern jobs."""
-        self.jobs: dict[JobId, Job] = {}  # live ones whose dependencies are done
-        # Cancelled ones with tasks that a previous leader placed and that were not found yet.
+        """Initialize the fields about jobs."""
+        self.jobs: dict[JobId, Job] = {}  # live jobs whose dependencies are done
+        # Cancelled jobs with tasks that a previous leader placed and that are not located yet.
         self.cancelled_jobs: dict[JobId, Job] = {}
-        # Which jobs were cancelled lately could not be read: any machine may run tasks of theirs.
+        # The recently cancelled jobs could not be read: any machine may run tasks of such jobs.
         self.cancellations_unread = False
-        # Jobs that may have tasks to place, in the order in which they came to have some.
+        # Jobs that may have tasks to place, in the order in which they were added here.
         self.jobs_to_place: dict[JobId, Job] = {}
-        self.jobs_to_write: set[JobId] = set()  # with a placement intent or an end to store
+        self.jobs_to_write: set[JobId] = set()  # jobs with a placement intent or an end to store
         self.standings_outdated = True
-        # Placements by who may preempt them: for most jobs there are none, and no use in looking.
+        # Number of placements by preemption key: most jobs can preempt none, and then no machine
+        # needs to be examined.
         self.running_by_key: Counter[PreemptionKey] = Counter()
 
     def _init_machines(self, now: Instant) -> None:
-        """Set the fields that concern machines."""
+        """Initialize the fields about machines."""
         self.machines: dict[MachineId, Machine] = {}
         self.schedulable = SchedulableMachines()
-        self.unscheduled_checks: list[Machine] = []  # new ones, without a time for their checks
-        self.unanswered_probes: set[MachineId] = set()  # those that did not answer a probe lately
-        self.machines_to_delete: set[MachineId] = set()  # as soon as the cloud answers
-        # Deleted ones, whose late heartbeats are ignored; a dict, as the oldest are dropped.
+        self.unscheduled_checks: list[Machine] = []  # new machines without a time for their checks
+        # Machines that recently did not answer a probe.
+        self.unanswered_probes: set[MachineId] = set()
+        self.machines_to_delete: set[MachineId] = set()  # to request as soon as the cloud answers
+        # Deleted machines, whose late heartbeats are ignored. A dict keeps the order, so that the
+        # oldest can be dropped.
         self.deleted_machines: dict[MachineId, None] = {}
-        self.offers: set[MachineOffer] = set()  # those of which there is a machine
-        self.offers_version = 0  # how often these, or the machine types, have changed
+        self.offers: set[MachineOffer] = set()  # offers with at least one machine
+        self.offers_version = 0  # number of changes of the offers or the machine types
         self.headroom = Headroom(self.machine_types, now)
-        self.headroom_machines: set[MachineId] = set()  # kept open for accelerated work
-        # Tasks that workers run without a placement, on all machines.
+        self.headroom_machines: set[MachineId] = set()  # machines kept open for accelerated work
+        # Tasks that workers run without a placement, with the number of machines that run each.
         self.tasks_without_placement: Counter[TaskId] = Counter()
 
     def _init_counters(self) -> None:
-        """Set the counters of work done, by which tests bound the cost of events and passes."""
-        self.heartbeats_decoded = 0  # heartbeats that were decoded in full
+        """Initialize the work counters, by which tests bound the cost of events and passes."""
+        self.heartbeats_decoded = 0  # heartbeats decoded in full
         self.jobs_examined = 0  # jobs examined for tasks to place
         self.machines_examined = 0  # machines examined for work to preempt
-        self.searches = 0  # searches for room among all machines
+        self.searches = 0  # searches for free resources among all machines
 
     # ---- where jobs may run --------------------------------------------------------------
 
     def set_standing(self, job: Job, priority: int, standing: tuple[int, int]) -> None:
-        """Set who is served before the job, and who may be preempted for it, from now on."""
+        """Set the job's priority and service rank, which also decide what it may preempt."""
         if (priority, standing) == (job.priority, job.standing):
             return
         job.priority, job.standing = priority, standing
@@ -171,7 +174,7 @@
         zone: ZoneName,
         spot: bool,  # noqa: FBT001 - the fields of a MachineOffer, in order
     ) -> bool:
-        """Tell whether the job's constraints admit such a machine, whatever its size."""
+        """Tell whether the job's constraints admit such a machine, regardless of its size."""
         spec = job.spec
         return (
             (spec.machine_types is None or machine_type in spec.machine_types)
@@ -180,7 +183,7 @@
         )
 
     def suitable_offers(self, job: Job) -> set[MachineOffer]:
-        """Return the offers in use on which a task of the job may run, were the machine empty."""
+        """Return the offers in use of which an empty machine could run a task of the job."""
         if job.suitable_offers is None or job.suitable_offers[0] != self.offers_version:
             suitable = set()
             for offer in self.offers:
@@ -193,17 +196,17 @@
         return job.suitable_offers[1]
 
     def schedulable_room(self) -> tuple[list[Machine], dict[MachineId, Resources]]:
-        """Return the machines that may be given tasks, and a copy of the free room on each."""
+        """Return the schedulable machines and a copy of the free resources on each."""
         self.schedulable.refresh(self.machines, self.machine_types)
         return list(self.schedulable.machines.values()), dict(self.schedulable.free)
 
     def machine_types_changed(self) -> None:
-        """Examine all machines anew, as the cloud's list of machine types was read again."""
+        """Re-examine all machines after the cloud's list of machine types was read again."""
         self.offers_version += 1
         self.schedulable.changed.update(dict.fromkeys(self.machines))
 
     def barred_machines(self, job: Job, open_machines: set[MachineId]) -> set[MachineId]:
-        """Return those of `open_machines` of which the job may use only what headroom leaves."""
+        """Return those of `open_machines` on which the job may not use the reserved headroom."""
         spec = self.headroom.latest_spec
         start_within_s = None
         if spec is not None:
@@ -221,7 +224,7 @@
         spot: bool,  # noqa: FBT001 - the fields of a stored machine, in order
         now: Instant,
     ) -> Machine:
-        """Return the machine of this id, which is added if it is not known."""
+        """Return the machine with this id; add it if it is not known."""
         machine = self.machines.get(machine_id)
         if machine is None:
             machine = self.machines[machine_id] = Machine(
@@ -234,13 +237,13 @@
         return machine
 
     def heartbeat_timeout(self) -> float:
-        """Return after how many seconds without a heartbeat a machine counts as silent."""
+        """Return the seconds without a heartbeat after which a machine counts as silent."""
         return max(self.operator.silence_seconds, self.worker_times.report_s * 1.25 + 1.0)
 
     # ---- placements ----------------------------------------------------------------------
 
     def add_placement(self, machine: Machine, job: Job, placement: Placement) -> None:
-        """Account for a placement on the machine, the job and the team's quota."""
+        """Add a placement to the machine, the job and the usage of the team's quota."""
         machine.placements_changed()
         machine.placements[placement.task] = placement
         self.running_by_key[placement.preemption_key] += 1
@@ -253,10 +256,11 @@
         self.quota.reserve(placement.team, placement.need)
 
     def release(self, machine: Machine, placement: Placement, *, requeue: bool = True) -> None:
-        """Drop a placement whose attempt is surely off its machine; a repeated call does nothing.
+        """Remove a placement whose attempt is certainly off its machine; idempotent.
 
-        Releasing one task of a gang releases those of the others that were not sent, and a caller
-        that walks all tasks of a machine comes to these again. `requeue`: the task is to run again.
+        Releasing one task of a gang also releases the others whose start was not sent, so a caller
+        that iterates over all tasks of a machine may release these twice. `requeue`: the task is
+        to run again.
         """
         if machine.placements.get(placement.task) is not placement:
             return
@@ -285,13 +289,13 @@
         job.put_back(placement.task.number)
         self.jobs_to_place[job.id] = job
         if job.gang:
-            # The rest of a gang is of no use without this task.
+            # The rest of a gang cannot run without this task.
             for other in list(job.placements.values()):
                 if other.stop_grace_s is None:
                     self.stop(other, 0.0)
 
     def release_all(self, machine: Machine, reason: str) -> None:
-        """Drop all that the machine ran: its incarnation is over; `reason` goes to the log."""
+        """Release all placements of a machine whose incarnation has ended; log the `reason`."""
         if machine.placements:
             log.info("tasks_lost", machine=machine.id, tasks=len(machine.placements), reason=reason)
         machine.inflight_starts.incarnation_ended()
@@ -302,13 +306,13 @@
         self.clear_unplaced_tasks(machine)
 
     def add_unplaced_task(self, machine: Machine, task: TaskId) -> None:
-        """Note a task that the machine runs without a placement, and that is to be stopped."""
+        """Record a task that the machine runs without a placement and that is to be stopped."""
         if task not in machine.unplaced_tasks:
             machine.unplaced_tasks.add(task)
             self.tasks_without_placement[task] += 1
 
     def clear_unplaced_tasks(self, machine: Machine) -> None:
-        """Forget the tasks that the machine was noted to run without a placement."""
+        """Forget the tasks that the machine was recorded to run without a placement."""
         for task in machine.unplaced_tasks:
             self.tasks_without_placement[task] -= 1
             if not self.tasks_without_placement[task]:
@@ -316,7 +320,7 @@
         machine.unplaced_tasks.clear()
 
     def stop(self, placement: Placement, grace_s: float) -> None:
-        """Stop a task, with so many seconds to save a checkpoint; a shorter grace overrides."""
+        """Stop a task with `grace_s` seconds to save a checkpoint; a shorter grace overrides."""
         if placement.stop_grace_s is not None and placement.stop_grace_s <= grace_s:
             return
         placement.stop_grace_s = grace_s
@@ -333,7 +337,7 @@
         )
 
     def queue_commands(self, machine: Machine, commands: list[TaskCommand]) -> None:
-        """Put commands for a worker into the outbox, one message for each worker."""
+        """Add commands for a worker to its message in the outbox, one message per worker."""
         for message in self.outbox:
             if isinstance(message, DirectCommand) and message.machine == machine.id:
                 message.commands.extend(commands)
@@ -345,7 +349,7 @@
         )
 
     def send_start(self, placement: Placement) -> None:
-        """Start a task whose intent is stored, unless an invariant refuses it."""
+        """Send the start of a task whose intent is stored, unless an invariant refuses it."""
         machine = self.machines[placement.machine]
         job = self.jobs.get(placement.task.job)
         if not self.invariants.may_start(job, placement, self.tasks_without_placement):
@@ -362,9 +366,9 @@
     def has_unwanted_start(self, machine: Machine) -> bool:
         """Tell whether a start of a task that is to be stopped may still be executed there.
 
-        A higher fencing token makes it void, or the end of the worker's session: without the first,
-        the second must not be delayed. An attempt that the worker lists, exited or not, is not
-        started by it.
+        Only a higher fencing token or the end of the worker's session makes such a start void, so
+        without a higher token the session must not be kept alive. A start has no effect on an
+        attempt that the worker already lists, exited or not.
         """
         for task, attempt in machine.inflight_starts:
             placement = machine.placements.get(task)
--- a/umberward/scheduling/dependencies.py
+++ b/umberward/scheduling/dependencies.py
@@ -1,10 +1,9 @@
-"""Jobs that wait for others, and what these others owe to them. No I/O.
+"""Jobs that wait for dependencies, and the demand that they pass on to these. No I/O.
 
-`DependencyGraph` tells, from the records that were read so far, which jobs may start, which can
-never run because a dependency was cancelled, and of which that is not known yet. The leader and
-every controller's copy of the jobs' states use it, so that all come to the same answer.
-`WaitingJobs` holds the leader's waiting jobs, and passes the demand of dependents on to their
-dependencies.
+`DependencyGraph` tells from the records read so far which jobs may start, which can never run
+because a dependency was cancelled, and for which this is not known yet. The leader and every
+controller's cache of job states use it, so that all come to the same result. `WaitingJobs` holds
+the leader's waiting jobs and propagates the demand of dependents to their dependencies.
 """
 
 from __future__ import annotations
@@ -17,24 +16,25 @@
 from umberward.scheduling.cluster_state import ClusterState
 from umberward.scheduling.jobs import NO_DEMAND, DependentDemand, Job
 
-DEMAND_LEARNING_RATE = 0.1  # how much one job says about its class
-EXPECTED_DEMAND_SHARE = 0.5  # of a class's jobs must have had dependents for more to be expected
+DEMAND_LEARNING_RATE = 0.1  # weight of one job in the moving average of its class
+# Share of a class's jobs that must have had dependents for its next jobs to be expected to.
+EXPECTED_DEMAND_SHARE = 0.5
 
 
 class DependencyGraph:
-    """Which job waits for which. Only jobs that still wait are in it: others cost nothing."""
+    """The dependencies of waiting jobs. Other jobs are not in it and cost nothing."""
 
     def __init__(self, is_live: Callable[[JobId], bool]) -> None:
-        """`is_live` tells whether a job is live as far as the owner of the graph knows."""
+        """Start empty; `is_live` tells whether the graph's owner knows a job as live."""
         self.is_live = is_live
         # By waiting job: the dependencies that are not done yet.
         self.dependencies: dict[JobId, set[JobId]] = {}
         # By dependency: the jobs that wait for it.
         self.dependents: dict[JobId, set[JobId]] = {}
-        # Dependencies that are not live and whose end was not seen: their final records must be
-        # looked up before their dependents may start. The keys only, in the order of adding.
+        # Dependencies that are not live and whose end is not known: their final records must be
+        # looked up before their dependents may start. A dictionary used as an ordered set.
         self.unresolved_ids: dict[JobId, None] = {}
-        # By waiting job that can never run: the cancelled dependency that is the cause.
+        # By waiting job that can never run: the cancelled dependency that caused it.
         self.cancelled_by: dict[JobId, JobId] = {}
 
     def add(self, job_id: JobId, dependency_ids: Iterable[JobId]) -> None:
@@ -50,11 +50,11 @@
                 self.unresolved_ids[dependency_id] = None
 
     def note_live(self, job_id: JobId) -> None:
-        """Note that the job is live: its end is not unknown but yet to come."""
+        """Note that the job is live: it has not ended yet and need not be looked up."""
         self.unresolved_ids.pop(job_id, None)
 
     def note_started(self, job_id: JobId) -> None:
-        """Note that the job's record says that it waits for nothing any more."""
+        """Note that, according to its record, the job no longer waits for others."""
         self._remove(job_id)
 
     def note_ended(self, job_id: JobId, phase: str) -> list[JobId]:
@@ -69,21 +69,21 @@
             return []
         ready = []
         for dependent_id in dependents:
-            left = self.dependencies[dependent_id]
-            left.discard(job_id)
-            if not left and dependent_id not in self.cancelled_by:
+            remaining = self.dependencies[dependent_id]
+            remaining.discard(job_id)
+            if not remaining and dependent_id not in self.cancelled_by:
                 del self.dependencies[dependent_id]
                 ready.append(dependent_id)
         return sorted(ready)
 
     def note_gone(self, job_id: JobId) -> None:
-        """Note that the job's live record is gone, and that its end was not seen."""
+        """Note that the job's live record was deleted and its end is not known."""
         self._remove(job_id)
         if job_id in self.dependents:
             self.unresolved_ids[job_id] = None
 
     def unresolved(self, job_id: JobId) -> set[JobId]:
-        """Return the jobs to look up in order to tell whether this job can ever run."""
+        """Return the jobs to look up to determine whether this job can ever run."""
         if not self.unresolved_ids:
             return set()
         found: set[JobId] = set()
@@ -99,14 +99,14 @@
         return found
 
     def clear(self) -> None:
-        """Forget everything; for when all records are read anew."""
+        """Remove everything, before all records are read again."""
         self.dependencies.clear()
         self.dependents.clear()
         self.unresolved_ids.clear()
         self.cancelled_by.clear()
 
     def _remove(self, job_id: JobId) -> None:
-        """Drop a job that waits for nothing any more."""
+        """Remove a job that no longer waits for others."""
         self.cancelled_by.pop(job_id, None)
         for dependency_id in self.dependencies.pop(job_id, ()):
             dependents = self.dependents.get(dependency_id)
@@ -127,16 +127,16 @@
 
 
 class WaitingJobs:
-    """The leader's jobs that wait for others: nothing else counts them until they may start."""
+    """The leader's jobs that wait for dependencies; only counted here until they may start."""
 
     def __init__(self, cluster: ClusterState) -> None:
         """Keep the demand on live jobs in `cluster.demands`."""
         self.cluster = cluster
         self.jobs: dict[JobId, Job] = {}
         self.demands = cluster.demands
-        # By job class: the share of its jobs that had dependents, and the priority of these. Some
-        # users submit the last job of a pipeline only when the others are over, and it should get
-        # through as well.
+        # By job class: the share of its jobs that had dependents, and the priority of the
+        # dependents. Some users submit the last job of a pipeline only after the others have
+        # ended; such a pipeline should be served in time as well.
         self.class_demand: dict[str, tuple[float, int]] = {}
         self.graph = DependencyGraph(lambda job_id: job_id in cluster.jobs or job_id in self.jobs)
 
@@ -149,7 +149,7 @@
     def job_ended(self, job_id: JobId, phase: str, ended_at: float) -> list[Job]:
         """Apply a job's committed end; return the jobs that may start now.
 
-        `ended_at`: a time of day, in seconds.
+        `ended_at`: wall-clock time, in seconds.
         """
         dependents = list(self.graph.dependents.get(job_id, ()))
         dependencies = list(self.graph.dependencies.get(job_id, ()))
@@ -164,7 +164,7 @@
         return [self.jobs.pop(ready_id) for ready_id in ready]
 
     def job_removed(self, job_id: JobId) -> None:
-        """Forget a job whose live record is gone."""
+        """Remove a job whose live record was deleted."""
         dependencies = list(self.graph.dependencies.get(job_id, ()))
         self.jobs.pop(job_id, None)
         self.graph.note_gone(job_id)
@@ -172,18 +172,17 @@
         self._recompute_demand(dependencies)
 
     def jobs_to_cancel(self, limit: int) -> list[Job]:
-        """Return up to `limit` jobs that can never run; their live records are to be ended."""
+        """Return up to `limit` jobs that can never run and are to be stored as cancelled."""
         return [self.jobs[job_id] for job_id in islice(self.graph.cancelled_by, limit)]
 
     def demand_on(self, job_id: JobId) -> DependentDemand:
-        """Return what the job's live dependents ask of it."""
+        """Return what the job's live dependents require of it."""
         return self.demands.get(job_id, NO_DEMAND)
 
     def service_standing(self, job: Job) -> tuple[int, int]:
-        """Return the job's standing in the order of service.
+        """Return the job's service rank, including the demand that is expected for its class.
 
-        It includes the demand that is expected for its class. Nothing is preempted on an
-        expectation: that takes a live job that depends on this one.
+        Expected demand alone preempts nothing: that requires a live job that depends on this one.
         """
         share, priority = self.class_demand.get(job.spec.job_class, (0.0, job.priority))
         guaranteed, own_priority = job.standing
@@ -192,7 +191,7 @@
         return (guaranteed, own_priority)
 
     def _learn_demand(self, job_id: JobId) -> None:
-        """Count whether a job that has ended had dependents."""
+        """Update the demand of a class with whether its ended job had dependents."""
         job = self.cluster.jobs.get(job_id)
         if job is None or job.spec.job_class not in self.class_demand:
             return
@@ -204,7 +203,7 @@
     # ---- demand on dependencies ----------------------------------------------------------
 
     def _demand_of(self, job_id: JobId) -> DependentDemand:
-        """Return what this waiting job asks of its dependencies."""
+        """Return what this waiting job requires of its dependencies."""
         job = self.jobs[job_id]
         priority, finish_by = self.demand_on(job_id)
         if job.spec.deadline_s is not None:
@@ -215,7 +214,7 @@
         )
 
     def _propagate_demand(self, job_ids: list[JobId]) -> None:
-        """Pass added demand on from job to job towards the first, while it changes anything."""
+        """Propagate added demand to direct and indirect dependencies until nothing changes."""
         to_visit = job_ids
         while to_visit:
             job_id = to_visit.pop()
@@ -232,7 +231,7 @@
                     to_visit.append(dependency_id)
 
     def _recompute_demand(self, job_ids: list[JobId]) -> None:
-        """Find the demand on these jobs anew, as a dependent of theirs is gone."""
+        """Recompute the demand on these jobs after one of their dependents was removed."""
         to_visit = job_ids
         while to_visit:
             job_id = to_visit.pop()
--- a/umberward/scheduling/jobs.py
+++ b/umberward/scheduling/jobs.py
@@ -1,8 +1,8 @@
-"""Unfinished jobs and the progress of their tasks, as the leader keeps account of them. No I/O.
+"""Unfinished jobs and the progress of their tasks, as tracked by the leader. No I/O.
 
-The record that the state service has of a job runs behind what the leader knows: tasks below
+A job's record in the state service is less precise than the leader's knowledge: any task below
 `placed_below` may have been placed by some leader, and the stored completions are those of an
-earlier moment (see `wire.JobRecord`).
+earlier time (see `wire.JobRecord`).
 """
 
 from __future__ import annotations
@@ -38,9 +38,9 @@
     "may_preempt",
 ]
 
-RECORD_OVERHEAD_BYTES = 128  # of a record besides the spec and the bitmap
-TASKS_PER_BITMAP_BYTE = 4  # the bitmap is stored in hexadecimal digits
-# Bounds of the window: the tasks from the first unfinished one to the last that may be started.
+RECORD_OVERHEAD_BYTES = 128  # reserved in a record for all fields besides the spec and the bitmap
+TASKS_PER_BITMAP_BYTE = 4  # the bitmap is stored as hexadecimal digits, one byte each
+# Bounds of the task window: tasks from the first unfinished one to the last that may be started.
 MIN_TASK_WINDOW = 16
 MAX_TASK_WINDOW = 8192
 
@@ -48,8 +48,8 @@
 class DependentDemand(NamedTuple):
     """What the jobs that depend on a job require of it.
 
-    `priority`: the most urgent one of theirs; `finish_by`: the time of day, in seconds, by which
-    it must be done.
+    `priority`: the most urgent priority of the dependents; `finish_by`: the wall-clock time, in
+    seconds, by which the job must be done.
     """
 
     priority: int
@@ -60,18 +60,18 @@
 
 
 class Job:
-    """An unfinished job. Its tasks are numbered from 0, and `index` is the number of a task.
+    """An unfinished job. Its tasks are numbered from 0; `index` is the number of a task.
 
-    `attributes_failures_per_task`: whether the job decides itself, task by task, which failures
-    are the fault of machines. `conditions`: keys that must still have these versions in the state
-    service when the job's record is written.
+    `attributes_failures_per_task`: whether the job itself decides for each task which failures
+    are the fault of machines. `conditions`: keys in the state service that must still have these
+    versions when the job's record is written.
     """
 
     attributes_failures_per_task = False
     conditions: tuple[tuple[Key, Version], ...] = ()
 
     def __init__(self, record: JobRecord, version: Version, value_limit: int) -> None:
-        """A job as a leader reads it; `value_limit`: bytes of a value in the state service."""
+        """Create a job from its record; `value_limit`: bytes of a value in the state service."""
         spec = record.spec
         self.spec: JobSpec = spec
         self.id = JobId(spec.job_id)
@@ -81,8 +81,8 @@
         self.gang = spec.kind == wire.GANG
         self.service = spec.kind == wire.SERVICE
         self.size = spec.task_count
-        # The deadline counts from the submission; the other objectives count from the moment when
-        # the last dependency was done.
+        # The deadline counts from the submission, the other objectives from the end of the last
+        # dependency.
         self.submitted_at = WallTime(record.submitted_at)
         self.ready_at = WallTime(record.ready_at or record.submitted_at)
         self.version = version
@@ -93,44 +93,45 @@
         self._init_scheduling()
 
     def _init_progress(self, record: JobRecord, value_limit: int) -> None:
-        """The progress of the tasks as the record has it."""
-        spare_bytes = value_limit - wire.json_size(self.spec) - RECORD_OVERHEAD_BYTES
+        """Initialize the progress of the tasks from the record."""
+        bitmap_bytes = value_limit - wire.json_size(self.spec) - RECORD_OVERHEAD_BYTES
         self.window = max(
-            MIN_TASK_WINDOW, min(MAX_TASK_WINDOW, spare_bytes * TASKS_PER_BITMAP_BYTE)
+            MIN_TASK_WINDOW, min(MAX_TASK_WINDOW, bitmap_bytes * TASKS_PER_BITMAP_BYTE)
         )
         self.placed_below = record.placed_below
         self.stored_progress = CompletedTasks.from_record(record)
         self.done_below, self.done_bitmap = self.stored_progress
-        self.progress_stored_at = 0.0  # by the leader's steady clock
+        self.progress_stored_at = 0.0  # monotonic time
         if self.gang and self.done_count:
-            # An earlier version stored only a part of a gang as done, see `completed_with`.
+            # An earlier version stored only some tasks of a gang as done, see `completed_with`.
             self.done_below, self.done_bitmap = self.size, 0
         self.placements: dict[int, Placement] = {}
-        self.unstored_intents = 0  # placements with an intent that is not committed yet
+        self.unstored_intents = 0  # placements whose intent is not committed yet
         self.next_fresh_task = self.placed_below  # tasks from here on were never started
-        self.requeued_tasks: list[int] = []  # tasks to start once more, ascending
-        # Tasks that an earlier leader may have placed, and that were not found yet: they may be
-        # on a machine that has sent no heartbeat to this leader.
+        self.requeued_tasks: list[int] = []  # tasks to start again, ascending
+        # Tasks that a previous leader may have placed and that are not located yet: they may be on
+        # a machine that has sent no heartbeat to this leader.
         self.unlocated_tasks = {
             index for index in range(self.done_below, self.placed_below) if not self.is_done(index)
         }
 
     def _init_failures(self) -> None:
-        """What is known of failed and of successful runs."""
+        """Initialize what is known of failed and successful runs."""
         self.failed_machines: set[MachineId] = set()
-        self.faulty = False  # its tasks fail on every machine: the job itself is at fault
-        self.retry_count = 0  # attempts since it was found faulty
+        self.faulty = False  # its tasks fail on every machine, so the job itself is at fault
+        self.retry_count = 0  # retries since the job was found faulty
         self.longest_failed_run_s = 0.0
-        self.started_replicas: set[int] = set()  # replicas of a service that have run
-        self.has_begun = False  # one of its tasks was reported as running
-        self.ran_well = False
+        self.started_replicas: set[int] = set()  # tasks that have run; used for services
+        self.has_begun = False  # a task was reported as running
+        self.ran_well = False  # a task succeeded, or ran much longer than those that failed
         self.preempted_at = 0.0
 
     def _init_scheduling(self) -> None:
-        """What the scheduling pass knows about the job."""
-        self.retry_not_before = 0.0  # not placed before this reading of the steady clock
+        """Initialize the state that the scheduling pass keeps about the job."""
+        self.retry_not_before = 0.0  # monotonic time before which no task is placed
         self.failed_passes = 0
-        # Jobs of one class need the same kind of capacity: if one finds none, none of them does.
+        # Jobs of one placement class need the same kind of capacity: if one finds none, no other
+        # does.
         machine_types = self.spec.machine_types
         self.placement_class = (
             self.need,
@@ -138,17 +139,17 @@
             self.spec.zone,
             self.spec.spot,
         )
-        # The offers that suit the job, with the counter of changes at which they were computed.
+        # Suitable offers, with the `ClusterState.offers_version` for which they were computed.
         self.suitable_offers: tuple[int, set[MachineOffer]] | None = None
-        self.standing = (1, self.priority)  # the smaller, the earlier it is served
-        self.needs_prompt_start = (
-            False  # accelerated work that should start soon after its submission
-        )
-        self.next_latest_start = -math.inf  # the latest start that meets its next objective
+        self.standing = (1, self.priority)  # service rank: smaller values are served first
+        # The job needs accelerators and should start soon after its submission.
+        self.needs_prompt_start = False
+        # Wall-clock time of the latest start that meets the next objective.
+        self.next_latest_start = -math.inf
 
     @classmethod
     def from_remaining_tasks(cls, job_id: JobId, remaining: RemainingTasks) -> Job:
-        """A cancelled job, of which only the resources matter that its tasks may still use."""
+        """Create a cancelled job to account for the resources that its tasks may still use."""
         spec = JobSpec(
             job_id=job_id,
             job_class="-",
@@ -179,17 +180,17 @@
 
     @property
     def preemption_key(self) -> PreemptionKey:
-        """Which other work may preempt the job's tasks, and which they may preempt."""
+        """What decides which other work may preempt the job's tasks, and which they may preempt."""
         return PreemptionKey(self.need.accelerators > 0, self.priority, self.standing)
 
     @property
     def avoided_machines(self) -> set[MachineId]:
-        """Machines on which tasks failed: they are used only if no other has room."""
+        """Machines on which tasks failed; they are used only if no other machine has room."""
         return self.failed_machines
 
     @property
     def interchangeable(self) -> bool:
-        """Whether the placement class alone decides where the job's tasks may run."""
+        """Whether the placement class alone determines where the job's tasks may run."""
         return not (
             self.avoided_machines
             or self.unlocated_tasks
@@ -201,24 +202,24 @@
     # ---- completions -------------------------------------------------------------------
 
     def is_done(self, index: int) -> bool:
-        """Whether the task is completed, as far as the leader knows."""
-        # Not by CompletedTasks: this runs for each task of each heartbeat.
+        """Return whether the leader knows the task to be completed."""
+        # Inlined from CompletedTasks.includes, as this runs for each task of each heartbeat.
         return index < self.done_below or bool(self.done_bitmap >> (index - self.done_below) & 1)
 
     def is_completion_stored(self, index: int) -> bool:
-        """Whether the state service has the completion of the task."""
+        """Return whether the completion of the task is stored in the state service."""
         return self.stored_progress.includes(index)
 
     def completed_with(self, index: int) -> Iterable[int]:
-        """The tasks that are completed if this one is.
+        """Return the tasks that are completed if this one is.
 
-        Of a gang these are all, whichever leader placed it and whichever of its machines still
-        report: once one task is done, the others could never run again.
+        For a gang these are all its tasks, no matter which leader placed it and which of its
+        machines still report: once one task is done, the others could never run again.
         """
         return range(self.size) if self.gang else (index,)
 
     def mark_done(self, index: int) -> bool:
-        """Record a completion; False: it was known, or there is no such task."""
+        """Record a completion; return False if it was known or there is no such task."""
         if index >= self.size or self.is_done(index):
             return False
         self.done_bitmap |= 1 << (index - self.done_below)
@@ -231,7 +232,7 @@
 
     @property
     def done_count(self) -> int:
-        """How many tasks are completed."""
+        """The number of completed tasks."""
         return self.done_below + self.done_bitmap.bit_count()
 
     @property
@@ -241,7 +242,7 @@
 
     @property
     def end_unwritten(self) -> bool:
-        """Whether the job's end is to be written to the state service."""
+        """Whether the job's end is still to be written to the state service."""
         return self.complete
 
     @property
@@ -252,25 +253,25 @@
     # ---- tasks to start ----------------------------------------------------------------
 
     def startable_count(self) -> int:
-        """How many tasks could be placed now."""
+        """Return the number of tasks that could be placed now."""
         end = min(self.size, self.done_below + self.window)
         return len(self.requeued_tasks) + max(0, end - self.next_fresh_task)
 
     def take_task(self) -> int:
-        """The next task to place. The caller must put it back if it is not placed."""
+        """Take the next task to place; the caller must requeue it if it is not placed."""
         if self.requeued_tasks:
             return self.requeued_tasks.pop(0)
         self.next_fresh_task += 1
         return self.next_fresh_task - 1
 
     def put_back(self, index: int) -> None:
-        """Queue a task once more, unless it is queued or done."""
+        """Requeue a task unless it is queued or done."""
         position = bisect.bisect_left(self.requeued_tasks, index)
         if not self.is_done(index) and not self._requeued_at(position, index):
             self.requeued_tasks.insert(position, index)
 
     def remove_requeued(self, index: int) -> bool:
-        """Take a task out of the queue; returns whether it was queued.
+        """Remove a task from the queue; return whether it was queued.
 
         The queue can hold thousands of tasks, so it is searched by bisection.
         """
@@ -281,24 +282,25 @@
         return True
 
     def _requeued_at(self, position: int, index: int) -> bool:
-        """Whether the queue has the task at `position`, where bisection places it."""
+        """Return whether the task is in the queue, at the `position` that bisection yields."""
         return position < len(self.requeued_tasks) and self.requeued_tasks[position] == index
 
     def locate_task(self, index: int) -> None:
-        """A task that an earlier leader started was found on a machine."""
+        """Record that a task of a previous leader was found on a machine."""
         self.unlocated_tasks.discard(index)
         self.remove_requeued(index)
 
     def requeue_unlocated(self) -> None:
-        """All machines have reported: a task that was not found on any of them does not run."""
+        """Requeue the unlocated tasks: all machines have reported, and none runs them."""
         for index in self.unlocated_tasks:
             self.put_back(index)
         self.unlocated_tasks.clear()
 
     def count_lost_tasks(self) -> int:
-        """How many tasks are neither done nor placed, queued, unlocated or never started.
+        """Return how many tasks are neither done nor placed, queued, unlocated or never started.
 
-        There should be none. Computed from counts alone, at a cost independent of the job's size.
+        There should be none. Only counts are used, so that the cost does not depend on the job's
+        size.
         """
         known = (
             self.done_count
@@ -309,7 +311,7 @@
         return max(0, self.size - known - max(0, self.size - self.next_fresh_task))
 
     def is_lost(self, index: int) -> bool:
-        """Whether a task that was started before is neither done, nor placed, nor queued."""
+        """Return whether a task that was started is neither done, nor placed, nor queued."""
         position = bisect.bisect_left(self.requeued_tasks, index)
         queued = self._requeued_at(position, index)
         return not (queued or index in self.placements or self.is_done(index))
@@ -317,18 +319,18 @@
     # ---- failures ----------------------------------------------------------------------
 
     def task_failed(self, index: int, machine: MachineId, now: Instant) -> None:
-        """A task failed on a machine. Only for jobs that attribute failures per task."""
+        """Record a failure on a machine. Only for jobs that attribute failures per task."""
         raise NotImplementedError
 
     def judge_failures(self, machines: Mapping[MachineId, Any], now: Instant) -> bool:
-        """Attribute the failures that are still open; False: none are left.
+        """Attribute the failures that are still open; return False if none are left.
 
         Only for jobs that attribute failures per task.
         """
         raise NotImplementedError
 
     def failure_excused(self, index: int) -> bool:  # noqa: ARG002 - subclasses use it
-        """Whether the failures of this task say nothing about the machines."""
+        """Return whether failures of this task must not count against machines."""
         return self.faulty
 
     # ---- the stored record -------------------------------------------------------------
@@ -339,9 +341,9 @@
         return Key(LIVE_JOBS_PREFIX + self.id)
 
     def build_record(self, placed_below: int) -> StoredProgressRecord | None:
-        """The record to store, with placement intents for all tasks below `placed_below`.
+        """Build the record to store, with placement intents for all tasks below `placed_below`.
 
-        None: the bitmap does not fit, as an earlier leader had room for a wider one.
+        None: the bitmap does not fit, as a previous leader had space for a wider one.
         """
         bitmap = self.encode_done_bitmap()
         if bitmap is None:
@@ -357,32 +359,33 @@
         )
 
     def parse_record(self, data: object) -> StoredProgressRecord:
-        """A decoded value as a record of this job. Raises wire.MalformedMessageError."""
+        """Convert a decoded value to a record of this job. Raises wire.MalformedMessageError."""
         return wire.convert(data, JobRecord)
 
     def companion_writes(self) -> list[dict[str, Any]]:
-        """Writes that go into the same transaction as the job's record."""
+        """Return the writes that go into the same transaction as the job's record."""
         return []
 
     # The records of subclasses differ, and a method may not narrow the type of a parameter.
     def record_stored(self, record: Any, version: Version, now: float) -> None:  # noqa: ANN401
-        """The record and its companion writes are committed as `version`."""
+        """Record that the record and its companion writes are committed as `version`."""
         self.version = version
         self.placed_below = record.placed_below
         self.stored_progress = CompletedTasks.from_record(record)
         self.progress_stored_at = now
 
     def adopt_record(self, record: StoredProgressRecord, version: Version) -> None:
-        """Take over the record that the state service has after a write of unknown outcome."""
+        """Continue from the stored record after a write with an unknown outcome."""
         self.version = version
         self.placed_below = max(self.placed_below, record.placed_below)
         self.stored_progress = CompletedTasks.from_record(record)
 
     def encode_done_bitmap(self) -> str | None:
-        """The bitmap of completions for the record; None: it does not fit.
+        """Encode the bitmap of completions for the record; None: it does not fit.
 
-        Everything that was committed stays in it. Completions beyond this leader's window are left
-        out until the first tasks are done; their workers keep them in the heartbeats until then.
+        Committed completions always stay in it. Other completions beyond this leader's window are
+        left out until the first tasks are done; until then the workers keep reporting them in
+        their heartbeats.
         """
         bitmap = self.done_bitmap
         if bitmap >> self.window:
--- a/umberward/scheduling/machines.py
+++ b/umberward/scheduling/machines.py
@@ -1,4 +1,4 @@
-"""One machine as the leader sees it: session, reachability, placements and resources. No I/O."""
+"""The leader's state of one machine: session, reachability, placements, resources. No I/O."""
 
 from __future__ import annotations
 
@@ -24,103 +24,105 @@
 from umberward.scheduling.inflight_commands import InflightStarts
 from umberward.scheduling.jobs import Placement, PreemptionKey
 
-UNREACHABLE_AFTER_PROBES = 2  # unanswered ones, of a machine that is heard
+UNREACHABLE_AFTER_PROBES = 2  # unanswered probes, while messages of the machine still arrive
 
 
 @dataclass(eq=False, repr=False, slots=True)
 class Machine:
     """The leader's record of a machine.
 
-    The fields are grouped by concern, and each group names the module that maintains it. All
-    moments are of the leader's steady clock. Machines are compared by identity.
+    The fields are grouped by concern, and each group names the modules that maintain it. All times
+    are the leader's monotonic time. Machines are compared by identity.
     """
 
     # ---- identity (from the heartbeat or the stored blocks) ----
     id: MachineId
-    address: str  # where its worker takes commands and probes
+    address: str  # where its worker receives commands and probes
     machine_type: MachineTypeName
     zone: ZoneName
-    spot: bool  # the cloud may take it back at short notice
+    spot: bool  # the cloud may reclaim it at short notice
     known_since: Instant
-    # The machines whose usability or room may have changed since the last pass, shared by all.
+    # Machines whose availability or free resources may have changed since the last pass; one
+    # dictionary, shared by all machines.
     changed_machines: dict[MachineId, None]
     offer: MachineOffer = field(init=False)
-    # `state_writer`: the committed block of machine names that lists it; None: not stored yet.
+    # The committed block of the machine list that contains it (`state_writer`); None: not stored.
     block_number: int | None = field(init=False, default=None)
 
     # ---- session and lease (`heartbeats`, `failure_detector`) ----
     incarnation: Incarnation = field(init=False, default=Incarnation(0))
-    incarnation_since: Instant = field(init=False)  # when its session was first heard of
-    # Heartbeats of earlier sessions are late ones: those sessions count as over.
+    incarnation_since: Instant = field(init=False)  # first observed then
+    # Heartbeats of earlier incarnations are outdated: their sessions count as ended.
     min_incarnation: Incarnation = field(init=False, default=Incarnation(0))
     # The latest heartbeat of the session that was applied, and the latest that was answered.
     sequence: SequenceNumber = field(init=False, default=SequenceNumber(-1))
     answered_sequence: SequenceNumber = field(init=False, default=SequenceNumber(-1))
-    # When the last answered heartbeat came: its lease runs from then at most. None: no lease.
+    # Arrival of the last answered heartbeat, the latest start of its lease. None: no lease.
     answered_at: Instant | None = field(init=False, default=None)
-    # When another controller was last allowed to answer it (`lease_delegation`).
+    # When another controller was last allowed to answer its heartbeats (`lease_delegation`).
     delegated_at: Instant | None = field(init=False, default=None)
     token_seen: FencingToken = field(init=False, default=FencingToken(0))
-    # False while its only heartbeat may be an old duplicate, from a machine deleted long ago.
+    # False while its only heartbeat may be an old duplicate of a machine that was deleted long ago.
     confirmed: bool = field(init=False, default=True)
     reconciled: bool = field(init=False, default=False)  # its tasks are known under this token
-    # Whatever it ran for a former leader is certainly gone.
+    # All tasks that it ran for a previous leader have certainly ended.
     predecessor_expired: bool = field(init=False, default=False)
-    # Its lease has expired and nothing was heard of it since.
+    # Its lease has expired and no message of it has arrived since.
     lease_expired: bool = field(init=False, default=False)
 
     # ---- heartbeats (`heartbeats`) ----
     heartbeat_seen: bool = field(init=False, default=False)  # in this leader's term
-    heartbeat_at: Instant = field(init=False)  # of its latest own heartbeat, not of a response
-    last_heard_at: Instant = field(init=False)  # of its latest heartbeat or response
-    # The encoded tasks of the latest heartbeat, if they needed no commands; see
-    # `HeartbeatHandler.receive`.
+    heartbeat_at: Instant = field(init=False)  # arrival of its latest periodic heartbeat
+    last_heard_at: Instant = field(init=False)  # arrival of its latest heartbeat or response
+    # The encoded tasks of the latest heartbeat if they required no commands (see
+    # `HeartbeatHandler.receive`).
     unchanged_heartbeat: bytes | None = field(init=False, default=None)
 
     # ---- reachability (`reachability`, `command_results`) ----
-    # Since when it may receive nothing from the leader, and the probes unanswered since then.
+    # Since when it possibly receives nothing from the leader, and the unanswered probes since then.
     suspected_since: Instant | None = field(init=False, default=None)
     unanswered_probes: int = field(init=False, default=0)
     probed_at: Instant = field(init=False)  # when it was last probed on suspicion
     probe_not_before: Instant = field(init=False)  # when it may be probed on suspicion again
     # Since when it answers probes and commands but sends no heartbeat.
     no_heartbeats_since: Instant | None = field(init=False, default=None)
-    probe_inflight: bool = field(init=False, default=False)  # a probe is under way
-    probe_unanswered: bool = field(init=False, default=False)  # silent, and no answer to a probe
+    probe_inflight: bool = field(init=False, default=False)  # a probe is in flight
+    # Neither a heartbeat nor an answer to a probe has arrived.
+    probe_unanswered: bool = field(init=False, default=False)
 
     # ---- tasks and resources (`cluster_state`, `reconciliation`) ----
     placements: dict[TaskId, Placement] = field(init=False, default_factory=dict)
     inflight_starts: InflightStarts = field(init=False, default_factory=InflightStarts)
-    exited_tasks: set[TaskId] = field(init=False, default_factory=set)  # exited and still listed
-    # Since when an exited attempt stays listed because a start of it may still arrive.
+    exited_tasks: set[TaskId] = field(init=False, default_factory=set)  # exited but still listed
+    # Since when an exited attempt has stayed listed because a start of it may still arrive.
     unforgotten_since: Instant | None = field(init=False, default=None)
-    # Listed as running, without a placement: to be stopped.
+    # Tasks listed as running without a placement; they are to be stopped.
     unplaced_tasks: set[TaskId] = field(init=False, default_factory=set)
     allocated: Resources = field(init=False, default=NO_RESOURCES)
     idle_since: Instant = field(init=False)
-    # The cached images and their sizes in GB, the least recently used first.
+    # Cached images and their sizes in GB, the least recently used first.
     images: dict[ImageName, float] = field(init=False, default_factory=dict)
 
     # ---- failures (`failure_attribution`) ----
-    # How often each job failed here since a task succeeded, or each task where the job's failures
-    # are attributed task by task.
+    # Failures here since a task succeeded, by job, or by task if the job attributes failures per
+    # task.
     failures: dict[JobId | TaskId, int] = field(init=False, default_factory=dict)
-    # When a task that began after the last failure succeeded.
+    # Last success of a task that started after the last failure.
     succeeded_at: Instant = field(init=False, default=Instant(-math.inf))
     failed_at: Instant = field(init=False, default=Instant(-math.inf))
     quarantined_since: Instant | None = field(init=False, default=None)
 
     # ---- deletion (`autoscaler`) ----
-    preempted_at: Instant | None = field(init=False, default=None)  # when the cloud takes it back
-    deletion_requested: bool = field(init=False, default=False)  # its deletion was requested
+    preempted_at: Instant | None = field(init=False, default=None)  # when the cloud reclaims it
+    deletion_requested: bool = field(init=False, default=False)  # from the cloud
 
-    # Sums over the placements that each pass asks for; None: to be computed anew.
+    # Cached sums over the placements, needed in each pass; None: to be recomputed.
     _free: tuple[MachineType, Resources] | None = field(init=False, default=None)
     _preemptable: dict[PreemptionKey, Resources] | None = field(init=False, default=None)
     _load: dict[tuple[bool, int], Resources] | None = field(init=False, default=None)
 
     def __post_init__(self) -> None:
-        """Count everything that is timed from the moment at which the machine became known."""
+        """Initialize the offer, and all times that start when the machine becomes known."""
         self.offer = MachineOffer(self.machine_type, self.zone, self.spot)
         self.incarnation_since = self.known_since
         self.heartbeat_at = self.known_since
@@ -132,23 +134,23 @@
     # ---- changes -----------------------------------------------------------------------------
 
     def availability_changed(self) -> None:
-        """Note that the machine may have become schedulable, or no longer be so."""
+        """Note that the machine or its resources may have become schedulable or unschedulable."""
         self.changed_machines[self.id] = None
 
     def placements_changed(self) -> None:
-        """Note that a task was added or released, or is being stopped."""
+        """Note that a task was added, released or is being stopped."""
         self.availability_changed()
         self.unchanged_heartbeat = None
         self._free = None
         self.standing_changed()
 
     def standing_changed(self) -> None:
-        """Note that a task here may be preempted by others than before."""
+        """Note that the work which may preempt a task here has changed."""
         self._preemptable = None
         self._load = None
 
     def cache_image(self, image: ImageName, image_gb: float, cache_gb: float) -> None:
-        """Note the use of an image; the worker keeps the most recently used ones in its cache."""
+        """Record the use of an image; the worker caches the most recently used images."""
         self.images.pop(image, None)
         self.images[image] = image_gb
         while len(self.images) > 1 and sum(self.images.values()) > cache_gb:
@@ -158,7 +160,7 @@
 
     @property
     def quarantined(self) -> bool:
-        """Whether it gets no new tasks because it seems to fail what it starts."""
+        """Whether it gets no new tasks because tasks seem to fail due to the machine."""
         return self.quarantined_since is not None
 
     @property
@@ -180,14 +182,14 @@
 
     @property
     def unreachable(self) -> bool:
-        """Whether it seems to receive nothing from the leader, whatever it sends."""
+        """Whether it seems to receive nothing from the leader, even if its messages arrive."""
         return (
             self.suspected_since is not None and self.unanswered_probes >= UNREACHABLE_AFTER_PROBES
         )
 
     @property
     def partially_reachable(self) -> bool:
-        """Whether messages between it and the leader seem to pass in one direction only."""
+        """Whether messages between it and the leader seem to arrive in one direction only."""
         return self.unreachable or self.no_heartbeats_since is not None
 
     # ---- tasks and resources -----------------------------------------------------------------
@@ -198,13 +200,13 @@
         return any(placement.stop_grace_s is not None for placement in self.placements.values())
 
     def free_room(self, machine_type: MachineType) -> Resources:
-        """The resources that no task is placed on; `machine_type` is that of `type`."""
+        """Return the unallocated resources; `machine_type` describes the machine's type."""
         if self._free is None or self._free[0] is not machine_type:
             self._free = (machine_type, machine_type.capacity.minus(self.allocated))
         return self._free[1]
 
     def preemptable_by_key(self) -> dict[PreemptionKey, Resources]:
-        """The resources of tasks that are not being stopped, summed by who may preempt them."""
+        """Return the resources of tasks that are not being stopped, summed by preemption key."""
         if self._preemptable is None:
             sums: dict[PreemptionKey, Resources] = {}
             for placement in self.placements.values():
@@ -215,7 +217,7 @@
         return self._preemptable
 
     def load_by_priority(self) -> dict[tuple[bool, int], Resources]:
-        """The resources of all tasks, summed by whether they are accelerated and by priority."""
+        """Return the resources of all tasks, summed by (accelerated, priority)."""
         if self._load is None:
             sums: dict[tuple[bool, int], Resources] = {}
             for placement in self.placements.values():
--- a/umberward/scheduling/placements.py
+++ b/umberward/scheduling/placements.py
@@ -1,4 +1,4 @@
-"""Placements: attempts of tasks on machines, as the leader keeps account of them. No I/O."""
+"""Placements: attempts of tasks on machines, as tracked by the leader. No I/O."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PlacedJob(Protocol):
-    """What a placement takes over from its job."""
+    """The attributes of a job that a placement copies."""
 
     need: Resources
     team: TeamName
@@ -27,13 +27,13 @@
 
     @property
     def preemption_key(self) -> PreemptionKey:
-        """Which other work may preempt the job's tasks."""
+        """What decides which other work may preempt the job's tasks."""
 
 
 class Placement:
-    """One attempt of one task on one machine, from the decision until the attempt surely ended.
+    """One attempt of a task on a machine, from the decision until it has certainly ended.
 
-    All times are those of the leader's steady clock.
+    All times are the leader's monotonic time.
     """
 
     __slots__ = (  # noqa: RUF023 - the order of the assignments below
@@ -68,7 +68,7 @@
         job: PlacedJob,
         placed_at: Instant,
     ) -> None:
-        """A placement that was decided at `placed_at` and is neither stored nor sent yet."""
+        """Create a placement decided at `placed_at` whose intent is neither stored nor sent."""
         self.task = task
         self.attempt = attempt
         self.machine = machine
@@ -77,20 +77,21 @@
         self.team = job.team
         self.preemption_key = job.preemption_key
         self.placed_at = placed_at
-        self.intent_stored = False  # its placement intent is committed: it may be sent
-        self.adopted_from_predecessor = False  # started by an earlier leader
+        self.intent_stored = False  # its placement intent is committed, so the start may be sent
+        self.adopted_from_predecessor = False  # started by a previous leader
         self.image_fetched = False  # its worker had to fetch the image
-        self.sent = False
+        self.sent = False  # its start command is sent
         self.seen_on_worker = False  # listed in a heartbeat of its worker
-        self.start_sent_sequence = -1  # the heartbeat that was last answered with the start
-        self.phase = ""  # as its worker reported it last; empty: not reported yet
+        self.start_sent_sequence = -1  # last heartbeat that was answered with the start
+        self.phase = ""  # as last reported by its worker; empty: not reported yet
         self.running_since: Instant | None = None
         self.checkpoint_interval_s = job.spec.checkpoint_interval_s
-        self.stop_grace_s: float | None = None  # seconds to save in; None: it is not being stopped
+        # Seconds to save a checkpoint; None: the task is not being stopped.
+        self.stop_grace_s: float | None = None
         self.stopped_at = placed_at
         self.needs_prompt_start = job.needs_prompt_start
 
     @property
     def priority(self) -> int:
-        """The priority of its job, the smaller the more urgent."""
+        """The priority of its job; smaller values are more urgent."""
         return self.preemption_key.priority
--- a/umberward/scheduling/scheduler.py
+++ b/umberward/scheduling/scheduler.py
@@ -1,13 +1,14 @@
-"""The scheduling state of a cluster and every decision about it. No I/O.
+"""The scheduling state of a cluster and all decisions about it. No I/O.
 
-The leader's event loop passes heartbeats, command results and records in; commands, probes and
-transactions come out.
+Input from the leader's event loop: heartbeats, command results and records. Output: commands,
+probes and transactions.
 
-The rules rest on one question: may a task still be on a machine? A `Placement` stands for "it
-may", from before its start is sent until one of these is known (docs/design.md, "Safety"):
-a newer heartbeat under this leader's fencing token does not list it and no start is in flight; the
-worker's incarnation has changed; the worker's lease has expired since the last response that it
-could have accepted; the cloud has deleted the machine.
+A `Placement` means that a task may be on a machine. It exists from before the start is sent until
+one of these is known (docs/design.md, "Safety"):
+- a newer heartbeat under this leader's fencing token does not list it and no start is in flight;
+- the worker's incarnation has changed;
+- the worker's lease has expired since the last response that it could have accepted;
+- the cloud has deleted the machine.
 """
 
 from __future__ import annotations
@@ -53,14 +54,16 @@
 
 log = logger(__name__)
 
-UNKNOWN_JOB_GRACE_S = 15.0  # a live job's record that is unknown here for so long is adopted
-MAX_DELETED_MACHINES_KEPT = 5000  # the oldest are dropped: no heartbeat of theirs is under way
+UNKNOWN_JOB_GRACE_S = 15.0  # a live job that stays unknown here for longer is adopted
+MAX_DELETED_MACHINES_KEPT = (
+    5000  # older ones are dropped: none of their heartbeats can be in flight
+)
 
 
 class Scheduler(ClusterState):
-    """The cluster state with all parts that decide about it: the interface of the leader's loop.
+    """The cluster state and all parts that decide about it; the leader's loop calls its methods.
 
-    Each part reads and changes the `ClusterState` and knows no other part's insides.
+    Each part reads and changes the `ClusterState` without depending on other parts' internals.
     """
 
     def __init__(
@@ -69,11 +72,11 @@
         machine_types: dict[MachineTypeName, MachineType],
         fencing_token: FencingToken,
         now: Instant,
-        wall: Callable[[], WallTime],
+        wall_clock: Callable[[], WallTime],
         rng: random.Random,
     ) -> None:
         """Start a term; the arguments are those of `ClusterState`."""
-        super().__init__(settings, machine_types, fencing_token, now, wall, rng)
+        super().__init__(settings, machine_types, fencing_token, now, wall_clock, rng)
         platform = settings.platform
         delegates = {ControllerName(peer.label): ZoneName(peer.site) for peer in platform.peers}
         self.delegator = Delegator(self.worker_times, delegates, fencing_token)
@@ -94,19 +97,19 @@
             self, self.reachability, self.failure_attribution, self.writer
         )
         self.command_results = CommandResults(self, self.reachability, self.heartbeats)
-        # Jobs whose live record was read and that are not known here: since when.
+        # Jobs with a live record that are not known here, with the time when that was first seen.
         self.unknown_since: dict[JobId, Instant] = {}
-        # Jobs that ended lately: a listing that was read earlier may still show them.
+        # Recently ended jobs, with the time: a listing that was read earlier may still show them.
         self.recently_ended: dict[JobId, Instant] = {}
 
-    # ---- events of the leader's loop, passed on to the part concerned ----------------------
+    # ---- events of the leader's loop, passed on to the responsible part --------------------
 
     def receive_heartbeat(
         self, header: wire.HeartbeatHeader, body: bytes, now: Instant
     ) -> list[wire.TaskCommand] | None:
         """Apply a periodic heartbeat; return the commands for its response.
 
-        None: this leader must not answer it.
+        None: this leader must not answer the heartbeat.
         """
         return self.heartbeats.receive(header, body, now)
 
@@ -114,11 +117,11 @@
         self,
         command: DirectCommand,
         heartbeat: Heartbeat | None,
-        unknown: bool,  # noqa: FBT001 - a field of the event, passed on in order
+        outcome_unknown: bool,  # noqa: FBT001 - a field of the event, passed on in order
         now: Instant,
     ) -> None:
-        """Apply a direct command's result; `unknown`: the worker may still execute it."""
-        self.command_results.command_completed(command, heartbeat, unknown, now)
+        """Apply a direct command's result; if unknown, the worker may still execute it."""
+        self.command_results.command_completed(command, heartbeat, outcome_unknown, now)
 
     def probe_completed(self, probe: Probe, heartbeat: Heartbeat | None, now: Instant) -> None:
         """Apply a worker's answer to a probe; None: it did not answer."""
@@ -127,17 +130,17 @@
     def may_keep_session(self, machine_id: MachineId) -> bool:
         """Tell whether a leader without its lease may keep the worker's session alive.
 
-        Not while a start of a task that is to be stopped may still arrive there.
+        It may not while a start of a task that is to be stopped may still arrive there.
         """
         machine = self.machines.get(machine_id)
         return machine is None or not self.has_unwanted_start(machine)
 
     def wake(self, now: Instant) -> None:
-        """Detect a pause of this process; to be called before any other event is handled."""
+        """Detect a pause of this process. Call before any other event is handled."""
         self.failure_detector.detect_pause(now)
 
     def tick(self, now: Instant) -> None:
-        """Apply what follows from time alone; to be called a few times a second."""
+        """Apply changes that depend on time alone. Call a few times a second."""
         self.now = now
         self.failure_detector.tick(now)
         self.reachability.tick(now)
@@ -145,11 +148,11 @@
         self.failure_detector.select_machines_to_delete(now)
 
     def is_isolated(self, now: Instant) -> bool:
-        """Tell whether nearly all workers seem to be out of this controller's reach."""
+        """Tell whether nearly all workers seem unreachable from this controller."""
         return self.failure_detector.is_isolated(now)
 
     def heard_no_machine(self, now: Instant) -> bool:
-        """Tell whether no loaded machine has been heard of, though each should have been by now."""
+        """Tell whether no loaded machine has sent anything, although each should have by now."""
         return self.failure_detector.heard_no_machine(now)
 
     def delegate(
@@ -161,27 +164,28 @@
     ) -> Delegation | None:
         """Delegate lease renewal for the machines of a controller's zone (`FailureDetector`).
 
-        `seen` is the last delegation that the delegate has received, `idle` whether it has used
-        none since it asked for that one. None: the jobs have not been read in this term.
+        `seen` is the sequence number of the last delegation that the delegate has received, `idle`
+        whether it has used none since it requested that one. None: the jobs have not been read in
+        this term.
         """
         return self.failure_detector.delegate(delegate, seen, idle, now)
 
     def transaction_committed(
         self, transaction: Transaction, version: Version, now: Instant
     ) -> None:
-        """Apply what a transaction of this leader has committed."""
+        """Apply the effects of a committed transaction of this leader."""
         for job, final in self.writer.transaction_committed(transaction, version, now):
             log.info("job_ended", job=job.id, phase=final.phase)
             self.apply_job_end(job.id, final, final.ended_at or self.wall_clock())
             self.remove_job(job.id)
 
     def reconcile_key(self, key: Key, found: VersionedValue | None) -> None:
-        """Apply what the state service holds after a conflict or an unknown outcome."""
+        """Apply the stored value of a key after a conflict or an unknown outcome."""
         for job_id in self.writer.reconcile_key(key, found):
             self.remove_job(job_id)
 
     def token_rotated(self, fencing_token: FencingToken) -> None:
-        """Use a higher fencing token that was committed for the running term."""
+        """Use a higher fencing token that was committed for the current term."""
         self.fencing_token = fencing_token
         self.token_rotation.completed(self.now)
 
@@ -190,7 +194,7 @@
     def load_block(
         self, number: int, record: wire.BlockRecord, version: Version, now: Instant
     ) -> None:
-        """Load one block of the stored machine list, and probe its machines."""
+        """Load one block of the stored machine list and probe its machines."""
         machines = []
         for name, (address, machine_type, zone, spot) in record.machines.items():
             machine = self.find_or_add_machine(
@@ -202,12 +206,12 @@
         self.writer.load_block(number, version, machines)
 
     def finish_loading(self) -> None:
-        """Start to place tasks: all blocks and all jobs have been loaded."""
+        """Start placing tasks, as all blocks and all jobs have been loaded."""
         self.loaded = True
         for machine in self.machines.values():
             if machine.reconciled:
-                # Its heartbeat came before the jobs were read, so its tasks were unknown: until
-                # the next one they may run there and must not start elsewhere.
+                # Its heartbeat came before the jobs were read, so its tasks were unknown. Until
+                # the next heartbeat they may run there and must not start elsewhere.
                 machine.reconciled = False
                 machine.availability_changed()
                 machine.unchanged_heartbeat = None
@@ -227,27 +231,27 @@
     # ---- jobs ----------------------------------------------------------------------------
 
     def is_live(self, job_id: JobId) -> bool:
-        """Tell whether the job is live as far as this leader knows."""
+        """Tell whether this leader knows the job as live."""
         return job_id in self.jobs or job_id in self.waiting_jobs.jobs
 
     def put_job(self, record: JobRecord, version: Version) -> None:
-        """Add a live job whose record was read or came with a watch; known ones stay."""
+        """Add a live job whose record was read or reported by a watch; ignore known jobs."""
         job_id = JobId(record.spec.job_id)
         if self.is_live(job_id):
             return
         job = Job(record, version, self.value_limit)
         if record.dependencies and not record.placed_below:
-            # A job with dependencies is in nothing that counts queued work, and cannot start.
+            # A job with unfinished dependencies cannot start and is not counted as queued work.
             self.waiting_jobs.add(job, wire.unpack_dependencies(record.dependencies))
         else:
             self.admit_job(job)
         self.waiting_jobs.graph.note_live(job_id)
 
     def admit_job(self, job: Job) -> None:
-        """Let the job's tasks start from now on."""
+        """Make the job's tasks available for placement."""
         self.jobs[job.id] = self.jobs_to_place[job.id] = job
         if job.complete:
-            self.writer.note_completions(job)  # all tasks are done and its end was not written
+            self.writer.note_completions(job)  # its end was not written yet
         job.needs_prompt_start = self.requires_prompt_start(job)
         if not job.placed_below:
             log.info(
@@ -261,7 +265,7 @@
         self.pass_wanted = True
 
     def apply_job_end(self, job_id: JobId, final: wire.FinalJobRecord, ended_at: float) -> None:
-        """Admit the dependents of a job whose end was read or committed, and not before.
+        """Admit the dependents of a job; call only after its end was read or committed.
 
         `ended_at` is a wall-clock time in seconds.
         """
@@ -270,7 +274,7 @@
             self.admit_job(job)
 
     def remove_job(self, job_id: JobId) -> None:
-        """Stop a job whose live record is gone: it is done, or some controller cancelled it."""
+        """Stop a job whose live record was deleted: it is done, or a controller cancelled it."""
         self.waiting_jobs.job_removed(job_id)
         self.recently_ended[job_id] = self.now
         job = self.jobs.pop(job_id, None)
@@ -279,7 +283,7 @@
             return
         job.ended = True
         if job.unlocated_tasks:
-            # They may run on until they are found: they go on counting against the team's limit.
+            # Until these tasks are located they may run, so they count against the team's limit.
             self.cancelled_jobs[job_id] = job
         self.failure_attribution.forget_job(job, self.now)
         self.standings_outdated = True
@@ -288,7 +292,7 @@
         self.pass_wanted = True
 
     def count_remaining(self, job_id: JobId, remaining: wire.RemainingTasks) -> None:
-        """Count what a cancelled job may still use against its team's limit.
+        """Count against the team's limit what a cancelled job may still use.
 
         This leader may never have known the job, and its tasks may be on machines that have not
         reported yet.
@@ -299,10 +303,10 @@
             self.cancelled_jobs.setdefault(job_id, Job.from_remaining_tasks(job_id, remaining))
 
     def find_unknown_jobs(self, entries: Iterable[wire.KeyValue], now: Instant) -> list[JobId]:
-        """Return the live jobs among the records read just now that this leader does not know.
+        """Return the live jobs among the records just read that this leader does not know.
 
-        Only those that were unknown at an earlier reading as well, so that no change that adds
-        them is under way.
+        Only jobs that were unknown for `UNKNOWN_JOB_GRACE_S` are returned: by then no change that
+        adds them can be in flight.
         """
         found = []
         for entry in entries:
@@ -314,7 +318,7 @@
         return found
 
     def adopt_unknown_job(self, record: JobRecord, version: Version, now: Instant) -> None:
-        """Add a live job that this leader had lost, with the tasks that are still placed."""
+        """Add a live job that this leader had lost, together with its existing placements."""
         job_id = JobId(record.spec.job_id)
         if self.unknown_since.pop(job_id, None) is None or job_id in self.recently_ended:
             return
@@ -332,7 +336,7 @@
             self.unlocated_tasks.requeue_later(job, now)
 
     def repair(self, now: Instant) -> None:
-        """Queue tasks that got lost and forget what is over; to be called every few seconds."""
+        """Requeue lost tasks and drop records of ended jobs. Call every few seconds."""
         self.unlocated_tasks.requeue_overdue(now)
         self._forget_recently_ended(now)
         if self.reconciliation_completed:
@@ -342,7 +346,7 @@
     def _forget_recently_ended(self, now: Instant) -> None:
         for job_id, ended_at in list(self.recently_ended.items()):
             if now - ended_at <= UNKNOWN_JOB_GRACE_S:
-                break  # the order is that in which they ended
+                break  # ordered by the time of the end
             del self.recently_ended[job_id]
 
     # ---- machines ------------------------------------------------------------------------
@@ -352,7 +356,7 @@
         machine_ids: Iterable[MachineId],
         now: Instant,  # noqa: ARG002 - part of the interface that the machine scaler calls
     ) -> None:
-        """Remove machines that the cloud has deleted, or that stopped by themselves."""
+        """Remove machines that the cloud has deleted or that stopped by themselves."""
         for machine_id in machine_ids:
             self.machines_to_delete.discard(machine_id)
             machine = self.machines.get(machine_id)
@@ -375,19 +379,19 @@
         self.placement_pass.run(now)
 
     def jobs_in_service_order(self, now: Instant) -> list[Job]:
-        """Return the jobs with tasks to place, in the order in which they are served."""
+        """Return the jobs with tasks to place, in service order."""
         return self.job_order.jobs_in_order(now)
 
     def jobs_without_room(self, now: Instant) -> list[tuple[Job, int]]:
-        """Return the jobs that wait for machines and for how many tasks, in service order."""
+        """Return the jobs that wait for machines, with their task counts, in service order."""
         return self.job_order.jobs_without_room(now)
 
     # ---- summaries for the log -----------------------------------------------------------
 
     def fleet_summary(self) -> list[summaries.LogFields]:
-        """Return the machines by offer, and the waiting tasks by job class, as log fields."""
+        """Return the machines by offer and the waiting tasks by job class, as log fields."""
         return summaries.fleet_summary(self)
 
     def inflight_summary(self) -> dict[str, int]:
-        """Return how many starts may still reach a worker, as log fields."""
+        """Return the number of starts that may still reach a worker, as log fields."""
         return summaries.inflight_summary(self, self.heartbeats.deferred_forgets)
--- a/umberward/scheduling/state_transaction.py
+++ b/umberward/scheduling/state_transaction.py
@@ -1,7 +1,7 @@
 """Compare-and-swap transactions of the leader for the state service. No I/O.
 
-A `TransactionBuilder` collects the changes within the service's limits; the finished `Transaction`
-also says what the leader records in its own memory once the transaction is committed.
+A `TransactionBuilder` collects changes within the service's limits; the resulting `Transaction`
+also contains what the leader records in memory once it is committed.
 """
 
 from __future__ import annotations
@@ -14,33 +14,33 @@
 from umberward.scheduling.jobs import Job
 from umberward.scheduling.stored_progress import StoredProgressRecord
 
-MAX_COUNTED_BYTES = 48 * 1024  # below the 64 KiB that the service takes as one request
+MAX_COUNTED_BYTES = 48 * 1024  # below the service's limit of 64 KiB per request
 FINAL_RECORD_CHANGES = 2  # the final record is put and the live record is deleted
 
 
 class BlockWrite(NamedTuple):
-    """A machine block as a transaction writes it: id -> (address, type, zone, spot)."""
+    """A machine block that a transaction writes: id -> (address, type, zone, spot)."""
 
     number: int
     machines: dict[str, tuple[str, str, str, bool]]
 
 
 class JobRecordWrite(NamedTuple):
-    """A live job's record as a transaction writes it."""
+    """A live job's record that a transaction writes."""
 
     job: Job
     record: StoredProgressRecord
 
 
 class FinalRecordWrite(NamedTuple):
-    """The final record with which a transaction replaces a job's live record."""
+    """The final record by which a transaction replaces a job's live record."""
 
     job: Job
     record: wire.FinalJobRecord
 
 
 class Transaction(NamedTuple):
-    """One transaction, and what to record in memory when it is committed.
+    """A transaction and what to record in memory when it is committed.
 
     `priority` is one of the priorities of `umberward.protocol.transactions`.
     """
@@ -57,7 +57,7 @@
     """Collects the changes of one transaction, at most `max_changes` of them."""
 
     def __init__(self, max_changes: int) -> None:
-        """Start with no changes and the priority URGENT."""
+        """Start without changes and with the priority URGENT."""
         self.priority = transactions.URGENT
         self._max_changes = max_changes
         self._counted_bytes = 0
@@ -78,11 +78,11 @@
         return {block.number for block in self._blocks}
 
     def has_changes_left(self, change_count: int) -> bool:
-        """Whether the limit on changes leaves room for `change_count` more."""
+        """Return whether `change_count` more changes stay within the limit on changes."""
         return len(self._writes) + change_count <= self._max_changes
 
     def has_room(self, change_count: int) -> bool:
-        """Whether both the limit on changes and the counted size leave room for more."""
+        """Return whether more changes stay within the limits on changes and on size."""
         return self.has_changes_left(change_count) and self._counted_bytes <= MAX_COUNTED_BYTES
 
     def add_block(self, number: int, version: Version, record: wire.BlockRecord) -> None:
@@ -94,7 +94,7 @@
         self._count_last_write()
 
     def add_final_record(self, job: Job, record: wire.FinalJobRecord) -> None:
-        """Replace the live record of a job that has ended by its final record."""
+        """Replace the live record of an ended job with its final record."""
         self._writes.append(transactions.put(Key(FINAL_JOBS_PREFIX + job.id), record))
         self._writes.append(transactions.delete(job.record_key))
         self._final_records.append(FinalRecordWrite(job, record))
@@ -115,7 +115,7 @@
         self._count_last_write()
 
     def build(self) -> Transaction | None:
-        """The transaction; None if it would change nothing."""
+        """Return the transaction; None if it would change nothing."""
         if self.empty:
             return None
         return Transaction(
--- a/umberward/scheduling/state_writer.py
+++ b/umberward/scheduling/state_writer.py
@@ -1,8 +1,8 @@
-"""What the leader writes to the state service, when, and what follows from a commit. No I/O.
+"""The leader's writes to the state service, their timing and the effects of a commit. No I/O.
 
-The service's limit on writes is the scarcest resource of the controllers. Placement intents (the
-write-ahead records of first starts) and the ends of jobs are due at once, the completions of
-unfinished jobs every few seconds, and a block of machines when its machines change.
+The service's write limit is the scarcest resource of the controllers. Placement intents (the
+write-ahead records of first starts) and the ends of jobs are written at once, completions of
+unfinished jobs every few seconds, and a machine block when its machines change.
 """
 
 from __future__ import annotations
@@ -31,31 +31,33 @@
 
 log = logger(__name__)
 
-PROGRESS_WRITE_SHARE = 0.2  # of all writes, for the completions of unfinished jobs
-PROGRESS_WRITE_INTERVAL_S = 4.0  # between two writes of one unfinished job's completions
+PROGRESS_WRITE_SHARE = 0.2  # share of the write limit for completions of unfinished jobs
+PROGRESS_WRITE_INTERVAL_S = (
+    4.0  # minimum time between two writes of one unfinished job's completions
+)
 MIN_PROGRESS_PAUSE_S = 0.25  # between two transactions with completions of unfinished jobs
-INTENT_GROWTH_FACTOR = 2  # how far a job's intents run ahead of what was stored before
-END_TIME_DIGITS = 3  # a stored time of day is rounded to milliseconds
+INTENT_GROWTH_FACTOR = 2  # ratio of a job's new bound of stored intents to the previous one
+END_TIME_DIGITS = 3  # stored wall-clock times are rounded to milliseconds
 
 
 class _PendingJobs(NamedTuple):
-    """Jobs with records that are due at once."""
+    """Jobs whose records are to be written at once."""
 
     ended: list[Job]
     with_intents: list[Job]  # by priority, the most urgent first
 
 
 class StateWriter:
-    """Chooses the leader's next transaction, and applies the outcome to the jobs and machines."""
+    """Chooses the leader's next transaction and applies its outcome to jobs and machines."""
 
     def __init__(
         self, cluster: ClusterState, waiting_jobs: WaitingJobs, limits: StateLimits, now: Instant
     ) -> None:
-        """`limits`: the strictest limits of the state service; `now`: the leader's steady clock."""
+        """Take the strictest `limits` of the state service; `now` is monotonic time."""
         self.cluster = cluster
         self.waiting_jobs = waiting_jobs
         self.max_changes = limits.txn_ops  # in one transaction
-        self.value_limit = cluster.value_limit  # bytes of one stored value
+        self.value_limit = cluster.value_limit  # largest stored value, in bytes
         self.progress_write_rate = PROGRESS_WRITE_SHARE * limits.write_rps  # writes per second
         self.machine_blocks = MachineBlocks(cluster)
         self.jobs_with_progress: set[JobId] = set()  # unfinished, with completions to store
@@ -64,15 +66,15 @@
 
     @property
     def block_size(self) -> int:
-        """How many machines a block takes."""
+        """The number of machines that a block can hold."""
         return self.machine_blocks.block_size
 
     def note_completions(self, job: Job) -> None:
-        """A task of the job has completed: its record is to be written."""
+        """Queue the job's record for writing after a task of it has completed."""
         (self.jobs_to_write if job.end_unwritten else self.jobs_with_progress).add(job.id)
 
     def load_block(self, number: int, version: Version, machines: list[Machine]) -> None:
-        """Take over a block as a new leader reads it from the state service."""
+        """Load a block that a new leader has read from the state service."""
         self.machine_blocks.load(number, version, machines)
 
     def assign_block(self, machine: Machine) -> None:
@@ -80,13 +82,13 @@
         self.machine_blocks.assign(machine)
 
     def remove_machine(self, machine: Machine) -> None:
-        """Take a machine that no longer exists out of its block."""
+        """Remove a machine that no longer exists from its block."""
         self.machine_blocks.remove(machine)
 
     # ---- choosing what to write --------------------------------------------------------
 
     def has_work(self, now: Instant) -> bool:
-        """Whether `next_transaction` may have something to write."""
+        """Return whether `next_transaction` may have something to write."""
         return bool(
             self.jobs_to_write
             or self.machine_blocks.changed
@@ -95,7 +97,7 @@
         )
 
     def next_transaction(self, now: Instant) -> Transaction | None:
-        """The most urgent writes that are due, as one transaction; None: nothing is due."""
+        """Return the most urgent writes that are due as one transaction; None: nothing is due."""
         builder = TransactionBuilder(self.max_changes)
         pending = self._pending_jobs()
         self._add_changed_blocks(builder)
@@ -109,9 +111,9 @@
         return builder.build()
 
     def _pending_jobs(self) -> _PendingJobs:
-        """The jobs of `jobs_to_write` that still have something due at once.
+        """Return the jobs of `jobs_to_write` that still have something to write at once.
 
-        All others are taken out of `jobs_to_write`.
+        All others are removed from `jobs_to_write`.
         """
         pending = _PendingJobs([], [])
         for job_id in list(self.jobs_to_write):
@@ -140,21 +142,21 @@
                 builder.add_block(number, self.machine_blocks.version(number), record)
 
     def _jobs_in_write_order(self, pending: _PendingJobs) -> list[Job]:
-        """The jobs that are due at once, the most urgent first."""
-        # A replica of a service should run at once; the end of a job may be stored a little later.
+        """Return the jobs whose records are to be written at once, the most urgent first."""
+        # A replica of a service should run at once; the end of a job can be stored slightly later.
         services = [job for job in pending.with_intents if job.service]
         others = [job for job in pending.with_intents if not job.service]
-        # Every controller reports a job as cancelled as soon as one that it depends on is, so the
-        # record of the cancellation may wait; but each transaction writes at least one of them.
+        # Every controller reports a job as cancelled as soon as a dependency is cancelled, so these
+        # records can wait; but each transaction writes at least one of them.
         cancelled = self.waiting_jobs.jobs_to_cancel(self.max_changes)
         return services + pending.ended + cancelled[:1] + others + cancelled[1:]
 
     def _jobs_with_progress_due(self, now: Instant) -> list[Job]:
-        """Unfinished jobs with completions that are to be stored now.
+        """Return the unfinished jobs whose completions are to be stored now.
 
-        Until then the workers keep the completed tasks in their heartbeats, so that nothing is
-        lost. Such writes get a small share of all writes: the more jobs have completions, the
-        longer each of them waits for its turn.
+        Until they are stored, the workers keep the completed tasks in their heartbeats, so nothing
+        is lost. These writes get a small share of the write limit: the more jobs have completions,
+        the longer each waits.
         """
         if now < self.progress_not_before:
             return []
@@ -172,7 +174,7 @@
         return due
 
     def _add_job(self, builder: TransactionBuilder, job: Job, now: Instant) -> bool:
-        """Add the writes of one job; False: the transaction is full."""
+        """Add the writes of one job; return False if the transaction is full."""
         final = self._final_record(job)
         if final is not None:
             if not builder.has_room(FINAL_RECORD_CHANGES):
@@ -190,7 +192,7 @@
     ) -> None:
         record = job.build_record(_next_placed_below(job))
         if record is None:
-            # The bitmap is too wide for now: the job is tried again after the usual interval.
+            # The bitmap is too wide at present: retry after the usual interval.
             job.progress_stored_at = now
         elif wire.json_size(record) > self.value_limit:
             log.error("record_too_large", job=job.id)
@@ -199,13 +201,13 @@
             builder.add_job_record(job, record, companions)
 
     def _final_record(self, job: Job) -> wire.FinalJobRecord | None:
-        """The record of how the job has ended; None: it goes on."""
+        """Return the record of how the job has ended; None: it has not ended."""
         graph = self.waiting_jobs.graph
         if job.id in graph.cancelled_by:
             return wire.FinalJobRecord(wire.CANCELLED, cancelled_by=graph.cancelled_by[job.id])
         if not job.complete or job.conditions:
-            return None  # a job with conditions ends together with what they name
-        # Only the jobs that depend on this one need the time of its end.
+            return None  # a job with conditions ends together with the records that they name
+        # The time of the end is needed only by dependents.
         ended_at = (
             round(self.cluster.wall_clock(), END_TIME_DIGITS)
             if job.id in graph.dependents
@@ -214,11 +216,11 @@
         return wire.FinalJobRecord(wire.DONE, job.size, ended_at)
 
     def _suspend_job(self, job: Job) -> None:
-        """Place no more tasks of a job that cannot get a record of its placement intents.
+        """Stop placing tasks of a job whose placement intents cannot be stored.
 
-        Either its spec was accepted under wider limits and leaves no room for one, or its stored
-        record cannot be read. No task may start without an intent; the job waits for its user to
-        cancel it, and must not delay others.
+        Either its spec was accepted under wider limits and leaves no space in the record, or its
+        stored record cannot be read. No task may start without an intent; the job stays pending
+        until its user cancels it, and must not delay others.
         """
         job.retry_not_before = math.inf
         self.jobs_to_write.discard(job.id)
@@ -231,9 +233,9 @@
     def transaction_committed(
         self, transaction: Transaction, version: Version, now: Instant
     ) -> list[FinalRecordWrite]:
-        """Record what the state service has after a commit at the revision `version`.
+        """Apply a commit at the revision `version`.
 
-        Returns the jobs that have ended by it, with their final records.
+        Return the jobs that it has ended, with their final records.
         """
         for block in transaction.blocks:
             self.machine_blocks.set_version(block.number, version)
@@ -248,7 +250,7 @@
         return [final for final in transaction.final_records if not final.job.ended]
 
     def send_stored_starts(self, job: Job) -> None:
-        """Send the start commands of all placements with an intent that is stored by now."""
+        """Send the start commands of all placements whose intent is now stored."""
         for index, placement in list(job.placements.items()):
             if index < job.placed_below and not placement.intent_stored:
                 placement.intent_stored = True
@@ -259,9 +261,9 @@
     # ---- after a conflict or an unknown outcome ----------------------------------------
 
     def reconcile_key(self, key: Key, found: transactions.VersionedValue | None) -> list[JobId]:
-        """Take over what the state service has under `key` (None: nothing).
+        """Apply the value that the state service has under `key` (None: no value).
 
-        Returns the jobs with a live record that is deleted, or that depend on a key which is.
+        Return the jobs whose live record was deleted, or of which a condition no longer holds.
         """
         if key.startswith(BLOCKS_PREFIX):
             self._reconcile_block(int(key[len(BLOCKS_PREFIX) :]), found)
@@ -290,7 +292,7 @@
     def _reconcile_graph_key(
         self, key: Key, found: transactions.VersionedValue | None
     ) -> list[JobId]:
-        """As `reconcile_key`, for records of a graph's job arrays and the keys they depend on."""
+        """As `reconcile_key`, for a graph's job arrays: their records and conditions."""
         deleted = []
         for job in self.cluster.jobs.values():
             if job.record_key == key:
@@ -304,12 +306,12 @@
         return deleted
 
     def _adopt_stored_record(self, job: Job, found: transactions.VersionedValue) -> None:
-        """Continue from the record that the state service has of the job."""
+        """Continue from the job's record in the state service."""
         try:
             job.adopt_record(job.parse_record(found.data), found.version)
         except (wire.MalformedMessageError, ValueError) as error:
-            # Whoever wrote the record, the leader must not overwrite it; and the writes of other
-            # jobs must not fail together with those of this one.
+            # The leader must not overwrite a record that it cannot read, whoever wrote it, and the
+            # writes of other jobs must not fail together with those of this one.
             log.error("record_malformed", job=job.id, error=error)  # noqa: TRY400 - no traceback
             job.record_unreadable = True
             self._suspend_job(job)
@@ -318,9 +320,10 @@
 
 
 def _next_placed_below(job: Job) -> int:
-    """The bound to store, below which tasks may be placed from then on.
+    """Return the bound to store, below which tasks may be placed once it is committed.
 
-    Most jobs grow by many tasks at once: storing intents ahead keeps the writes of an array few.
+    Most jobs place many tasks at once, so storing intents ahead of placements keeps the number of
+    writes of an array small.
     """
     bound = max([job.placed_below, *(index + 1 for index in job.placements)])
     if bound > job.placed_below:
