--- a/umberward/scheduling/cluster_state.py
+++ b/umberward/scheduling/cluster_state.py
@@ -117,7 +117,7 @@
         self.jobs: dict[JobId, Job] = {}  # live jobs whose dependencies are done
         # Cancelled jobs with tasks that a previous leader placed and that are not located yet.
         self.cancelled_jobs: dict[JobId, Job] = {}
-        # The recently cancelled jobs could not be read: any machine may run tasks of such jobs.
+        # The recent cancellations could not be read: any machine may run tasks of cancelled jobs.
         self.cancellations_unread = False
         # Jobs that may have tasks to place, in the order in which they were added here.
         self.jobs_to_place: dict[JobId, Job] = {}
--- a/umberward/scheduling/dependencies.py
+++ b/umberward/scheduling/dependencies.py
@@ -17,7 +17,7 @@
 from umberward.scheduling.jobs import NO_DEMAND, DependentDemand, Job
 
 DEMAND_LEARNING_RATE = 0.1  # weight of one job in the moving average of its class
-# Share of a class's jobs that must have had dependents for its next jobs to be expected to.
+# Demand is expected for a class if more than this share of its jobs had dependents.
 EXPECTED_DEMAND_SHARE = 0.5
 
 
@@ -127,7 +127,7 @@
 
 
 class WaitingJobs:
-    """The leader's jobs that wait for dependencies; only counted here until they may start."""
+    """The leader's waiting jobs; no other part counts them until they may start."""
 
     def __init__(self, cluster: ClusterState) -> None:
         """Keep the demand on live jobs in `cluster.demands`."""
@@ -191,7 +191,7 @@
         return (guaranteed, own_priority)
 
     def _learn_demand(self, job_id: JobId) -> None:
-        """Update the demand of a class with whether its ended job had dependents."""
+        """Update the share of its class's jobs that had dependents, after a job has ended."""
         job = self.cluster.jobs.get(job_id)
         if job is None or job.spec.job_class not in self.class_demand:
             return
--- a/umberward/scheduling/scheduler.py
+++ b/umberward/scheduling/scheduler.py
@@ -1,14 +1,11 @@
 """The scheduling state of a cluster and all decisions about it. No I/O.
 
-Input from the leader's event loop: heartbeats, command results and records. Output: commands,
-probes and transactions.
-
-A `Placement` means that a task may be on a machine. It exists from before the start is sent until
-one of these is known (docs/design.md, "Safety"):
-- a newer heartbeat under this leader's fencing token does not list it and no start is in flight;
-- the worker's incarnation has changed;
-- the worker's lease has expired since the last response that it could have accepted;
-- the cloud has deleted the machine.
+The leader's event loop passes in heartbeats, command results and records, and takes out commands,
+probes and transactions. A `Placement` means that a task may be on a machine. It exists from before
+the start is sent until one of these is known (docs/design.md, "Safety"): a newer heartbeat under
+this leader's fencing token does not list it and no start is in flight; the worker's incarnation has
+changed; the worker's lease has expired since the last response that it could have accepted; the
+cloud has deleted the machine.
 """
 
 from __future__ import annotations
@@ -55,9 +52,8 @@
 log = logger(__name__)
 
 UNKNOWN_JOB_GRACE_S = 15.0  # a live job that stays unknown here for longer is adopted
-MAX_DELETED_MACHINES_KEPT = (
-    5000  # older ones are dropped: none of their heartbeats can be in flight
-)
+# The oldest beyond this number are dropped: none of their heartbeats is in flight any more.
+MAX_DELETED_MACHINES_KEPT = 5000
 
 
 class Scheduler(ClusterState):
@@ -251,7 +247,7 @@
         """Make the job's tasks available for placement."""
         self.jobs[job.id] = self.jobs_to_place[job.id] = job
         if job.complete:
-            self.writer.note_completions(job)  # its end was not written yet
+            self.writer.note_completions(job)  # all tasks are done, its end is not written
         job.needs_prompt_start = self.requires_prompt_start(job)
         if not job.placed_below:
             log.info(
--- a/umberward/scheduling/state_writer.py
+++ b/umberward/scheduling/state_writer.py
@@ -32,11 +32,9 @@
 log = logger(__name__)
 
 PROGRESS_WRITE_SHARE = 0.2  # share of the write limit for completions of unfinished jobs
-PROGRESS_WRITE_INTERVAL_S = (
-    4.0  # minimum time between two writes of one unfinished job's completions
-)
-MIN_PROGRESS_PAUSE_S = 0.25  # between two transactions with completions of unfinished jobs
-INTENT_GROWTH_FACTOR = 2  # ratio of a job's new bound of stored intents to the previous one
+PROGRESS_WRITE_INTERVAL_S = 4.0  # minimum between two writes of one unfinished job's completions
+MIN_PROGRESS_PAUSE_S = 0.25  # minimum between transactions with completions of unfinished jobs
+INTENT_GROWTH_FACTOR = 2  # minimum ratio of a new bound of stored intents to the last one
 END_TIME_DIGITS = 3  # stored wall-clock times are rounded to milliseconds
 
 
@@ -206,7 +204,7 @@
         if job.id in graph.cancelled_by:
             return wire.FinalJobRecord(wire.CANCELLED, cancelled_by=graph.cancelled_by[job.id])
         if not job.complete or job.conditions:
-            return None  # a job with conditions ends together with the records that they name
+            return None  # with conditions, the job ends together with the records that they name
         # The time of the end is needed only by dependents.
         ended_at = (
             round(self.cluster.wall_clock(), END_TIME_DIGITS)
