--- a/umberward/scheduling/command_queue.py
+++ b/umberward/scheduling/command_queue.py
@@ -1,7 +1,7 @@
-"""The queue of direct commands: one at a time is in flight to each machine. No I/O.
+"""Queue of direct commands, with at most one in flight to each machine. No I/O.
 
-A waiting command is validated again when its turn comes: the worker's session may have changed
-since, its tasks may have been stopped, and the leader may no longer be allowed to start anything.
+A queued command is validated again before it is sent: meanwhile the worker's session may have
+changed, its tasks may have been stopped, or the leader may have lost the right to start tasks.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 
 class CommandQueue:
-    """Hands out the direct commands to send, and holds back those whose machine is busy."""
+    """Returns the direct commands to send, and queues those for machines with one in flight."""
 
     def __init__(self, cluster: ClusterState, may_start: Callable[[], bool]) -> None:
-        """`may_start`: whether the leader may send a start at the moment of the call."""
+        """`may_start` returns whether the leader may send a start at the time of the call."""
         self.cluster = cluster
         self.may_start = may_start
         self._inflight: set[MachineId] = set()
         self._waiting: dict[MachineId, list[DirectCommand]] = {}
 
     def submit(self, command: DirectCommand) -> DirectCommand | None:
-        """Take a command; returns it as it is to be sent now.
+        """Accept a command, and return what of it is to be sent now.
 
-        Returns None if it has to wait, or if nothing of it is valid any more.
+        Return None if the command has to wait, or if no part of it is valid any more.
         """
         if command.machine in self._inflight:
             self._waiting.setdefault(command.machine, []).append(command)
@@ -35,12 +35,12 @@
         return self._prepare(command)
 
     def completed(self, machine_id: MachineId) -> DirectCommand | None:
-        """Note that the command in flight was answered or given up; returns the next to send."""
+        """Record that the command in flight was answered or given up; return the next one."""
         self._inflight.discard(machine_id)
         waiting = self._waiting.pop(machine_id, [])
         while waiting:
             command = waiting.pop(0)
-            # Waiting commands for the same session are sent together.
+            # Queued commands for the same session are sent together.
             while waiting and waiting[0].incarnation == command.incarnation:
                 command.commands.extend(waiting.pop(0).commands)
             prepared = self._prepare(command)
@@ -51,7 +51,7 @@
         return None
 
     def _prepare(self, command: DirectCommand) -> DirectCommand | None:
-        """Reduce a command to what is valid now, and count it as in flight; None: nothing is."""
+        """Return the valid part of a command, counted as in flight; None if there is none."""
         machine = self.cluster.machines.get(command.machine)
         if machine is None:
             return None
@@ -74,7 +74,7 @@
 
     @staticmethod
     def _drop(task_command: TaskCommand, command: DirectCommand, machine: Machine) -> None:
-        """Record that a start of the current session is certainly not sent."""
+        """Record that a start for the current session is certain not to be sent."""
         started = task_command.started_attempt
         if started is not None and machine.incarnation == command.incarnation:
             machine.inflight_starts.answered(*started)
--- a/umberward/scheduling/command_results.py
+++ b/umberward/scheduling/command_results.py
@@ -1,4 +1,4 @@
-"""What follows from the responses to direct commands and probes, or from missing ones. No I/O.
+"""Handling of responses to direct commands and probes, and of missing responses. No I/O.
 
 A direct command or a probe is a request of the leader to a worker; its response is the worker's
 current heartbeat (PROTOCOL, "Controller nodes -> workers").
@@ -18,12 +18,12 @@
 
 
 class CommandResults:
-    """Applies the results of the leader's own requests to workers."""
+    """Applies the results of the leader's requests to workers."""
 
     def __init__(
         self, cluster: ClusterState, reachability: Reachability, heartbeats: HeartbeatHandler
     ) -> None:
-        """Responses are passed to `heartbeats`, missing ones to `reachability`."""
+        """Pass responses to `heartbeats`, and report missing ones to `reachability`."""
         self.cluster = cluster
         self.reachability = reachability
         self.heartbeats = heartbeats
@@ -37,8 +37,8 @@
     ) -> None:
         """Apply the result of a direct command.
 
-        `heartbeat` is the response (None: there was none), and `may_be_executed` says that the
-        command may have been received all the same, or may still be.
+        `heartbeat` is the response (None: there was none). `may_be_executed` means that the worker
+        may have received the command without answering, or may still receive it.
         """
         machine = self.cluster.machines.get(command.machine)
         if machine is None:
@@ -62,17 +62,17 @@
             self._probe_unanswered(machine, now)
             return
         if heartbeat.machine_id != machine.id:
-            # Another machine has its address.
+            # Another machine now uses this one's address.
             self.reachability.suspect(machine, now, sure=True)
         elif (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence):
-            # Nothing new, so it is not applied below, but the machine has answered.
+            # An old heartbeat is not applied below, but the machine has answered.
             machine.last_heard_at = self.cluster.last_heartbeat_at = now
             self.reachability.confirm_reachable(machine, now)
         self.heartbeats.apply(heartbeat, now, HeartbeatSource.RESPONSE)
 
     def _probe_unanswered(self, machine: Machine, now: Instant) -> None:
-        """Count the probe, and note the machine as silent if no heartbeat came either."""
-        self.reachability.probe_unanswered(machine)
+        """Count the probe, and mark the machine as silent if no heartbeat arrived either."""
+        self.reachability.count_unanswered_probe(machine)
         silent_s = now - machine.last_heard_at
         if silent_s <= self.cluster.heartbeat_timeout():
             return
@@ -85,7 +85,7 @@
 
     @staticmethod
     def _settle_starts(machine: Machine, command: DirectCommand, *, may_be_executed: bool) -> None:
-        """Record what became of the starts in a direct command of the current session."""
+        """Record the outcome of the starts in a direct command of the current session."""
         for task_command in command.commands:
             if task_command.started_attempt is None:
                 continue
@@ -100,13 +100,16 @@
     def _address_reused(
         self, machine: Machine, command: DirectCommand, heartbeat: Heartbeat, now: Instant
     ) -> None:
-        """Another machine has this one's address and has executed what was meant for this one."""
-        log.warning("address_taken", machine=machine.id, by=heartbeat.machine_id)
+        """Handle a response of another machine that uses this one's address.
+
+        That machine has executed the command that was meant for this one.
+        """
+        log.warning("machine_address_reused", machine=machine.id, by=heartbeat.machine_id)
         listed = {(status.task_id, status.attempt) for status in heartbeat.tasks}
         for task_command in command.commands:
             task_id = parse_task_id(task_command.task_id)
             placement = machine.placements.get(task_id) if task_id is not None else None
             if placement is not None and (task_command.task_id, placement.attempt) in listed:
-                # It runs there, and nowhere else: that machine's heartbeat has it adopted again.
+                # The task runs only there, and is adopted through that machine's heartbeat.
                 self.cluster.release(machine, placement, requeue=False)
         self.reachability.suspect(machine, now, sure=True)
--- a/umberward/scheduling/failure_attribution.py
+++ b/umberward/scheduling/failure_attribution.py
@@ -1,14 +1,13 @@
 """Attribution of task failures to the machine or to the job. No I/O.
 
-A faulty machine fails whatever it starts, a job submitted with a mistake fails wherever it is
-started, and the first failures of either look the same. So both are suspected at first: the machine
-gets nothing new and the job goes elsewhere. What else the job does tells them apart. It counts as
-faulty when it fails on several machines and runs on none, and it is exonerated, also later, by one
-task that completes or runs much longer than those that failed. Then its failures count against the
-machines again, which are kept until that is decided.
-
-The failures of a graph's job are attributed task by task instead, as its tasks have little in
-common (`Job.attributes_failures_per_task`).
+A faulty machine fails every task, a faulty job fails on every machine, and the first failures of
+either look the same. So both are suspected at first: the machine gets no new tasks, and the job
+runs elsewhere. A job counts as faulty once it has failed on several machines and run well on none.
+It is cleared, even later, by one task that completes or runs much longer than the failed ones; its
+failures then count against the machines again, which are kept until that is decided.
+
+The failures of a graph's job are attributed per task instead, as its tasks have little in common
+(`Job.attributes_failures_per_task`).
 """
 
 from __future__ import annotations
@@ -21,33 +20,33 @@
 
 log = logger(__name__)
 
-QUARANTINE_AFTER_FAILURES = 2  # on one machine, of jobs that are not faulty
-FAULTY_JOB_AFTER_MACHINES = 3  # machines on which a job must fail before it counts as faulty
-QUARANTINE_DECISION_S = 15.0  # a machine is given up if nothing has exonerated it by then
-CHECK_INTERVAL_S = 0.5  # between two checks of the suspected jobs
+QUARANTINE_AFTER_FAILURES = 2  # failures on one machine of jobs that are not faulty
+FAULTY_JOB_AFTER_MACHINES = 3  # a job that fails on so many machines counts as faulty
+QUARANTINE_DECISION_S = 15.0  # a machine still in quarantine after this time is faulty
+CHECK_INTERVAL_S = 0.5  # between checks of the suspected jobs
 
-# The pause before a faulty job is tried again doubles with each retry.
+# Exponential backoff: the pause before a faulty job is retried doubles with each retry.
 RETRY_PAUSE_FACTOR = 2.0
 RETRY_PAUSE_DOUBLINGS_MAX = 10
 MAX_RETRY_PAUSE_S = 45.0
 
-# A task exonerates its job once it has run for so long: a multiple of the longest failed run.
+# A task clears its job once it has run this multiple of the longest failed run, plus the margin.
 RAN_WELL_FACTOR = 2.0
 RAN_WELL_MARGIN_S = 1.0
 
 
 class FailureAttribution:
-    """Quarantines machines and delays jobs by what their failures have in common."""
+    """Quarantines machines and delays jobs to which failures are attributed."""
 
     def __init__(self, cluster: ClusterState, now: Instant) -> None:
         """Attribute the failures of `cluster`'s tasks; `now` is the leader's steady clock."""
         self.cluster = cluster
-        self.suspected: dict[JobId, Job] = {}  # jobs that have failed and never ran well
-        self.undecided: dict[JobId, Job] = {}  # jobs with failed tasks that are not decided yet
+        self.suspected: dict[JobId, Job] = {}  # jobs that have failed and not run well
+        self.undecided: dict[JobId, Job] = {}  # per-task jobs with failures not attributed yet
         self.check_not_before = now
 
     def task_failed(self, machine: Machine, job: Job, placement: Placement, now: Instant) -> None:
-        """Count the failure of a task on its machine."""
+        """Count a task's failure on its machine."""
         if job.attributes_failures_per_task:
             self._attribute_to_task(machine, job, placement, now)
             return
@@ -62,18 +61,18 @@
         log.debug("task_failed", task=placement.task, machine=machine.id, ran_s=round(ran_s, 1))
         if not job.ran_well:
             self.suspected[job.id] = job
-            self._exonerate_if_running(job, now)
+            self._clear_if_running_well(job, now)
         if not job.ran_well and len(job.failed_machines) >= FAULTY_JOB_AFTER_MACHINES:
-            self._job_is_faulty(job, now)
+            self._mark_faulty(job, now)
             return
         self._update_quarantine(machine, now)
 
     def task_succeeded(
         self, machine: Machine, job: Job, placement: Placement | None, now: Instant
     ) -> None:
-        """Note a success, which exonerates the job.
+        """Record a success, which clears the job.
 
-        It exonerates the machine as well if the task was placed after the last failure there.
+        It clears the machine as well if the task was placed after the last failure there.
         """
         if placement is not None and placement.placed_at > machine.failed_at:
             machine.failures.clear()
@@ -82,7 +81,7 @@
         self._exonerate(job, now)
 
     def tick(self, now: Instant) -> None:
-        """Decide what elapsed time decides; to be called a few times a second."""
+        """Make the decisions that depend on elapsed time; to be called a few times a second."""
         if now < self.check_not_before:
             return
         self.check_not_before = Instant(now + CHECK_INTERVAL_S)
@@ -90,7 +89,7 @@
             if job.ended:
                 self.forget_job(job, now)
             else:
-                self._exonerate_if_running(job, now)
+                self._clear_if_running_well(job, now)
         for job_id, job in list(self.undecided.items()):
             if job.ended or not job.judge_failures(self.cluster.machines, now):
                 del self.undecided[job_id]
@@ -100,9 +99,9 @@
         job: Job,
         now: Instant,  # noqa: ARG002 - the scheduler passes the time with each event
     ) -> None:
-        """Note the end of a job, after which nothing more is learnt of it.
+        """Record that a job has ended, after which no decision about it follows.
 
-        The failures of a job that is faulty to the end count against no machine.
+        The failures of a job that ended as faulty count against no machine.
         """
         self.suspected.pop(job.id, None)
         if not job.faulty:
@@ -113,14 +112,14 @@
                 machine.failures.pop(job.id, None)
 
     def restore_faulty_job(self, job: Job, retry_count: int, now: Instant) -> None:
-        """Restore a former leader's decision that the job is faulty, with its count of retries."""
+        """Restore a former leader's decision that the job is faulty, with its retry count."""
         job.faulty = True
         job.retry_count = retry_count
         self.suspected[job.id] = job
         self._delay_retry(job, now)
 
     def machine_is_faulty(self, machine: Machine, now: Instant) -> bool:
-        """Whether a quarantined machine is certainly at fault, and may be deleted."""
+        """Whether a quarantined machine is considered faulty, so that it may be deleted."""
         if machine.quarantined_since is None:
             return False
         for failed in machine.failures:
@@ -135,10 +134,10 @@
     def _attribute_to_task(
         self, machine: Machine, job: Job, placement: Placement, now: Instant
     ) -> None:
-        """Count the failure of a task whose job is attributed task by task.
+        """Count the failure of a task of a job whose failures are attributed per task.
 
-        A task that fails wherever it is tried must quarantine no machine, though other tasks of
-        its job run well.
+        A task that fails on every machine must not quarantine any, even if other tasks of its job
+        run well.
         """
         task_id = placement.task
         machine.failures[task_id] = machine.failures.get(task_id, 0) + 1
@@ -150,22 +149,22 @@
             self._update_quarantines(job, now)
         self._update_quarantine(machine, now)
 
-    def _job_is_faulty(self, job: Job, now: Instant) -> None:
+    def _mark_faulty(self, job: Job, now: Instant) -> None:
         log.info("job_faulty", job=job.id, machines=len(job.failed_machines))
         job.faulty = True
         self._delay_retry(job, now)
         self._update_quarantines(job, now)
 
     def _delay_retry(self, job: Job, now: Instant) -> None:
-        """Hold a faulty job back; tasks that fail together while it is held count as one retry."""
+        """Delay a faulty job's retry; further failures during the delay count as the same retry."""
         if now < job.retry_not_before:
             return
         doublings = min(job.retry_count, RETRY_PAUSE_DOUBLINGS_MAX)
         job.retry_not_before = now + min(MAX_RETRY_PAUSE_S, RETRY_PAUSE_FACTOR**doublings)
         job.retry_count += 1
 
-    def _exonerate_if_running(self, job: Job, now: Instant) -> None:
-        """Exonerate the job if one of its tasks runs much longer than those that failed."""
+    def _clear_if_running_well(self, job: Job, now: Instant) -> None:
+        """Clear the job if one of its tasks has run much longer than the failed ones."""
         ran_well_s = RAN_WELL_FACTOR * job.longest_failed_run_s + RAN_WELL_MARGIN_S
         for placement in job.placements.values():
             if placement.running_since is not None and now - placement.running_since > ran_well_s:
@@ -173,13 +172,13 @@
                 return
 
     def _exonerate(self, job: Job, now: Instant) -> None:
-        """Note that the job runs well: its failures count against the machines from now on."""
+        """Record that the job runs well; its failures count against the machines from now on."""
         if job.ran_well:
             return
         job.ran_well = True
         self.suspected.pop(job.id, None)
         if job.faulty:
-            log.info("job_exonerated", job=job.id)
+            log.info("job_fault_cleared", job=job.id)
             job.faulty = False
             job.retry_not_before = 0.0
         self._update_quarantines(job, now)
@@ -188,14 +187,14 @@
     # ---- machines ----------------------------------------------------------------------------
 
     def _update_quarantines(self, job: Job, now: Instant) -> None:
-        """Decide anew about each machine on which the job has failed."""
+        """Re-evaluate the quarantine of each machine on which the job has failed."""
         for machine_id in job.failed_machines:
             machine = self.cluster.machines.get(machine_id)
             if machine is not None:
                 self._update_quarantine(machine, now)
 
     def _update_quarantine(self, machine: Machine, now: Instant) -> None:
-        """Quarantine the machine, or release it, by the failures that count against it."""
+        """Quarantine or release the machine according to the failures that count against it."""
         failures = self._count_failures(machine)
         if failures >= QUARANTINE_AFTER_FAILURES and machine.quarantined_since is None:
             machine.quarantined_since = now
@@ -208,7 +207,7 @@
             log.info("machine_released_from_quarantine", machine=machine.id)
 
     def _count_failures(self, machine: Machine) -> int:
-        """Count the failures on the machine that their jobs or tasks do not explain."""
+        """Count the failures on the machine that are not attributed to their job or task."""
         count = 0
         for failed, times in machine.failures.items():
             if isinstance(failed, TaskId):
@@ -216,6 +215,6 @@
             else:
                 job, number = self.cluster.jobs.get(failed), 0
             if job is None or not job.failure_excused(number):
-                # Two failures of one task say no more about a machine than one does.
+                # Repeated failures of one task say no more about a machine than one failure.
                 count += min(times, 1) if isinstance(failed, TaskId) else times
         return count
--- a/umberward/scheduling/failure_detector.py
+++ b/umberward/scheduling/failure_detector.py
@@ -1,9 +1,9 @@
-"""Failure detection from the silence of many machines: which of them or who else failed. No I/O.
+"""Failure detection across machines: tells failed machines from network partitions. No I/O.
 
-Silence alone does not tell which side has failed. `FailureDetector` therefore distinguishes a
+Silence alone does not show which side has failed. `FailureDetector` therefore distinguishes a
 machine that is down, a zone that is cut off, a leader that is itself cut off from the workers, and
-a leader whose process was paused. What the silence of a single machine leads to is in
-`machine_checks`. All moments are of the leader's steady clock.
+a leader whose process was paused. `machine_checks` handles the silence of a single machine. All
+times are of the leader's steady clock.
 """
 
 from __future__ import annotations
@@ -20,96 +20,101 @@
 
 log = logger(__name__)
 
-COUNT_INTERVAL_S = 0.5  # all machines are counted this often
-COUNT_MARGIN_S = 1.0  # added to the heartbeat timeout when they are counted
-MIN_WORKERS = 4  # with fewer, a cut-off leader can't be told from failed workers
-PROBED_WORKERS = 8  # workers that are probed when none is heard
-PROBE_WAIT_S = 1.2  # a worker in reach has answered a probe by then
-MANY_WORKERS = 20  # the heartbeats of this many are spread evenly enough over their interval
-HEARTBEAT_INTERVAL_FACTOR = 1.25  # the longest regular interval between heartbeats, by its setting
-HEARTBEAT_MARGIN_S = 1.0  # added to that interval for delays on the way
-INDEPENDENT_FAILURES_MIN = 3  # this many machines may fail at once for reasons of their own, or
-INDEPENDENT_FAILURE_SHARE = 0.1  # ... this share of all; more are rather cut off
-ZONE_HEARD_SHARE_MIN = 0.5  # of a zone's machines: where fewer are heard, the zone may be cut off
-ISOLATED_HEARD_SHARE = 0.25  # of the machines seen: where fewer are heard, the leader is isolated
-ISOLATED_AFTER_TIMEOUTS = 2  # heartbeat timeouts of a term in which isolation is not concluded
-OVERDUE_TO_ALIVE_MAX = 0.7  # with relatively more machines overdue, none of them is deleted
-LATE_DELETION_LEASE_SHARE = 0.8  # of its lease a machine is silent before deletion, if many are
-PAUSE_DETECTED_S = 1.0  # ticks are frequent: after a longer gap the process itself was paused
+MACHINE_COUNT_INTERVAL_S = 0.5  # interval at which the seen and heard machines are counted
+HEARD_TIMEOUT_MARGIN_S = 1.0  # added to the heartbeat timeout in that count
+MIN_WORKERS = 4  # with fewer, a network partition can't be told from failed workers
+MAX_PROBED_WORKERS = 8  # number of workers to probe when none is heard
+PROBE_WAIT_S = 1.2  # a reachable worker answers a probe within this time
+EVENLY_SPREAD_WORKERS = 20  # heartbeats of so many are spread evenly enough over their interval
+HEARTBEAT_INTERVAL_FACTOR = 1.25  # longest regular heartbeat interval, relative to the setting
+HEARTBEAT_MARGIN_S = 1.0  # added to that interval for network delays
+# Up to this many machines, or this fraction of all, may fail independently at once. If more are
+# silent, they are assumed to be cut off.
+MAX_INDEPENDENT_FAILURES = 3
+INDEPENDENT_FAILURE_SHARE = 0.1
+MIN_ZONE_HEARD_FRACTION = 0.5  # a zone may be cut off if less of its machines is heard
+MIN_HEARD_FRACTION = 0.25  # the leader is isolated if less of the machines seen is heard
+ISOLATION_GRACE_TIMEOUTS = 2  # heartbeat timeouts after the term's start before isolation counts
+MAX_OVERDUE_TO_ALIVE_RATIO = 0.7  # above this ratio of overdue to live machines, none is deleted
+# If many machines are silent, each is deleted only after this fraction of its lease.
+LATE_DELETION_LEASE_FRACTION = 0.8
+PROCESS_PAUSE_THRESHOLD_S = 1.0  # a longer gap between the frequent ticks is a process pause
 
 
 class FailureDetector:
-    """Decides which machines, zones or leaders have failed, as the leader that runs it sees it."""
+    """Decides for the leader which machines, zones or leaders have failed or are cut off."""
 
     def __init__(
         self, cluster: ClusterState, delegator: Delegator, reachability: Reachability
     ) -> None:
-        """Watch the machines of `cluster`; `delegator` tells whose leases others may renew."""
+        """Monitor the machines of `cluster`; `delegator` knows whose leases delegates may renew."""
         self.cluster = cluster
         self.reachability = reachability
         self.delegator = delegator
         self.machine_checks = MachineChecks(cluster, delegator, reachability)
         self.cut_off_zones: set[ZoneName] = set()  # zones that may be cut off
         self.machines_seen = 0  # machines that have sent a heartbeat to this leader
-        self.machines_heard = 0  # ... and still do
-        self.count_not_before = cluster.started_at
-        # Since when this leader may be cut off, and has sent probes to find out.
-        self.suspected_since: Instant | None = None
+        self.machines_heard = 0  # those of them that are still heard
+        self.next_count_at = cluster.started_at
+        # When all workers were found silent and probed; None: isolation is not suspected.
+        self.isolation_suspected_since: Instant | None = None
 
     def detect_pause(self, now: Instant) -> None:
-        """Discount a pause of this process; called before any decision, with a fresh `now`.
+        """Do not count a pause of this process as silence of the machines.
 
-        While the process was paused the machines were not silent: the leader did not listen, and
-        what they sent meanwhile is still to be read. Their leases ran on all the same.
+        To be called before any decision, with a fresh `now`. Messages that arrived during the
+        pause are still to be read, so the machines were not silent. Their leases ran on.
         """
         pause_s = now - self.cluster.last_wake
         self.cluster.last_wake = now
-        if pause_s <= PAUSE_DETECTED_S:
+        if pause_s <= PROCESS_PAUSE_THRESHOLD_S:
             return
         log.info("process_paused", seconds=round(pause_s, 1))
         self.cluster.last_heartbeat_at = min(now, Instant(self.cluster.last_heartbeat_at + pause_s))
-        self.suspected_since = None
+        self.isolation_suspected_since = None
         for machine in self.cluster.machines.values():
             machine.last_heard_at = min(now, Instant(machine.last_heard_at + pause_s))
             machine.heartbeat_at = min(now, Instant(machine.heartbeat_at + pause_s))
 
     def tick(self, now: Instant) -> None:
-        """End expired sessions, probe silent machines, and note the end of reconciliation."""
+        """End expired sessions, probe silent machines, and check if reconciliation is complete."""
         self.machine_checks.tick(now)
-        self._probe_when_silent(now)
+        self._probe_if_all_silent(now)
         if not self.cluster.reconciliation_completed and self.cluster.loaded:
             self._check_reconciliation_completed(now)
 
     def hears_nothing(self, now: Instant) -> bool:
-        """Whether no worker is heard, though of so many at least one should have been."""
-        self._count(now)
+        """Whether no worker is heard although, given their number, at least one should be."""
+        self._update_machine_counts(now)
         if self.machines_seen < MIN_WORKERS:
             return False
-        # The more workers there are, the shorter is the longest gap between two heartbeats.
-        interval_share = min(1.0, MANY_WORKERS / self.machines_seen)
-        return now - self.cluster.last_heartbeat_at > self._heartbeat_overdue_s(interval_share)
+        # The more workers there are, the shorter the longest gap between two heartbeats.
+        interval_fraction = min(1.0, EVENLY_SPREAD_WORKERS / self.machines_seen)
+        return now - self.cluster.last_heartbeat_at > self._heartbeat_overdue_s(interval_fraction)
 
     def is_isolated(self, now: Instant) -> bool:
-        """Whether the workers seem to be out of this leader's reach, all but a few."""
+        """Whether all but a few workers seem to be unreachable for this leader."""
         if (
             now - self.cluster.started_at
-            < ISOLATED_AFTER_TIMEOUTS * self.cluster.heartbeat_timeout()
+            < ISOLATION_GRACE_TIMEOUTS * self.cluster.heartbeat_timeout()
         ):
             return False
-        if self.suspected_since is not None and now - self.suspected_since > PROBE_WAIT_S:
+        if (
+            self.isolation_suspected_since is not None
+            and now - self.isolation_suspected_since > PROBE_WAIT_S
+        ):
             return True
         return (
             self.machines_seen >= MIN_WORKERS
-            and self.machines_heard < ISOLATED_HEARD_SHARE * self.machines_seen
+            and self.machines_heard < MIN_HEARD_FRACTION * self.machines_seen
         )
 
     def heard_no_machine(self, now: Instant) -> bool:
         """Whether this leader has heard no machine since its term began, though it should have.
 
-        By now each machine in reach should have sent a heartbeat or answered a probe.
-        `hears_nothing` and `is_isolated` count the machines that were seen: a new leader that is
-        cut off itself has seen none. All machines may be down as well, so this alone is no reason
-        to step down.
+        By now each reachable machine should have sent a heartbeat or answered a probe.
+        `hears_nothing` and `is_isolated` rely on the machines seen, and a new leader that is cut
+        off has seen none. All machines may also be down, so this alone is no reason to step down.
         """
         if now - self.cluster.started_at < self._heartbeat_overdue_s():
             return False
@@ -117,11 +122,11 @@
         return len(machines) >= MIN_WORKERS and not any(m.heartbeat_seen for m in machines)
 
     def select_machines_to_delete(self, now: Instant) -> None:
-        """Mark silent machines for deletion, which frees their tasks before their lease does.
+        """Mark silent machines for deletion, which frees their tasks before the lease expires.
 
-        Many silent machines at once mean that the leader or their zone is cut off, not that they
-        are down: their tasks go on until their leases are nearly over, and until then the machines
-        are kept. If hardly any machine is heard, it is the leader that is cut off.
+        If many machines are silent at once, the leader or their zone is cut off rather than the
+        machines being down. Their tasks run until the leases expire, so the machines are kept
+        until shortly before. If hardly any machine is heard, the leader itself is cut off.
         """
         if not self.cluster.unanswered_probes:
             return
@@ -148,11 +153,11 @@
         unused: bool,  # noqa: FBT001 - the scheduler passes the request on by position
         now: Instant,
     ) -> Delegation | None:
-        """Delegate the machines of a controller's zone to it, for when the zone is cut off.
+        """Delegate lease renewal to the controller in a zone, for when the zone is cut off.
 
-        `acknowledged` is the number of the last delegation that it accepted, and `unused` says
-        that it has renewed no session since it requested that one. Returns None while this leader
-        has read no jobs and so knows of no cancellations.
+        `acknowledged` is the number of the last delegation that it accepted; `unused` means that
+        it has renewed no session since it requested that one. Return None while this leader has
+        read no jobs and so knows of no cancellations.
         """
         if self.cluster.jobs_read_at is None:
             return None
@@ -167,7 +172,7 @@
         return Delegation(self.cluster.fencing_token, sequence, jobs_read_age_s, machine_ids)
 
     def _check_reconciliation_completed(self, now: Instant) -> None:
-        """Once every machine is reconciled or certainly expired, requeue the tasks not found."""
+        """Requeue unlocated tasks once each machine is reconciled or its old session is over."""
         if any(
             not (machine.reconciled or machine.predecessor_expired)
             for machine in self.cluster.machines.values()
@@ -182,26 +187,26 @@
 
     # ---- silence of all machines -------------------------------------------------------------
 
-    def _heartbeat_overdue_s(self, interval_share: float = 1.0) -> float:
+    def _heartbeat_overdue_s(self, interval_fraction: float = 1.0) -> float:
         """Seconds without a heartbeat after which one is overdue.
 
-        `interval_share` is less than 1 for many workers together, one of which is heard in that
-        share of the interval.
+        `interval_fraction` is less than 1 for a group of workers of which at least one should be
+        heard within that fraction of the interval.
         """
         report_s = self.cluster.worker_times.report_s
-        return HEARTBEAT_INTERVAL_FACTOR * report_s * interval_share + HEARTBEAT_MARGIN_S
+        return HEARTBEAT_INTERVAL_FACTOR * report_s * interval_fraction + HEARTBEAT_MARGIN_S
 
     def _is_heard(self, machine: Machine, now: Instant) -> bool:
         """Whether the machine's heartbeats arrive in time."""
         overdue_s = self._heartbeat_overdue_s()
         return machine.heartbeat_seen and now - machine.last_heard_at < overdue_s
 
-    def _count(self, now: Instant) -> None:
-        """Count the machines seen and heard, at intervals, as they are many."""
-        if now < self.count_not_before:
+    def _update_machine_counts(self, now: Instant) -> None:
+        """Count the machines seen and heard; at intervals, as there are many machines."""
+        if now < self.next_count_at:
             return
-        self.count_not_before = Instant(now + COUNT_INTERVAL_S)
-        heard_after = now - self.cluster.heartbeat_timeout() - COUNT_MARGIN_S
+        self.next_count_at = Instant(now + MACHINE_COUNT_INTERVAL_S)
+        heard_after = now - self.cluster.heartbeat_timeout() - HEARD_TIMEOUT_MARGIN_S
         seen = [m for m in self.cluster.machines.values() if m.heartbeat_seen]
         self.machines_seen = len(seen)
         self.machines_heard = sum(
@@ -211,32 +216,32 @@
             and machine.last_heard_at > heard_after
         )
 
-    def _probe_when_silent(self, now: Instant) -> None:
-        """While nothing is heard, probe some workers before anything is concluded.
+    def _probe_if_all_silent(self, now: Instant) -> None:
+        """If no worker is heard, probe some before concluding that the leader is isolated.
 
-        Machines that were started at once send their heartbeats at once for a while, and between
-        two such moments all of them are silent.
+        Machines that started together send their heartbeats together for a while, and are all
+        silent in between.
         """
         if not self.hears_nothing(now):
-            self.suspected_since = None
-        elif self.suspected_since is None:
-            self.suspected_since = now
+            self.isolation_suspected_since = None
+        elif self.isolation_suspected_since is None:
+            self.isolation_suspected_since = now
             candidates = [
                 m
                 for m in self.cluster.machines.values()
                 if m.heartbeat_seen and not m.deletion_requested
             ]
-            sample_size = min(PROBED_WORKERS, len(candidates))
+            sample_size = min(MAX_PROBED_WORKERS, len(candidates))
             for machine in self.cluster.rng.sample(candidates, sample_size):
                 self.reachability.send_probe(machine)
 
     # ---- deletion of silent machines ---------------------------------------------------------
 
     def _find_silent_machines(self, now: Instant) -> list[Machine]:
-        """The machines that left a probe unanswered and have not been heard of since.
+        """The machines that left a probe unanswered and have not been heard since.
 
-        One that has sent a heartbeat of late, after it left the leader without an answer, is not
-        down: it does not receive what the leader sends (`reachability`).
+        A machine that sent a recent heartbeat while it left probes unanswered is not down: it does
+        not receive what the leader sends (`reachability`).
         """
         lease_s = self.cluster.worker_times.lease_s
         silent = []
@@ -255,31 +260,31 @@
     def _mark_unless_cut_off(
         self, silent: list[Machine], preempted: list[Machine], now: Instant
     ) -> None:
-        """Mark the silent machines unless the leader is rather cut off from them.
+        """Mark the silent machines unless the leader seems to be cut off from them.
 
-        `preempted` are those among all silent machines that the cloud deletes anyway.
+        `preempted` lists the silent machines that the cloud deletes anyway.
         """
-        # Machines taken over and never seen count as well: a new leader that hears but a few is
-        # cut off from the rest, rather than the only one whose machines are alive.
+        # Machines of the previous term that were never seen count as well: a new leader that
+        # hears only a few machines is more likely cut off from the rest than they are all down.
         in_reach = [m for m in self.cluster.machines.values() if m.zone not in self.cut_off_zones]
         alive = sum(1 for machine in in_reach if self._is_heard(machine, now))
         if self.hears_nothing(now) or not alive:
             return
-        # Machines whose heartbeat is overdue count as silent: of those that are cut off at once,
-        # some are noticed before others.
+        # Machines with an overdue heartbeat count as silent, as the silence of machines that are
+        # cut off together is not noticed for all at the same time.
         preempted_in_reach = sum(1 for m in preempted if m.zone not in self.cut_off_zones)
         overdue = len(in_reach) - alive - preempted_in_reach
-        if overdue <= max(INDEPENDENT_FAILURES_MIN, INDEPENDENT_FAILURE_SHARE * len(in_reach)):
+        if overdue <= max(MAX_INDEPENDENT_FAILURES, INDEPENDENT_FAILURE_SHARE * len(in_reach)):
             self._mark_for_deletion(silent)
-        elif overdue <= OVERDUE_TO_ALIVE_MAX * alive:
-            late_s = LATE_DELETION_LEASE_SHARE * self.cluster.worker_times.lease_s
+        elif overdue <= MAX_OVERDUE_TO_ALIVE_RATIO * alive:
+            late_s = LATE_DELETION_LEASE_FRACTION * self.cluster.worker_times.lease_s
             self._mark_for_deletion(m for m in silent if now - m.last_heard_at > late_s)
 
     def _mark_for_deletion(self, machines: Iterable[Machine]) -> None:
         self.cluster.machines_to_delete.update(machine.id for machine in machines)
 
     def _update_cut_off_zones(self, now: Instant) -> set[ZoneName]:
-        """Find the zones that may be cut off, and log those that were not before."""
+        """Update the zones that may be cut off, and log new ones."""
         cut_off_zones = self._find_cut_off_zones(now)
         for zone in sorted(cut_off_zones - self.cut_off_zones):
             log.warning("zone_unreachable", zone=zone)
@@ -287,7 +292,7 @@
         return cut_off_zones
 
     def _find_cut_off_zones(self, now: Instant) -> set[ZoneName]:
-        """The zones of which hardly any machine is heard and that have another controller in them.
+        """The zones with another controller in which too few machines are heard.
 
         That controller may renew the machines' leases, so their tasks may go on. A new leader may
         never have heard any machine of such a zone.
@@ -300,7 +305,7 @@
             zone
             for zone, heard_in_zone in heard.items()
             if len(heard_in_zone) >= MIN_WORKERS
-            and sum(heard_in_zone) < ZONE_HEARD_SHARE_MIN * len(heard_in_zone)
+            and sum(heard_in_zone) < MIN_ZONE_HEARD_FRACTION * len(heard_in_zone)
         }
 
     # ---- delegation --------------------------------------------------------------------------
@@ -308,7 +313,7 @@
     def _may_delegate(self, machine: Machine, now: Instant) -> bool:
         """Whether another controller may renew the machine's lease.
 
-        Nothing on it may have to be stopped, as a delegate sends no commands.
+        No task on the machine may need to be stopped, as a delegate sends no commands.
         """
         return (
             machine.reconciled
--- a/umberward/scheduling/invariants.py
+++ b/umberward/scheduling/invariants.py
@@ -1,8 +1,8 @@
-"""Safety invariants, checked at run time at the actions that would break them. No I/O.
+"""Safety invariants, checked at run time before each action that could break them. No I/O.
 
-The checks repeat what earlier decisions rely on: a violation is a fault of this program. In service
-the action is refused, one line logs what was about to happen, and it is counted; in tests it
-raises. Each check costs a few look-ups by key.
+The checks repeat what earlier decisions rely on, so a violation is a bug. In production the action
+is refused, logged in one line and counted; in tests the check raises. Each check costs a few
+look-ups by key.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 
 
 class Invariant(StrEnum):
-    """What must hold whatever fails; the values are logged."""
+    """Conditions that must hold whatever fails; the values are logged."""
 
-    ONE_ATTEMPT_HELD = "one_attempt_held"  # no two attempts of a task have a placement
-    STARTED_ALONE = "started_alone"  # no other attempt may be on a machine or in flight
-    STARTED_WHILE_LIVE = "started_while_live"  # nothing starts of a job that is known to be over
-    FORGOTTEN_FOR_GOOD = "forgotten_for_good"  # no start of a forgotten attempt may arrive
+    ONE_ATTEMPT_HELD = "one_attempt_held"  # at most one attempt of a task has a placement
+    STARTED_ALONE = "started_alone"  # no other attempt is on a machine or in flight
+    STARTED_WHILE_LIVE = "started_while_live"  # no task of a job known to have ended is started
+    FORGOTTEN_FOR_GOOD = "forgotten_for_good"  # no start of a forgotten attempt can arrive
 
 
 class InvariantViolationError(AssertionError):
-    """An invariant does not hold; raised in tests only."""
+    """An invariant is violated; raised in tests only."""
 
     def __init__(self, invariant: Invariant, evidence: dict[str, object]) -> None:
-        """`evidence`: the fields that are logged in service."""
+        """`evidence` holds the fields that are logged in production."""
         super().__init__(f"{invariant}: {evidence}")
 
 
@@ -41,7 +41,7 @@
     raises = False  # set by the tests
 
     def __init__(self) -> None:
-        """Begin without violations."""
+        """Start without violations."""
         self.violations: Counter[Invariant] = Counter()
 
     def may_place(self, machine: Machine, job: Job, placement: Placement) -> bool:
@@ -90,7 +90,7 @@
     def _refuse_placement(
         self, invariant: Invariant, placement: Placement, **evidence: object
     ) -> bool:
-        """Refuse an action on a placement; returns False."""
+        """Refuse an action on a placement, and return False."""
         return self._refuse(
             invariant,
             task=placement.task,
@@ -100,7 +100,7 @@
         )
 
     def _refuse(self, invariant: Invariant, **evidence: object) -> bool:
-        """Count and report a violation; returns False, or raises in tests."""
+        """Count and log a violation, and return False; in tests, raise."""
         self.violations[invariant] += 1
         if self.raises:
             raise InvariantViolationError(invariant, evidence)
--- a/umberward/scheduling/lease_bounds.py
+++ b/umberward/scheduling/lease_bounds.py
@@ -1,8 +1,8 @@
-"""Time bounds on worker sessions that all controllers rely on. No I/O.
+"""Time bounds on worker sessions, shared by all controllers. No I/O.
 
-A worker's session ends when its lease has run out unanswered. The controller that answers a worker
-and the controller that waits for a session's end must use the same bounds, so all of them are in
-`LeaseBounds` (docs/design.md, "Silence of the state service").
+A worker's session ends when its lease expires without an answer. The controller that answers a
+worker and the one that waits for a session's end must use the same bounds, so `LeaseBounds` holds
+all of them (docs/design.md, "Silence of the state service").
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 from umberward.core.settings import WorkerTimes
 from umberward.core.types import Instant
 
-CLOCK_DRIFT_FACTOR = 1.001  # twice as much as two steady clocks drift apart
-LEASE_MARGIN_S = 0.5  # safety margin of each bound
-START_AFTER_READ_S = 3.0  # several times as long as a read takes, and a common lease's length
+CLOCK_DRIFT_FACTOR = 1.001  # allows for twice the drift between two steady clocks
+LEASE_MARGIN_S = 0.5  # safety margin in each bound
+START_MAX_READ_AGE_S = 3.0  # several times the duration of a read, and as long as a common lease
 
 
 class LeaseBounds:
     """Durations in seconds after which a worker's session is certain to be over.
 
-    They follow from the workers' settings. Let `jobs_read_at` be the moment at which the latest
+    They follow from the workers' settings. Let `jobs_read_at` be the time at which the latest
     answered read of the jobs was *requested*: a cancellation unknown to the controller was
-    confirmed after it. A response sent at t < jobs_read_at + keepalive_s is to a heartbeat that
+    confirmed after it. A response sent at t < jobs_read_at + keepalive_s answers a heartbeat that
     was sent before t, so the session that it renews is over by
 
         t + lease_s * CLOCK_DRIFT_FACTOR
@@ -28,18 +28,18 @@
             = jobs_read_at + cancel_s - LEASE_MARGIN_S
 
     by any of the clocks, and so within `cancel_s` of the cancellation. `lease_renewed_at`, the
-    moment at which the latest granted renewal of the leader's own lease was *sent*, bounds it
-    likewise: the next leader is elected later, and may rely on every session renewed by this
-    controller being over `takeover_s` after that.
+    time at which the latest granted renewal of the leader's own lease was *sent*, is a bound in
+    the same way: the next leader is elected later than that, and may rely on every session that
+    this controller renewed being over `takeover_s` after its election.
 
     Attributes:
         keepalive_s: how long after `jobs_read_at` responses may renew sessions; 0 if the settings
-            leave no time in which that is possible without the state service.
-        lease_s: after a response was ready, the session that it renews is over.
-        delegated_s: after a machine was delegated, its session is over: the delegate answers for
-            `keepalive_s` at most.
-        takeover_s: after a term began, each session that a former leader renewed is over: its
-            last renewal of the leader's lease was granted before the term.
+            leave no time for renewals without the state service.
+        lease_s: how long after a response was ready the session that it renews is over.
+        delegated_lease_s: how long after a machine was delegated its session is over; the delegate
+            answers for at most `keepalive_s`.
+        takeover_s: how long after a term began each session that a former leader renewed is over;
+            that leader's last lease renewal was granted before the term.
     """
 
     def __init__(self, workers: WorkerTimes) -> None:
@@ -48,27 +48,27 @@
             0.0, (workers.cancel_s - LEASE_MARGIN_S) / CLOCK_DRIFT_FACTOR - workers.lease_s
         )
         self.lease_s = workers.lease_s * CLOCK_DRIFT_FACTOR + LEASE_MARGIN_S
-        self.delegated_s = workers.cancel_s * CLOCK_DRIFT_FACTOR + LEASE_MARGIN_S
+        self.delegated_lease_s = workers.cancel_s * CLOCK_DRIFT_FACTOR + LEASE_MARGIN_S
         self.takeover_s = workers.cancel_s * CLOCK_DRIFT_FACTOR + 2 * LEASE_MARGIN_S
 
     def may_answer(
         self, jobs_read_at: Instant | None, lease_renewed_at: Instant, now: Instant
     ) -> bool:
-        """Whether a heartbeat may be answered so that its worker's session goes on.
+        """Whether a heartbeat may be answered, which renews its worker's session.
 
-        To be called at the moment of sending, by the controller that answers, with moments of its
-        own steady clock. `jobs_read_at` is None for a term that has read nothing: it knows of no
-        cancellation and must not answer.
+        To be called when the response is sent, by the controller that answers, with times of its
+        own steady clock. `jobs_read_at` is None if the leader has read no jobs in this term: it
+        knows of no cancellations and must not answer.
         """
         return jobs_read_at is not None and now < (
             min(jobs_read_at, lease_renewed_at) + self.keepalive_s
         )
 
     def may_start(self, jobs_read_at: Instant | None, now: Instant) -> bool:
-        """Whether a leader may start a task; to be called at the moment of sending.
+        """Whether a leader may start a task; to be called when the start is sent.
 
-        A cancellation unknown to the leader was confirmed after `jobs_read_at`, so a start of a
-        cancelled task is sent less than START_AFTER_READ_S after its cancellation, however late
+        A cancellation unknown to the leader was confirmed after `jobs_read_at`. So a start of a
+        cancelled task is sent less than START_MAX_READ_AGE_S after the cancellation, however late
         the leader learns of it.
         """
-        return jobs_read_at is not None and now < jobs_read_at + START_AFTER_READ_S
+        return jobs_read_at is not None and now < jobs_read_at + START_MAX_READ_AGE_S
--- a/umberward/scheduling/lease_delegation.py
+++ b/umberward/scheduling/lease_delegation.py
@@ -1,16 +1,16 @@
 """Renewal of worker leases by another controller while a zone is cut off from the leader. No I/O.
 
-A zone may be cut off together with a controller in it. That controller, the delegate, sends no
-commands there, but if it answers the zone's workers with the fencing token that they know, their
-leases do not expire and their tasks go on. Two rules follow, and this module ensures both:
+A zone may be cut off together with a controller in it, the delegate. The delegate sends no
+commands, but answers the zone's workers with the fencing token that they know, so that their leases
+do not expire and their tasks go on. This module ensures two rules:
 
-- A task cancelled by a user meanwhile must be gone in time. So the leader delegates machines only
-  while it knows them to run nothing cancelled, and the delegation ends early enough that each
-  session ends within `cancel_s` after the last moment up to which the leader knew of all
+- A task that a user cancels meanwhile must end in time. So the leader delegates a machine only
+  while it knows that nothing cancelled runs there, and each delegation ends early enough that all
+  sessions end within `cancel_s` after the latest time up to which the leader knew of all
   cancellations.
-- The leader must not take a session for over that a delegate has renewed. So it counts a delegated
-  machine as alive for as long as the delegation may last, unless each delegate of the machine's
-  zone reports that it has not used the delegation.
+- The leader must not consider a session over that a delegate has renewed. So it counts a delegated
+  machine as alive for as long as the delegation may last, unless all delegates of the machine's
+  zone report that they have not used it.
 
 docs/design.md, "A zone that is cut off", has the argument. The durations are in `lease_bounds`.
 """
@@ -25,20 +25,20 @@
 from umberward.core.types import ControllerName, FencingToken, Instant, MachineId, ZoneName
 from umberward.scheduling.lease_bounds import LeaseBounds
 
-# A leader that answered within this time is in reach: its workers are redirected to it.
+# A leader that answered within this time is reachable, so workers are redirected to it.
 LEADER_REACHABLE_S = 2.5
-SEQUENCES_PER_TERM_BITS = 20  # a term's delegations are numbered from its token shifted by these
+DELEGATION_SEQUENCE_BITS = 20  # low bits of a delegation's number; the term's token is above them
 
 
 class Delegation(
     msgspec.Struct,
     rename={"fencing_token": "epoch", "jobs_read_age_s": "age", "machine_ids": "hosts"},
 ):
-    """The leader's response to a controller that asks for the machines of its zone.
+    """The leader's response to a controller that requests the delegation of its zone's machines.
 
-    `fencing_token` is the leader's; `serial` is returned with the controller's next request;
+    `fencing_token` is the leader's; the controller returns `serial` with its next request;
     `jobs_read_age_s` is how many seconds ago the leader knew of all cancellations; `machine_ids`
-    are the machines that the controller may answer.
+    are the machines whose heartbeats the controller may answer.
     """
 
     fencing_token: int
@@ -47,7 +47,7 @@
     machine_ids: list[str]
 
 
-class _Issued(NamedTuple):
+class _IssuedDelegation(NamedTuple):
     """The latest delegation to a controller: its number, and when the leader issued it."""
 
     sequence: int
@@ -55,14 +55,14 @@
 
 
 class _UnusedPeriod(NamedTuple):
-    """A period in which a delegate has certainly renewed no session."""
+    """A period in which a delegate is certain to have renewed no session."""
 
     since: Instant
     until: Instant
 
 
 class Delegator:
-    """The leader's side: what was delegated, and which delegates have not used it."""
+    """The leader's side: numbers delegations and tracks which are certain to be unused."""
 
     def __init__(
         self,
@@ -70,52 +70,52 @@
         delegates: dict[ControllerName, ZoneName],
         term_token: int,
     ) -> None:
-        """`delegates`: the other controllers, with the zone of each; `term_token`: this term's."""
+        """`delegates` maps the other controllers to their zones; `term_token` begins the term."""
         self.bounds = LeaseBounds(workers)
         self.delegates = delegates
         self.zones = set(delegates.values())
-        # No two leaders issue the same number.
-        self._last_sequence = term_token << SEQUENCES_PER_TERM_BITS
-        self._issued: dict[ControllerName, _Issued] = {}
+        # Derived from the term's token, so that no two leaders issue the same number.
+        self._last_sequence = term_token << DELEGATION_SEQUENCE_BITS
+        self._issued: dict[ControllerName, _IssuedDelegation] = {}
         self._acknowledged: dict[ControllerName, int] = {}
         self._unused: dict[ControllerName, _UnusedPeriod] = {}
 
     def issue(
         self, delegate: ControllerName, acknowledged: int, now: Instant, *, unused: bool
     ) -> int:
-        """Number the response to a delegate's request; returns the number.
+        """Return the number of the response to a delegate's request.
 
-        `acknowledged` is the number of the last response that the delegate had (0: none), and
-        `unused` says that it has renewed no session since it requested that one. This covers the
-        time until the leader issued that response, and not more: the request itself may have been
-        under way for any time.
+        `acknowledged` is the number of the last response that the delegate received (0: none), and
+        `unused` means that it has renewed no session since it requested that one. This proves
+        non-use only until the leader issued that response, as the delegate's new request may have
+        been in transit for any time.
         """
-        issued = self._issued.get(delegate, _Issued(0, now))
+        issued = self._issued.get(delegate, _IssuedDelegation(0, now))
         if not unused or not acknowledged:
             self._unused.pop(delegate, None)
         elif acknowledged == issued.sequence:
-            known = self._unused.get(delegate)
-            since = issued.at if known is None else known.since
+            previous_period = self._unused.get(delegate)
+            since = issued.at if previous_period is None else previous_period.since
             self._unused[delegate] = _UnusedPeriod(since, issued.at)
         elif acknowledged != self._acknowledged.get(delegate):
             # Otherwise the last response was lost, and nothing new is known.
             self._unused.pop(delegate, None)
         self._acknowledged[delegate] = acknowledged
         self._last_sequence += 1
-        self._issued[delegate] = _Issued(self._last_sequence, now)
+        self._issued[delegate] = _IssuedDelegation(self._last_sequence, now)
         return self._last_sequence
 
     def lease_expired(
         self, zone: ZoneName, answered_at: Instant, delegated_at: Instant | None, now: Instant
     ) -> bool:
-        """Whether a worker's session is certainly over.
+        """Whether a worker's session is certain to be over.
 
-        The leader last answered the worker at `answered_at`, and last delegated it at
-        `delegated_at` (None: never), both by the leader's steady clock.
+        The leader last answered the worker at `answered_at` and last delegated it at
+        `delegated_at` (None: never), both times of the leader's steady clock.
         """
         if now - answered_at <= self.bounds.lease_s:
             return False
-        if delegated_at is None or now - delegated_at > self.bounds.delegated_s:
+        if delegated_at is None or now - delegated_at > self.bounds.delegated_lease_s:
             return True
         return all(
             self._unused_for_a_lease(delegate, answered_at)
@@ -124,7 +124,7 @@
         )
 
     def _unused_for_a_lease(self, delegate: ControllerName, answered_at: Instant) -> bool:
-        """Whether the delegate has renewed nothing for a whole lease after `answered_at`."""
+        """Whether the delegate has renewed no session for a whole lease after `answered_at`."""
         period = self._unused.get(delegate)
         return (
             period is not None
@@ -134,52 +134,52 @@
 
 
 class Delegate:
-    """The side of the other controllers: the delegation in force, and for how long it may be used.
+    """The delegate's side: the delegation in force, and for how long it may be used.
 
-    All moments are of this controller's steady clock.
+    All times are of this controller's steady clock.
     """
 
     def __init__(self, workers: WorkerTimes) -> None:
-        """Begin without a delegation."""
+        """Start without a delegation."""
         self.bounds = LeaseBounds(workers)
         self.serial = 0  # of the last delegation accepted
-        self.fencing_token = FencingToken(0)  # the leader's that issued it
-        self.machine_ids: frozenset[str] = frozenset()  # the machines that may be answered
-        self.jobs_read_at = Instant(0.0)  # until then the leader knew of all cancellations
-        self.asked_at = Instant(0.0)  # when the delegation was requested
-        self.leader_reached_at = Instant(0.0)  # when the leader last responded
-        self.used_at = Instant(-1.0)  # when a delegation was last used
+        self.fencing_token = FencingToken(0)  # that of the leader that issued it
+        self.machine_ids: frozenset[str] = frozenset()  # whose heartbeats may be answered
+        self.jobs_read_at = Instant(0.0)  # the leader knew of all cancellations up to then
+        self.asked_at = Instant(0.0)  # when the delegation in force was requested
+        self.leader_responded_at = Instant(0.0)  # when the leader last responded
+        self.last_used_at = Instant(-1.0)  # when a delegation was last used
 
     @property
     def unused(self) -> bool:
         """Whether no session was renewed since the delegation in force was requested."""
-        return self.used_at < self.asked_at
+        return self.last_used_at < self.asked_at
 
     def accept(self, delegation: Delegation, asked_at: Instant, now: Instant) -> None:
         """Put a delegation into force.
 
         `asked_at` is when this controller sent the request. The leader issued the delegation
-        later, so counting from the request is safe.
+        later, so durations counted from the request are on the safe side.
         """
         self.serial = delegation.serial
         self.fencing_token = FencingToken(delegation.fencing_token)
         self.machine_ids = frozenset(delegation.machine_ids)
         self.jobs_read_at = Instant(asked_at - delegation.jobs_read_age_s)
         self.asked_at = asked_at
-        self.leader_reached_at = now
+        self.leader_responded_at = now
 
     def may_answer(self, machine_id: MachineId, fencing_token: int, now: Instant) -> bool:
         """Whether a worker's heartbeat may be answered; if so, the delegation counts as used.
 
-        `fencing_token` is the highest that the worker has seen: a delegation holds for the token
-        it was issued under only. To be called once the response is ready to be sent.
+        `fencing_token` is the highest that the worker has seen; a delegation is valid only for the
+        token under which it was issued. To be called once the response is ready to be sent.
         """
         if (
             fencing_token != self.fencing_token
             or not self.bounds.may_answer(self.jobs_read_at, self.asked_at, now)
-            or now - self.leader_reached_at <= LEADER_REACHABLE_S
+            or now - self.leader_responded_at <= LEADER_REACHABLE_S
             or machine_id not in self.machine_ids
         ):
             return False
-        self.used_at = now
+        self.last_used_at = now
         return True
--- a/umberward/scheduling/machine_blocks.py
+++ b/umberward/scheduling/machine_blocks.py
@@ -1,7 +1,7 @@
-"""The leader's blocks of machines, as they are and as the state service has them. No I/O.
+"""Grouping of machines into blocks, which the state service stores as one record each. No I/O.
 
-A new leader learns from the stored blocks which machines may run tasks of its predecessors. One
-record holds the machines of a whole block, so that a fleet that changes costs few writes.
+A new leader learns from the stored blocks which machines may run tasks of its predecessors. As a
+record holds the machines of a whole block, changes of the fleet need few writes.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 MIN_MACHINES_PER_BLOCK = 4
 MAX_MACHINES_PER_BLOCK = 32
-VALUE_BYTES_PER_MACHINE = 120  # of a stored value's limit, a generous estimate
+VALUE_BYTES_PER_MACHINE = 120  # generous estimate of a machine's share of a stored value
 
 
 @dataclass(slots=True)
 class MachineBlock:
-    """The machines that belong to one block, and the version under which it was last stored.
+    """The machines of one block, and the version under which it was last stored.
 
-    Version 0: the state service has no such block.
+    Version 0 means that the state service has no such block.
     """
 
     version: Version = Version(0)  # noqa: RUF009 - a NewType of an immutable int
@@ -31,19 +31,21 @@
 
 
 class MachineBlocks:
-    """Assigns machines to blocks and keeps account of the blocks that are to be written."""
+    """Assigns machines to blocks, and tracks the blocks to be written."""
 
     def __init__(self, cluster: ClusterState) -> None:
-        """`cluster.value_limit` (bytes) decides how many machines a new block takes."""
+        """Derive the number of machines per block from `cluster.value_limit` (bytes)."""
         self.block_size = max(
             MIN_MACHINES_PER_BLOCK,
             min(MAX_MACHINES_PER_BLOCK, cluster.value_limit // VALUE_BYTES_PER_MACHINE),
         )
-        self.machines_moving_out: dict[int, set[MachineId]] = {}  # by the block that they leave
+        self.machines_moving_out: dict[
+            int, set[MachineId]
+        ] = {}  # by number of the block they leave
         self._cluster = cluster
         self._blocks: dict[int, MachineBlock] = {}
         self._changed_numbers: set[int] = set()
-        self._pending_numbers: dict[MachineId, int] = {}  # assigned, and not stored there yet
+        self._pending_numbers: dict[MachineId, int] = {}  # assigned blocks not stored yet
 
     def __contains__(self, number: int) -> bool:
         """Whether there is a block of this number."""
@@ -51,11 +53,11 @@
 
     @property
     def changed(self) -> bool:
-        """Whether any block differs from what is stored of it."""
+        """Whether any block differs from its stored record."""
         return bool(self._changed_numbers)
 
     def load(self, number: int, version: Version, machines: Iterable[Machine]) -> None:
-        """Take over a block as a new leader reads it from the state service."""
+        """Add a block that a new leader has read from the state service."""
         machine_ids = set()
         for machine in machines:
             if machine.block_number in (None, number):
@@ -63,13 +65,13 @@
                 machine.availability_changed()
                 machine_ids.add(machine.id)
             else:
-                # The machine had moved to another block, and the predecessor ended before it
-                # wrote the block that the machine left.
+                # The machine had moved to another block, but the previous leader's term ended
+                # before it wrote the block that the machine left.
                 self._changed_numbers.add(number)
         self._blocks[number] = MachineBlock(version, machine_ids)
 
     def assign(self, machine: Machine) -> None:
-        """Choose the first block with room for a machine, unless one is chosen already."""
+        """Assign a machine to the first block with room, unless it is already assigned."""
         if machine.id in self._pending_numbers:
             return
         number = 0
@@ -80,39 +82,39 @@
         self._changed_numbers.add(number)
 
     def remove(self, machine: Machine) -> None:
-        """Take a machine that no longer exists out of its blocks."""
+        """Remove a machine that no longer exists from its blocks."""
         if machine.block_number is not None:
             self._remove_from_block(machine.id, machine.block_number)
         pending_number = self._pending_numbers.pop(machine.id, None)
         if pending_number is not None:
-            # A block that still names the machine would count as changed after every write.
+            # A block that still lists the machine would count as changed after every write.
             self._remove_from_block(machine.id, pending_number)
 
     def split(self, number: int) -> None:
-        """Move a part of a block's machines to others, as its record exceeds the value limit.
+        """Move some of a block's machines to others, as its record exceeds the value limit.
 
-        This happens to a block that was stored under wider limits. A machine must be stored in
-        some block at any time, as a new leader would not wait for the tasks of any other; so the
-        old block is written only together with the new ones or after them.
+        This happens to a block that was stored under a higher limit. Each machine must be stored
+        in some block at all times, as a new leader would not wait for the tasks of an unlisted one.
+        So the old block is written only together with or after the new ones.
         """
         machine_ids = self._blocks[number].machine_ids
-        leaving = sorted(machine_ids)[min(self.block_size, len(machine_ids) // 2) :]
-        machine_ids.difference_update(leaving)
-        self.machines_moving_out.setdefault(number, set()).update(leaving)
-        for machine_id in leaving:
+        machine_ids_to_move = sorted(machine_ids)[min(self.block_size, len(machine_ids) // 2) :]
+        machine_ids.difference_update(machine_ids_to_move)
+        self.machines_moving_out.setdefault(number, set()).update(machine_ids_to_move)
+        for machine_id in machine_ids_to_move:
             machine = self._cluster.machines.get(machine_id)
             if machine is not None:
                 self.assign(machine)
 
     def changed_in_write_order(self) -> list[int]:
-        """The blocks to write; those that machines leave come after those that they move to."""
+        """The numbers of the blocks to write; blocks that machines leave come last."""
         return sorted(
             self._changed_numbers,
             key=lambda number: (number in self.machines_moving_out, number),
         )
 
     def destinations(self, number: int) -> set[int]:
-        """The blocks that must be stored no later than this one, as its machines move there."""
+        """The blocks that machines of this one move to, which must be stored no later than it."""
         return {
             self._pending_numbers[machine_id]
             for machine_id in self.machines_moving_out.get(number, ())
@@ -120,11 +122,11 @@
         }
 
     def version(self, number: int) -> Version:
-        """The version under which the block was last stored; 0: it is not stored."""
+        """The version under which the block was last stored; 0 if it is not stored."""
         return self._blocks[number].version
 
     def build_record(self, number: int) -> wire.BlockRecord:
-        """The block as it should be stored."""
+        """Build the record to store for the block."""
         return wire.BlockRecord(
             {
                 str(machine_id): (
@@ -139,11 +141,11 @@
         )
 
     def set_version(self, number: int, version: Version) -> None:
-        """Record the version that the state service has of a block."""
+        """Set the version of a block in the state service."""
         self._blocks[number].version = version
 
     def record_stored(self, number: int, stored_ids: set[MachineId]) -> None:
-        """The state service has the block with these machines."""
+        """Record that the state service has stored the block with these machines."""
         machine_ids = self._blocks[number].machine_ids
         if stored_ids == machine_ids:
             self._changed_numbers.discard(number)
--- a/umberward/scheduling/machine_checks.py
+++ b/umberward/scheduling/machine_checks.py
@@ -1,6 +1,6 @@
-"""Checks of each machine that are due at a certain time: silence and expired sessions. No I/O.
+"""Timed checks of each machine: silence, missing heartbeats and expired sessions. No I/O.
 
-All moments are of the leader's steady clock.
+All times are of the leader's steady clock.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 from umberward.scheduling.machines import Machine
 from umberward.scheduling.reachability import Reachability
 
-CHECK_AGAIN_S = 0.1  # less than the interval of ticks: checked again at the next one
+RECHECK_INTERVAL_S = 0.1  # shorter than the tick interval: checks again at the next tick
 
 NO_CHECK_DUE = Instant(math.inf)
 
 
 class MachineChecks:
-    """Probes silent machines and ends sessions that are certainly over."""
+    """Probes silent machines, and ends sessions that are certain to be over."""
 
     def __init__(
         self, cluster: ClusterState, delegator: Delegator, reachability: Reachability
     ) -> None:
-        """Check the machines of `cluster`; `delegator` tells whose leases others may renew."""
+        """Check the machines of `cluster`; `delegator` knows whose leases delegates may renew."""
         self.cluster = cluster
         self.reachability = reachability
         self.delegator = delegator
-        # A heap of when to check which machine next: one entry for each machine.
+        # A heap of the next check of each machine, one entry per machine.
         self._schedule: list[tuple[Instant, MachineId]] = []
 
     def tick(self, now: Instant) -> None:
-        """Check new machines, and those whose check is due."""
+        """Schedule a check of new machines, and run all checks that are due."""
         for machine in self.cluster.unscheduled_checks:
             heapq.heappush(self._schedule, (now, machine.id))
         self.cluster.unscheduled_checks.clear()
@@ -42,8 +42,8 @@
     def _run_due_checks(self, now: Instant) -> None:
         """Check the machines whose check is due.
 
-        Heartbeats only postpone a check, so an entry is moved when its moment has come and not
-        with each heartbeat.
+        Heartbeats can only postpone a check, so an entry is rescheduled when it comes due rather
+        than with each heartbeat.
         """
         while self._schedule and self._schedule[0][0] <= now:
             machine_id = self._schedule[0][1]
@@ -54,51 +54,51 @@
                 heapq.heapreplace(self._schedule, (self._check_machine(machine, now), machine_id))
 
     def _check_machine(self, machine: Machine, now: Instant) -> Instant:
-        """Apply what has become due for one machine; returns when to check it next."""
+        """Run all checks of one machine, and return when to check it next."""
         next_check = min(
             self._check_silence(machine, now),
             self._check_heartbeats(machine, now),
             self._check_session(machine, now),
         )
-        return max(Instant(now + CHECK_AGAIN_S), next_check)
+        return max(Instant(now + RECHECK_INTERVAL_S), next_check)
 
     def _check_silence(self, machine: Machine, now: Instant) -> Instant:
-        """Probe a machine of which nothing was heard for too long."""
+        """Probe a machine that has been silent for longer than the heartbeat timeout."""
         timeout_s = self.cluster.heartbeat_timeout()
         if machine.deletion_requested:
             return Instant(now + timeout_s)
         if not machine.probe_inflight and now - machine.last_heard_at > timeout_s:
             self.reachability.send_probe(machine)
         if machine.probe_inflight:
-            return Instant(now + CHECK_AGAIN_S)
+            return Instant(now + RECHECK_INTERVAL_S)
         return Instant(min(now, machine.last_heard_at) + timeout_s)
 
     def _check_heartbeats(self, machine: Machine, now: Instant) -> Instant:
-        """Note a machine that answers but has sent no heartbeat of its own for too long."""
+        """Report a machine that answers but has sent no periodic heartbeat for too long."""
         if machine.no_heartbeats_since is not None:
             return NO_CHECK_DUE
         if machine.probe_unanswered or machine.deletion_requested:
             return NO_CHECK_DUE
-        if now - machine.heartbeat_at > self.reachability.no_heartbeat_s:
+        if now - machine.heartbeat_at > self.reachability.heartbeats_missing_after_s:
             self.reachability.heartbeats_missing(machine, now)
             return NO_CHECK_DUE
-        return Instant(machine.heartbeat_at + self.reachability.no_heartbeat_s)
+        return Instant(machine.heartbeat_at + self.reachability.heartbeats_missing_after_s)
 
     def _check_session(self, machine: Machine, now: Instant) -> Instant:
-        """End the machine's session, or a former leader's, once it is certainly over."""
+        """End the machine's session, or a former leader's, once it is certain to be over."""
         if machine.reconciled:
             return self._check_lease(machine, now)
         if machine.predecessor_expired:
             return NO_CHECK_DUE
         takeover_s = self.delegator.bounds.takeover_s
         if now - self.cluster.started_at > takeover_s:
-            # Nobody can have renewed its session for so long.
+            # No former leader can have renewed its session for so long.
             machine.predecessor_expired = True
             return NO_CHECK_DUE
         return Instant(self.cluster.started_at + takeover_s)
 
     def _check_lease(self, machine: Machine, now: Instant) -> Instant:
-        """Expire the lease of a reconciled machine: the worker has killed all its tasks."""
+        """Expire the lease of a reconciled machine; its worker has then killed all tasks."""
         if machine.answered_at is None:
             return NO_CHECK_DUE
         if self.delegator.lease_expired(
@@ -114,5 +114,5 @@
         machine.answered_at = None
         machine.lease_expired = True
         machine.availability_changed()
-        # A late heartbeat of the expired session must not be accepted undecoded.
+        # A late heartbeat of the expired session must not be accepted without decoding it.
         machine.unchanged_heartbeat = None
--- a/umberward/scheduling/reachability.py
+++ b/umberward/scheduling/reachability.py
@@ -1,17 +1,16 @@
-"""Whether machines receive what the leader sends, and whether they send heartbeats. No I/O.
-
-A network may carry a machine's heartbeats to the leader and nothing back. What is sent to such a
-machine is lost, its session ends with its lease, and it would be given work again and again. Only
-what a worker shows is proof that it receives: a response to a probe or a command, the leader's
-fencing token, a task that the leader started, or a session that has outlived its lease. Where such
-proof is missing the machine is suspected, and a probe settles that within milliseconds where
-nothing is wrong. A machine that does not answer gets no new work, is probed again at longer
-intervals, and is returned once keeping it has cost as much as another machine would; its tasks
-start elsewhere by the same proofs as always (docs/design.md, "Safety").
-
-The other way round, a machine may execute commands and answer probes while its heartbeats reach
-no controller. Its session ends with its lease whatever it answers, and what is started there is
-lost with it. So it gets no new work until it sends heartbeats, and is returned in the same way.
+"""Detection of machines that are reachable in one direction only. No I/O.
+
+If a machine's heartbeats arrive but it receives nothing, its sessions end with their leases, and
+it would be given work again and again. Proof that a worker receives is a response to a probe or
+command, the leader's fencing token, a task that the leader started, or a session older than its
+lease. Without such proof the machine is suspected and probed; a healthy one answers within
+milliseconds. One that does not answer gets no new work, is probed at longer intervals, and is
+deleted once keeping it has cost as much as a new machine. Its tasks start elsewhere only under the
+usual conditions (docs/design.md, "Safety").
+
+Conversely, a machine may execute commands and answer probes while its heartbeats reach no
+controller. Its session then ends with its lease and its tasks are lost, so it gets no new work
+until it sends heartbeats, and is deleted in the same way.
 """
 
 from __future__ import annotations
@@ -24,39 +23,42 @@
 
 log = logger(__name__)
 
-PROMPT_PROBE_S = 0.5  # between two probes of a suspected machine that sends heartbeats
-PROBE_INTERVAL_S = 1.0  # between two probes of another suspected machine
-UNREACHABLE_PROBE_INTERVAL_S = 5.0  # ... and of one that counts as unreachable
+# Intervals between probes of a suspected machine that sends heartbeats, of one that does not, and
+# of one that counts as unreachable.
+PROMPT_PROBE_S = 0.5
+PROBE_INTERVAL_S = 1.0
+UNREACHABLE_PROBE_INTERVAL_S = 5.0
 WORKER_RESPONSE_TIMEOUT_S = 4.0  # a worker drops later responses to its heartbeats (PROTOCOL)
-FEW_MACHINES = 3  # this many machines may be unreachable at once for reasons of their own, or
-FEW_MACHINES_SHARE = 0.1  # ... this share of all
-# After this share of its lease without a heartbeat, what is started on a machine would be lost.
-NO_HEARTBEAT_LEASE_SHARE = 0.6
-MANY_UNREACHABLE_KEEP_FACTOR = 3.0  # if more are unreachable, each is kept this much longer
+# Up to this many machines, or this fraction of all, may be unreachable independently at once.
+MAX_INDEPENDENT_UNREACHABLE = 3
+MAX_INDEPENDENT_UNREACHABLE_FRACTION = 0.1
+# After this fraction of its lease without a heartbeat, a task started on a machine would be lost.
+NO_HEARTBEAT_LEASE_FRACTION = 0.6
+MANY_UNREACHABLE_RETENTION_FACTOR = 3.0  # if more are unreachable, each is kept this much longer
 
 
 class Reachability:
-    """Tracks the machines that receive nothing from the leader, or send it no heartbeats."""
+    """Tracks machines that receive nothing from the leader, or send it no heartbeats."""
 
     def __init__(self, cluster: ClusterState) -> None:
-        """Track the machines of `cluster`."""
+        """Initialize for the machines of `cluster`."""
         self.cluster = cluster
         self.lease_s = LeaseBounds(cluster.worker_times).lease_s
         self.suspected: dict[MachineId, Machine] = {}
         self.without_heartbeats: dict[MachineId, Machine] = {}
-        # By then a worker whose controller has failed has found the next one, and most of a
-        # session that nobody renews is over.
-        self.no_heartbeat_s = max(
-            cluster.heartbeat_timeout(), NO_HEARTBEAT_LEASE_SHARE * cluster.worker_times.lease_s
+        # Long enough for a worker whose controller has failed to find the next one, and for most
+        # of a session that is not renewed to pass.
+        self.heartbeats_missing_after_s = max(
+            cluster.heartbeat_timeout(), NO_HEARTBEAT_LEASE_FRACTION * cluster.worker_times.lease_s
         )
 
     # ---- whether a machine receives what is sent to it ---------------------------------------
 
     def suspect(self, machine: Machine, now: Instant, *, sure: bool = False) -> None:
-        """Note that something sent to the machine seems not to have arrived, and probe it.
+        """Record that a message to the machine seems to be lost, and probe the machine.
 
-        With `sure` it counts as unreachable, and gets no new work, until it has answered;
-        otherwise once it has left UNREACHABLE_AFTER_PROBES probes unanswered.
+        With `sure`, the machine counts as unreachable and gets no new work until it answers.
+        Otherwise it does so once it has left UNREACHABLE_AFTER_PROBES probes unanswered.
         """
         if machine.suspected_since is None:
             machine.suspected_since = now
@@ -65,43 +67,44 @@
         if sure and not machine.unreachable:
             machine.unanswered_probes = UNREACHABLE_AFTER_PROBES
             machine.availability_changed()
-        self._probe(machine, now)
+        self._probe_if_due(machine, now)
 
     def heard_after_silence(self, machine: Machine, now: Instant) -> None:
         """Suspect a machine that left a probe unanswered and now sends heartbeats again.
 
-        How long it was silent says nothing about how long it has received nothing, so the
-        suspicion begins anew.
+        The time for which it was silent does not show for how long it has received nothing, so
+        the suspicion starts now.
         """
         machine.suspected_since = None
         machine.probe_not_before = now
         self.suspect(machine, now, sure=True)
 
     def incarnation_began(self, machine: Machine, now: Instant) -> None:
-        """Note a new session of the worker.
+        """Record a new session of the worker.
 
-        Had the leader's latest response reached it, the previous session would have lasted.
+        A previous session that was answered recently should have lasted, so the latest response
+        seems not to have reached the worker.
         """
         session_lasts_s = self.cluster.worker_times.lease_s - WORKER_RESPONSE_TIMEOUT_S
         if machine.answered_at is not None and now - machine.answered_at < session_lasts_s:
             self.suspect(machine, now, sure=True)
         machine.incarnation_since = now
 
-    def heartbeat_received(self, machine: Machine, now: Instant) -> None:
-        """Note a new heartbeat, which alone does not prove that the machine receives anything."""
+    def newer_heartbeat_received(self, machine: Machine, now: Instant) -> None:
+        """Handle a newer heartbeat, which alone does not prove that the machine receives."""
         if machine.suspected_since is None:
             return
-        # A session that is older than its lease has been answered within that time.
+        # A session older than its lease must have received an answer within that time.
         if now - max(machine.incarnation_since, machine.suspected_since) > self.lease_s:
             self.confirm_reachable(machine, now)
         else:
             machine.probe_not_before = min(
                 machine.probe_not_before, Instant(machine.probed_at + PROMPT_PROBE_S)
             )
-            self._probe(machine, now)
+            self._probe_if_due(machine, now)
 
     def confirm_reachable(self, machine: Machine, now: Instant) -> None:
-        """Note the proof that the machine has received something from the leader."""
+        """Record proof that the machine has received something from the leader."""
         if machine.suspected_since is None:
             return
         if machine.unreachable:
@@ -116,8 +119,8 @@
         machine.unanswered_probes = 0
         self.suspected.pop(machine.id, None)
 
-    def probe_unanswered(self, machine: Machine) -> None:
-        """Count a probe of a suspected machine that had no answer."""
+    def count_unanswered_probe(self, machine: Machine) -> None:
+        """Count an unanswered probe of a suspected machine."""
         if machine.suspected_since is None:
             return
         machine.unanswered_probes += 1
@@ -128,8 +131,8 @@
 
     # ---- whether a machine sends heartbeats --------------------------------------------------
 
-    def heartbeat_seen(self, machine: Machine, now: Instant) -> None:
-        """Note a heartbeat sent by the machine itself that is no duplicate."""
+    def periodic_heartbeat_received(self, machine: Machine, now: Instant) -> None:
+        """Record a periodic heartbeat of the machine that is no duplicate."""
         machine.heartbeat_at = now
         if machine.no_heartbeats_since is not None:
             log.info(
@@ -143,13 +146,13 @@
             self.cluster.pass_wanted = True
 
     def heartbeats_missing(self, machine: Machine, now: Instant) -> None:
-        """Note that no heartbeat has come for too long; answers to probes renew no lease."""
+        """Record that heartbeats have been missing for too long; probe responses renew no lease."""
         log.info("machine_heartbeats_missing", machine=machine.id, tasks=len(machine.placements))
         machine.no_heartbeats_since = now
         self.without_heartbeats[machine.id] = machine
         machine.availability_changed()
 
-    # ---- probes and what follows -------------------------------------------------------------
+    # ---- probes and deletion -----------------------------------------------------------------
 
     def tick(self, now: Instant) -> None:
         """Drop deleted machines and send the probes that are due."""
@@ -160,56 +163,59 @@
             if machine.id not in self.cluster.machines:
                 del self.suspected[machine.id]
             elif not machine.probe_unanswered:
-                self._probe(machine, now)
+                self._probe_if_due(machine, now)
 
     def send_probe(self, machine: Machine) -> None:
-        """Probe the machine now; its result comes to `CommandResults.probe_completed`."""
+        """Probe the machine now; `CommandResults.probe_completed` handles the result."""
         machine.probe_inflight = True
         self.cluster.outbox.append(Probe(machine.id, machine.address))
 
     def partially_reachable(self) -> list[Machine]:
-        """The machines that are up and out of reach in one direction only."""
-        found = {**self.suspected, **self.without_heartbeats}
-        return [m for m in found.values() if m.partially_reachable and not m.probe_unanswered]
+        """The machines that are up but reachable in one direction only."""
+        machines = {**self.suspected, **self.without_heartbeats}
+        return [m for m in machines.values() if m.partially_reachable and not m.probe_unanswered]
 
     def many_unreachable(self) -> bool:
-        """Whether more machines are partially reachable than fail for reasons of their own.
+        """Whether more machines are partially reachable than independent failures explain.
 
-        They are expected to come back, and no machines are requested in their place.
+        They are expected to recover, so no replacements are requested.
         """
-        return len(self.partially_reachable()) > self._few_machines()
+        return len(self.partially_reachable()) > self._max_independent_unreachable()
 
     def machines_to_return(self, now: Instant) -> list[Machine]:
         """The partially reachable machines to delete now.
 
-        Keeping a machine is worth what another one costs until it is up. If many are out of reach
-        at once they are kept longer, and returned a few at a time.
+        A machine is kept for as long as a replacement would take to boot. If many are partially
+        reachable at once they are kept longer, and deleted a few at a time.
         """
-        keep_factor = MANY_UNREACHABLE_KEEP_FACTOR if self.many_unreachable() else 1.0
-        returned_at_once = self._few_machines()
-        found: list[Machine] = []
+        retention_factor = MANY_UNREACHABLE_RETENTION_FACTOR if self.many_unreachable() else 1.0
+        max_deletions = self._max_independent_unreachable()
+        machines: list[Machine] = []
         for machine in self.partially_reachable():
             if machine.deletion_requested:
                 continue
             since = machine.suspected_since if machine.unreachable else machine.no_heartbeats_since
-            if since is not None and now - since > self._keep_s(machine) * keep_factor:
-                found.append(machine)
-            if len(found) >= returned_at_once:
+            if since is not None and now - since > self._retention_s(machine) * retention_factor:
+                machines.append(machine)
+            if len(machines) >= max_deletions:
                 break
-        return found
+        return machines
 
-    # ---- parts -------------------------------------------------------------------------------
+    # ---- helpers -----------------------------------------------------------------------------
 
-    def _few_machines(self) -> float:
-        return max(FEW_MACHINES, FEW_MACHINES_SHARE * len(self.cluster.machines))
+    def _max_independent_unreachable(self) -> float:
+        return max(
+            MAX_INDEPENDENT_UNREACHABLE,
+            MAX_INDEPENDENT_UNREACHABLE_FRACTION * len(self.cluster.machines),
+        )
 
-    def _keep_s(self, machine: Machine) -> float:
-        """How long to keep a machine out of reach: a lease, or the boot time of another one."""
+    def _retention_s(self, machine: Machine) -> float:
+        """How long to keep such a machine: a lease, or the boot time of a replacement if longer."""
         machine_type = self.cluster.machine_types.get(machine.machine_type)
         return max(self.lease_s, 0.0 if machine_type is None else machine_type.boot_s)
 
-    def _probe(self, machine: Machine, now: Instant) -> None:
-        """Probe the machine unless a probe is under way or it was probed just before."""
+    def _probe_if_due(self, machine: Machine, now: Instant) -> None:
+        """Probe the machine unless a probe is in flight or the probe interval has not passed."""
         if machine.probe_inflight or machine.deletion_requested or now < machine.probe_not_before:
             return
         interval_s = UNREACHABLE_PROBE_INTERVAL_S if machine.unreachable else PROBE_INTERVAL_S
@@ -218,9 +224,9 @@
         self.send_probe(machine)
 
     def _stop_waiting_gangs(self, machine: Machine) -> None:
-        """Stop gangs whose start of a task did not show on the machine.
+        """Stop gangs of which a task started on the machine was not seen there.
 
-        Their other tasks would wait for it and hold their resources in vain.
+        Their other tasks would wait for it and hold their resources for nothing.
         """
         for placement in list(machine.placements.values()):
             job = self.cluster.jobs.get(placement.task.job)
--- a/umberward/scheduling/reconciliation.py
+++ b/umberward/scheduling/reconciliation.py
@@ -1,7 +1,7 @@
 """Reconciliation of the tasks that a worker lists with the leader's placements. No I/O.
 
-A placement ends only when the worker shows that its attempt is gone and no start of it may still
-arrive (`inflight_commands`); what a worker runs without a placement is adopted or stopped.
+A placement ends only when the worker's list shows that its attempt is gone and no start of it may
+still arrive (`inflight_commands`). A task that runs without a placement is adopted or stopped.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 
 
 @dataclass(slots=True)
-class _HeartbeatPass:
-    """The reconciliation of one heartbeat: its input, and what has been found so far."""
+class _ReconciliationContext:
+    """Input and intermediate results of the reconciliation of one heartbeat."""
 
     machine: Machine
     heartbeat: Heartbeat
     now: Instant
-    periodic: bool  # sent by the worker itself: its response carries `commands`
+    periodic: bool  # a periodic heartbeat, whose response carries `commands`
     commands: list[TaskCommand] = field(default_factory=list)
     listed_tasks: set[TaskId] = field(default_factory=set)
-    forget_blocked: bool = False  # an exited attempt must stay listed: a start may still arrive
+    forget_blocked: bool = False  # a start of an exited attempt may arrive: it must stay listed
 
     def add_command(self, verb: str, status: TaskStatus, grace_s: float | None = None) -> None:
         """Add a command about a listed attempt to the response."""
@@ -44,7 +44,7 @@
 
 
 class TaskReconciliation:
-    """Compares listed tasks with placements and finds the commands that bring them together."""
+    """Compares listed tasks with placements and derives the commands that reconcile them."""
 
     def __init__(
         self,
@@ -53,132 +53,132 @@
         failure_attribution: FailureAttribution,
         writer: StateWriter,
     ) -> None:
-        """Reconcile the machines of `cluster`."""
+        """Initialize for the machines of `cluster`."""
         self.cluster = cluster
         self.reachability = reachability
         self.progress = TaskProgress(cluster, failure_attribution, writer)
         self.adoption = TaskAdoption(cluster)
-        self.deferred_forgets = 0  # times that a machine began to keep attempts it can't forget
+        self.deferred_forgets = 0  # how often a machine had to start keeping exited attempts
 
     def reconcile(
         self, machine: Machine, heartbeat: Heartbeat, now: Instant, *, periodic: bool
     ) -> list[TaskCommand]:
-        """Apply the heartbeat's tasks; returns the commands for the response.
+        """Apply the heartbeat's tasks and return the commands for the response.
 
-        `periodic`: the worker sent it itself, so that a response with commands follows.
+        `periodic` is true for a periodic heartbeat, the only kind whose response carries commands.
         """
-        current = _HeartbeatPass(machine, heartbeat, now, periodic)
+        context = _ReconciliationContext(machine, heartbeat, now, periodic)
         machine.exited_tasks.clear()
         self.cluster.clear_unplaced_tasks(machine)
         for status in heartbeat.tasks:
             task_id = parse_task_id(status.task_id)
             if task_id is not None:
-                current.listed_tasks.add(task_id)
-                self._reconcile_listed(current, task_id, status)
+                context.listed_tasks.add(task_id)
+                self._reconcile_listed(context, task_id, status)
         for task_id, placement in list(machine.placements.items()):
-            if task_id not in current.listed_tasks and placement.sent:
-                self._reconcile_unlisted(current, task_id, placement)
-        self._note_blocked_forget(current)
-        return current.commands
+            if task_id not in context.listed_tasks and placement.sent:
+                self._reconcile_unlisted(context, task_id, placement)
+        self._request_rotation_if_forget_blocked(context)
+        return context.commands
 
     def _reconcile_listed(
-        self, current: _HeartbeatPass, task_id: TaskId, status: TaskStatus
+        self, context: _ReconciliationContext, task_id: TaskId, status: TaskStatus
     ) -> None:
-        """Apply one listed attempt, which may be another one than the placed one."""
-        placement = current.machine.placements.get(task_id)
+        """Apply one listed attempt, which may differ from the placed attempt."""
+        placement = context.machine.placements.get(task_id)
         if placement is not None and placement.attempt != status.attempt:
             placement = None
         if status.phase == wire.EXITED:
-            self._reconcile_exited(current, task_id, status, placement)
+            self._reconcile_exited(context, task_id, status, placement)
         else:
-            self._reconcile_running(current, task_id, status, placement)
+            self._reconcile_running(context, task_id, status, placement)
 
     def _reconcile_exited(
         self,
-        current: _HeartbeatPass,
+        context: _ReconciliationContext,
         task_id: TaskId,
         status: TaskStatus,
         placement: Placement | None,
     ) -> None:
-        """Apply an exit, and let the worker forget the attempt as soon as that is safe."""
-        machine, attempt = current.machine, Attempt(status.attempt)
+        """Apply an exit, and tell the worker to forget the attempt once that is safe."""
+        machine, attempt = context.machine, Attempt(status.attempt)
         machine.exited_tasks.add(task_id)
-        self.progress.task_exited(machine, task_id, status, placement, current.now)
-        current.forget_blocked |= machine.inflight_starts.valid_under(
+        self.progress.task_exited(machine, task_id, status, placement, context.now)
+        context.forget_blocked |= machine.inflight_starts.timed_out_start_valid_under(
             task_id, attempt, self.cluster.fencing_token
         )
         if (
-            current.periodic
+            context.periodic
             and self.cluster.loaded
             and self._may_forget(machine, task_id, status)
             and self.cluster.invariants.may_forget(machine, task_id, attempt)
         ):
             log.debug("task_forgotten", task=task_id, attempt=attempt, machine=machine.id)
-            current.add_command(FORGET, status)
+            context.add_command(FORGET, status)
 
     def _reconcile_running(
         self,
-        current: _HeartbeatPass,
+        context: _ReconciliationContext,
         task_id: TaskId,
         status: TaskStatus,
         placement: Placement | None,
     ) -> None:
-        """Apply an attempt that has not exited: follow, adopt or stop it."""
-        machine, now = current.machine, current.now
+        """Apply an attempt that has not exited: update its placement, adopt it or stop it."""
+        machine, now = context.machine, context.now
         if placement is None:
             placement = self.adoption.adopt(machine, task_id, status, now)
         if placement is None:
             self.cluster.add_unplaced_task(machine, task_id)
             if self.cluster.loaded:
-                current.add_command(KILL, status, 0.0)
+                context.add_command(KILL, status, 0.0)
             return
         if not placement.seen_on_worker:
             placement.seen_on_worker = True
             self.reachability.confirm_reachable(machine, now)
         self.progress.phase_reported(machine, placement, status.phase, now)
         if placement.stop_grace_s is not None:
-            current.add_command(KILL, status, placement.stop_grace_s)
+            context.add_command(KILL, status, placement.stop_grace_s)
 
     def _reconcile_unlisted(
-        self, current: _HeartbeatPass, task_id: TaskId, placement: Placement
+        self, context: _ReconciliationContext, task_id: TaskId, placement: Placement
     ) -> None:
-        """Decide on a placed attempt whose start was sent and that the worker does not list."""
-        machine = current.machine
+        """Handle a placed attempt whose start was sent but that the worker does not list."""
+        machine = context.machine
         may_arrive = machine.inflight_starts.may_arrive(task_id, placement.attempt)
         if placement.seen_on_worker and not may_arrive:
             self.cluster.release(machine, placement)
         elif placement.stop_grace_s is None:
-            # The start may be lost; repeating it has no effect where it was executed.
-            if current.periodic:
-                self._repeat_start(current, placement)
+            # The start may be lost. Repeating it has no effect if it was executed.
+            if context.periodic:
+                self._repeat_start(context, placement)
         elif not may_arrive:
-            if current.periodic and current.heartbeat.sequence > placement.start_sent_sequence:
+            if context.periodic and context.heartbeat.sequence > placement.start_sent_sequence:
                 self.cluster.release(machine, placement)
-        elif machine.inflight_starts.valid_under(
+        elif machine.inflight_starts.timed_out_start_valid_under(
             task_id, placement.attempt, self.cluster.fencing_token
         ):
-            # An unanswered start may be executed at any time: only a higher token ends that.
-            self.cluster.token_rotation.unwanted_start(placement.stopped_at, current.now)
+            # An unanswered start may be executed at any time; only a higher token prevents that.
+            self.cluster.token_rotation.unwanted_start(placement.stopped_at, context.now)
 
-    def _repeat_start(self, current: _HeartbeatPass, placement: Placement) -> None:
-        """Send the start with the response, as far as the invariants allow it."""
-        sequence = current.heartbeat.sequence
+    def _repeat_start(self, context: _ReconciliationContext, placement: Placement) -> None:
+        """Send the start again with the response, if the invariants allow it."""
+        sequence = context.heartbeat.sequence
         if 0 <= placement.start_sent_sequence < sequence:
-            # The response to the previous heartbeat carried the start as well.
-            self.reachability.suspect(current.machine, current.now)
+            # The response to an earlier heartbeat carried the start as well, without effect.
+            self.reachability.suspect(context.machine, context.now)
         job = self.cluster.jobs.get(placement.task.job)
         if self.cluster.invariants.may_start(job, placement, self.cluster.tasks_without_placement):
             placement.start_sent_sequence = sequence
-            current.commands.append(TaskCommand(START, str(placement.task), placement.attempt))
+            context.commands.append(TaskCommand(START, str(placement.task), placement.attempt))
 
-    def _note_blocked_forget(self, current: _HeartbeatPass) -> None:
-        """Ask for a token rotation once exited attempts have stayed on the worker for long."""
-        machine = current.machine
-        if not current.forget_blocked:
+    def _request_rotation_if_forget_blocked(self, context: _ReconciliationContext) -> None:
+        """Request a token rotation if exited attempts could not be forgotten for long."""
+        machine = context.machine
+        if not context.forget_blocked:
             machine.unforgotten_since = None
             return
         if machine.unforgotten_since is None:
-            machine.unforgotten_since = current.now
+            machine.unforgotten_since = context.now
             self.deferred_forgets += 1
             rate_limited_log.info(
                 "forget_deferred",
@@ -186,13 +186,13 @@
                 token_seen=machine.token_seen,
                 starts_may_arrive=len(machine.inflight_starts),
             )
-        self.cluster.token_rotation.unforgotten_exit(machine.unforgotten_since, current.now)
+        self.cluster.token_rotation.unforgotten_exit(machine.unforgotten_since, context.now)
 
     def _may_forget(self, machine: Machine, task_id: TaskId, status: TaskStatus) -> bool:
         """Whether the worker may drop an exited attempt from its list.
 
-        After a forget, a start that is still in flight would start the task again. A completion
-        must be stored first, as the list is the only other record of it.
+        After a FORGET, a start that is still in flight would run the task again. A completion must
+        be stored first, as the list is the only other record of it.
         """
         placement = machine.placements.get(task_id)
         if placement is not None and placement.attempt == status.attempt:
--- a/umberward/scheduling/token_rotation.py
+++ b/umberward/scheduling/token_rotation.py
@@ -1,7 +1,7 @@
-"""When the leader raises its fencing token, so that late commands under the old one are void.
+"""Rotation of the leader's fencing token, which voids delayed commands under the old one. No I/O.
 
-A rotation costs one write, and each worker sends a heartbeat when it first sees the new token. So
-it takes a reason, and happens no more often than that reason is worth. No I/O.
+A rotation costs one write, and a heartbeat of each worker when it first sees the new token. So it
+needs a reason, and each reason has a minimum interval between rotations.
 """
 
 from __future__ import annotations
@@ -10,52 +10,55 @@
 
 from umberward.core.types import Instant
 
-# A start that is no longer wanted and may still be executed would run for nothing.
-UNWANTED_START_S = 2.0  # the sender waits this long for a response
-UNWANTED_START_ROTATION_S = 2.0  # at least, between two rotations for this reason
+# For each reason: its age at which a rotation is requested, and the minimum time since the last
+# rotation.
+#
+# A start that is no longer wanted but may still be executed would waste resources.
+UNWANTED_START_S = 2.0  # how long the sender waits for a response
+UNWANTED_START_ROTATION_INTERVAL_S = 2.0
 # An exited attempt that cannot be forgotten does no harm, but lengthens its worker's heartbeats.
 UNFORGOTTEN_EXIT_S = 15.0
-UNFORGOTTEN_EXIT_ROTATION_S = 60.0  # at least, between two rotations for this reason
+UNFORGOTTEN_EXIT_ROTATION_S = 60.0
 
 
 class TokenRotation:
-    """Collects reasons for a rotation; the leader loop carries it out when `wanted`."""
+    """Collects reasons for a rotation, which the leader loop performs when `wanted` is set."""
 
     def __init__(self) -> None:
-        """Begin without a reason."""
-        self.wanted = False  # to be carried out as soon as it can be written
+        """Start without a reason."""
+        self.wanted = False  # to be performed as soon as the state service can be written
         self.count = 0  # rotations in this term
         self._in_progress = False
         self._rotated_at = Instant(-math.inf)
 
     def unwanted_start(self, since: Instant, now: Instant) -> None:
-        """Note that a start of a task stopped at `since` may still be executed."""
-        self._request_after(since, now, UNWANTED_START_S, UNWANTED_START_ROTATION_S)
+        """Record that a start may still be executed although its task was stopped at `since`."""
+        self._request_after(since, now, UNWANTED_START_S, UNWANTED_START_ROTATION_INTERVAL_S)
 
     def unforgotten_exit(self, since: Instant, now: Instant) -> None:
-        """Note that an exited attempt can't be forgotten, at first at `since`."""
+        """Record that an exited attempt could not be forgotten since `since`."""
         self._request_after(since, now, UNFORGOTTEN_EXIT_S, UNFORGOTTEN_EXIT_ROTATION_S)
 
     def started(self) -> None:
-        """Note that the write of the new token begins."""
+        """Record that the write of the new token begins."""
         self.wanted = False
         self._in_progress = True
 
     def failed(self) -> None:
-        """Note that the write failed: reasons that persist are noted again."""
+        """Record that the write failed; reasons that persist are reported again."""
         self._in_progress = False
 
     def completed(self, now: Instant) -> None:
-        """Note that the new token is in force."""
+        """Record that the new token is in force."""
         self.wanted = self._in_progress = False
         self.count += 1
         self._rotated_at = now
 
     def _request_after(
-        self, since: Instant, now: Instant, reason_age_s: float, rotation_interval_s: float
+        self, since: Instant, now: Instant, min_age_s: float, min_interval_s: float
     ) -> None:
-        """Want a rotation if the reason is old enough and the last rotation long enough ago."""
+        """Request a rotation if the reason is old enough and the last one long enough ago."""
         if self._in_progress:
             return
-        if now - since > reason_age_s and now - self._rotated_at > rotation_interval_s:
+        if now - since > min_age_s and now - self._rotated_at > min_interval_s:
             self.wanted = True
