--- a/umberward/scheduling/command_results.py
+++ b/umberward/scheduling/command_results.py
@@ -105,11 +105,14 @@
         That machine has executed the command that was meant for this one.
         """
         log.warning("machine_address_reused", machine=machine.id, by=heartbeat.machine_id)
-        listed = {(status.task_id, status.attempt) for status in heartbeat.tasks}
+        listed_attempts = {(status.task_id, status.attempt) for status in heartbeat.tasks}
         for task_command in command.commands:
             task_id = parse_task_id(task_command.task_id)
             placement = machine.placements.get(task_id) if task_id is not None else None
-            if placement is not None and (task_command.task_id, placement.attempt) in listed:
+            if (
+                placement is not None
+                and (task_command.task_id, placement.attempt) in listed_attempts
+            ):
                 # The task runs only there, and is adopted through that machine's heartbeat.
                 self.cluster.release(machine, placement, requeue=False)
         self.reachability.suspect(machine, now, sure=True)
--- a/umberward/scheduling/failure_detector.py
+++ b/umberward/scheduling/failure_detector.py
@@ -266,19 +266,23 @@
         """
         # Machines of the previous term that were never seen count as well: a new leader that
         # hears only a few machines is more likely cut off from the rest than they are all down.
-        in_reach = [m for m in self.cluster.machines.values() if m.zone not in self.cut_off_zones]
-        alive = sum(1 for machine in in_reach if self._is_heard(machine, now))
-        if self.hears_nothing(now) or not alive:
+        connected_machines = [
+            m for m in self.cluster.machines.values() if m.zone not in self.cut_off_zones
+        ]
+        alive_count = sum(1 for machine in connected_machines if self._is_heard(machine, now))
+        if self.hears_nothing(now) or not alive_count:
             return
         # Machines with an overdue heartbeat count as silent, as the silence of machines that are
         # cut off together is not noticed for all at the same time.
-        preempted_in_reach = sum(1 for m in preempted if m.zone not in self.cut_off_zones)
-        overdue = len(in_reach) - alive - preempted_in_reach
-        if overdue <= max(MAX_INDEPENDENT_FAILURES, INDEPENDENT_FAILURE_SHARE * len(in_reach)):
+        connected_preempted = sum(1 for m in preempted if m.zone not in self.cut_off_zones)
+        overdue = len(connected_machines) - alive_count - connected_preempted
+        if overdue <= max(
+            MAX_INDEPENDENT_FAILURES, INDEPENDENT_FAILURE_SHARE * len(connected_machines)
+        ):
             self._mark_for_deletion(silent)
-        elif overdue <= MAX_OVERDUE_TO_ALIVE_RATIO * alive:
-            late_s = LATE_DELETION_LEASE_FRACTION * self.cluster.worker_times.lease_s
-            self._mark_for_deletion(m for m in silent if now - m.last_heard_at > late_s)
+        elif overdue <= MAX_OVERDUE_TO_ALIVE_RATIO * alive_count:
+            late_deletion_s = LATE_DELETION_LEASE_FRACTION * self.cluster.worker_times.lease_s
+            self._mark_for_deletion(m for m in silent if now - m.last_heard_at > late_deletion_s)
 
     def _mark_for_deletion(self, machines: Iterable[Machine]) -> None:
         self.cluster.machines_to_delete.update(machine.id for machine in machines)
@@ -297,13 +301,13 @@
         That controller may renew the machines' leases, so their tasks may go on. A new leader may
         never have heard any machine of such a zone.
         """
-        heard: dict[ZoneName, list[bool]] = {}
+        heard_by_zone: dict[ZoneName, list[bool]] = {}
         for machine in self.cluster.machines.values():
             if machine.zone in self.delegator.zones and machine.preempted_at is None:
-                heard.setdefault(machine.zone, []).append(self._is_heard(machine, now))
+                heard_by_zone.setdefault(machine.zone, []).append(self._is_heard(machine, now))
         return {
             zone
-            for zone, heard_in_zone in heard.items()
+            for zone, heard_in_zone in heard_by_zone.items()
             if len(heard_in_zone) >= MIN_WORKERS
             and sum(heard_in_zone) < MIN_ZONE_HEARD_FRACTION * len(heard_in_zone)
         }
@@ -313,7 +317,7 @@
     def _may_delegate(self, machine: Machine, now: Instant) -> bool:
         """Whether another controller may renew the machine's lease.
 
-        No task on the machine may need to be stopped, as a delegate sends no commands.
+        The machine must have no tasks to stop, as a delegate sends no commands.
         """
         return (
             machine.reconciled
--- a/umberward/scheduling/heartbeat_forwarding.py
+++ b/umberward/scheduling/heartbeat_forwarding.py
@@ -14,7 +14,7 @@
 
 from umberward.core.types import ControllerName, Instant, MachineId
 
-# A worker that returns from a redirect sooner than this was refused, or has another reason.
+# A worker that returns from a redirect sooner was refused, or has another reason to ask again.
 MIN_RETURN_DELAY_S = 0.8
 # One that returns within this time had no response: with each controller in turn it waits 4 s for
 # a response, and 1 s before it turns to the next.
--- a/umberward/scheduling/reachability.py
+++ b/umberward/scheduling/reachability.py
@@ -185,7 +185,7 @@
     def machines_to_return(self, now: Instant) -> list[Machine]:
         """The partially reachable machines to delete now.
 
-        A machine is kept for as long as a replacement would take to boot. If many are partially
+        A machine is kept while that costs no more than booting a replacement. If many are partially
         reachable at once they are kept longer, and deleted a few at a time.
         """
         retention_factor = MANY_UNREACHABLE_RETENTION_FACTOR if self.many_unreachable() else 1.0
