--- a/umberward/scheduling/autoscaler.py
+++ b/umberward/scheduling/autoscaler.py
@@ -1,6 +1,6 @@
-"""Scaling out and in: what to request from the cloud, what to return. No I/O.
+"""Autoscaling: which machines to request from the cloud and which to return. No I/O.
 
-The decisions are pure; the leader's machine scaler carries them out and reports what came of them.
+The leader's machine scaler carries out the decisions and reports their results.
 """
 
 from __future__ import annotations
@@ -38,30 +38,31 @@
 
 __all__ = ["Autoscaler", "PendingMachine"]
 
-FIRST_DECISION_S = 2.0  # machines report before a new leader requests any
-NO_CAPACITY_PAUSE_S = 15.0  # how long a refused offer is not requested again at first
+FIRST_DECISION_DELAY_S = 2.0  # in a new term, so that existing machines report first
+NO_CAPACITY_PAUSE_S = 15.0  # before an offer is requested again after its first refusal
 MAX_NO_CAPACITY_PAUSE_S = 60.0
-PAUSE_GROWTH_RATIO = 1.5  # of the pause, with each refusal in a row
-FAILED_BOOT_RATIO = 5.0  # a machine that boots for so many times boot_s is returned
-FAILED_BOOT_MARGIN_S = 10.0  # ... and so much longer
-UNHEARD_RETURN_S = 60.0  # a running machine that never reported is returned after so long
+PAUSE_GROWTH_RATIO = 1.5  # per consecutive refusal
+# A machine that boots for longer than this multiple of `boot_s` plus the margin is deleted.
+FAILED_BOOT_RATIO = 5.0
+FAILED_BOOT_MARGIN_S = 10.0
+NEVER_REPORTED_DELETE_S = 60.0  # a running machine that never reported is deleted after this time
 
 
 class Autoscaler:
-    """Decides for one leader's term, and knows what the cloud has said in it."""
+    """The autoscaler of one leader's term, with the cloud's responses in that term."""
 
     def __init__(self, scheduler: Scheduler, prefix: str, now: Instant) -> None:  # noqa: ARG002
-        """`prefix` makes the request ids of this term unique; `now` belongs to the interface."""
+        """`prefix` makes the request ids of this term unique; `now` is unused."""
         self.scheduler = scheduler
         self.prefix = prefix
         self.request_count = 0
-        self.comparisons = 0  # how often a machine's room was compared with what waits
-        # By refused offer: until when it is not requested, and the seconds of that pause.
+        self.comparisons = 0  # checks whether a machine has room for a waiting job
+        # By refused offer: the time before which it is not requested, and the pause in seconds.
         self.no_capacity_until: dict[MachineOffer, tuple[Instant, float]] = {}
         self.pending: dict[MachineId, PendingMachine] = {}
-        # Machines that the cloud lists as running and that have not reported: since when.
-        self.unheard_machines: dict[MachineId, Instant] = {}
-        # Jobs that wait for spot machines, as of the last decision to scale out.
+        # Machines that run according to the cloud but have not reported, and since when.
+        self.unreported_machines: dict[MachineId, Instant] = {}
+        # Jobs that wait for affordable machines, as of the last decision to scale out.
         self.affordable: dict[JobId, AffordableMachines] = {}
 
     # ---- responses of the cloud ----------------------------------------------------------
@@ -69,7 +70,7 @@
     def machines_created(
         self, request: ScaleOutRequest, machine_ids: list[MachineId], now: Instant
     ) -> None:
-        """Note the machines that a request has yielded; fewer than asked for: no more there."""
+        """Record the machines of a request; fewer than requested count as a refusal of more."""
         for machine_id in machine_ids:
             self.pending[machine_id] = PendingMachine(request.offer, now)
         if len(machine_ids) < request.machine_count:
@@ -78,7 +79,7 @@
             self.no_capacity_until.pop(request.offer, None)
 
     def no_capacity(self, offer: MachineOffer, now: Instant) -> None:
-        """Pause requests for an offer that the cloud has refused, longer with each refusal."""
+        """Pause requests for an offer that the cloud refused, longer with each refusal."""
         first_pause_s = NO_CAPACITY_PAUSE_S / PAUSE_GROWTH_RATIO
         _, pause_s = self.no_capacity_until.get(offer, (now, first_pause_s))
         pause_s = min(pause_s * PAUSE_GROWTH_RATIO, MAX_NO_CAPACITY_PAUSE_S)
@@ -87,7 +88,7 @@
     def reconcile_machine_list(
         self, listed: Iterable[CloudMachine], now: Instant
     ) -> list[MachineId]:
-        """Compare the cloud's machine list with what is known; return machines that have failed."""
+        """Compare the cloud's machine list with the known machines; return those that failed."""
         failed = []
         known = self.scheduler.machines
         listed_ids = set()
@@ -103,11 +104,11 @@
             elif machine.phase == BOOTING:
                 self._note_booting(machine_id, machine, now)
             else:
-                # It runs and has not reported here: it may report to nobody.
-                self.unheard_machines.setdefault(machine_id, now)
-        for machine_id in list(self.unheard_machines):
+                # It runs without having reported to this leader: it may never report.
+                self.unreported_machines.setdefault(machine_id, now)
+        for machine_id in list(self.unreported_machines):
             if machine_id not in listed_ids or machine_id in known:
-                del self.unheard_machines[machine_id]
+                del self.unreported_machines[machine_id]
         return failed
 
     def _note_booting(self, machine_id: MachineId, machine: CloudMachine, now: Instant) -> None:
@@ -121,12 +122,12 @@
         """Forget machines that the cloud has deleted."""
         for machine_id in machine_ids:
             self.pending.pop(machine_id, None)
-            self.unheard_machines.pop(machine_id, None)
+            self.unreported_machines.pop(machine_id, None)
 
     # ---- scaling in ----------------------------------------------------------------------
 
     def machines_to_delete(self, now: Instant) -> list[MachineId]:
-        """Return the machines to delete at once: lost, never come up, or drained."""
+        """Return the machines to delete at once: lost, failed to boot, or drained."""
         scheduler = self.scheduler
         lost = [
             machine_id
@@ -137,37 +138,37 @@
         drained = [
             machine.id for machine in scheduler.machines.values() if machine.deletion_requested
         ]
-        return lost + self._machines_not_come_up(now) + drained
+        return lost + self._machines_failed_to_boot(now) + drained
 
-    def _machines_not_come_up(self, now: Instant) -> list[MachineId]:
-        found = []
+    def _machines_failed_to_boot(self, now: Instant) -> list[MachineId]:
+        overdue = []
         for machine_id, pending in self.pending.items():
             machine_type = self.scheduler.machine_types.get(pending.offer.type)
             if machine_type is None:
                 continue
             if now - pending.since > FAILED_BOOT_RATIO * machine_type.boot_s + FAILED_BOOT_MARGIN_S:
-                found.append(machine_id)
-        found += [
+                overdue.append(machine_id)
+        overdue += [
             machine_id
-            for machine_id, since in self.unheard_machines.items()
-            if now - since > UNHEARD_RETURN_S
+            for machine_id, since in self.unreported_machines.items()
+            if now - since > NEVER_REPORTED_DELETE_S
         ]
-        return found
+        return overdue
 
     def unreachable_machines_to_return(self, now: Instant) -> list[Machine]:
-        """Return the machines to return as this leader's messages do not reach them."""
+        """Return the machines to return because this leader's messages do not reach them."""
         return self.scheduler.reachability.machines_to_return(now)
 
     def machines_to_return(self, now: Instant) -> list[Machine]:
-        """Return the machines to return: empty for long, or quarantined and empty."""
+        """Return the empty machines to return: idle for long, or quarantined."""
         return unneeded_machines(self.scheduler, self.affordable, now)
 
     # ---- scaling out ---------------------------------------------------------------------
 
     def scale_out_requests(self, now: Instant) -> list[ScaleOutRequest]:
-        """Return what to request from the cloud, at most one request for each offer."""
+        """Return the requests to the cloud, at most one for each offer."""
         scheduler = self.scheduler
-        if not scheduler.loaded or now - scheduler.started_at < FIRST_DECISION_S:
+        if not scheduler.loaded or now - scheduler.started_at < FIRST_DECISION_DELAY_S:
             return []
         for machine_id in scheduler.machines:
             self.pending.pop(machine_id, None)
--- a/umberward/scheduling/best_fit.py
+++ b/umberward/scheduling/best_fit.py
@@ -1,8 +1,8 @@
 """Best-fit descending, the placement step of BestFit (Algorithm 3, lines 19-32). Pure.
 
-The machines are sorted by allocated cores, most first, and filled in round-robin order from the
-first D, each taking one task at a time. A machine that is full leaves the list, and the next in
-order takes its turn. D is 1 for arrays and gangs and the requested spread for services.
+The machines are sorted by allocated cores, descending. Tasks are assigned one at a time,
+round-robin over the first D machines; a full machine is replaced by the next in order. D is 1 for
+arrays and gangs and the requested spread for services.
 """
 
 from __future__ import annotations
@@ -26,23 +26,24 @@
     need: Resources,
     count: int,
     rooms: Iterable[MachineRoom],
-    distinct: int,
-    left_in_zone: Callable[[ZoneName], int] | None = None,
+    spread_width: int,
+    remaining_in_zone: Callable[[ZoneName], int] | None = None,
 ) -> list[MachineId]:
-    """Return machines for up to `count` tasks, in the order in which tasks are to take them.
+    """Return machines for up to `count` tasks, in the order of assignment.
 
-    `distinct` is D above; `left_in_zone` tells how many more tasks of the job a zone may take.
+    `spread_width` is D above; `remaining_in_zone` returns how many more tasks of the job a zone may
+    run.
     """
     ordered = sorted((room for room in rooms if need.fits(room.free)), key=lambda room: room.order)
     zone_limits: dict[ZoneName, int] = {}
-    if left_in_zone is not None:
+    if remaining_in_zone is not None:
         for room in ordered:
             if room.zone not in zone_limits:
-                zone_limits[room.zone] = left_in_zone(room.zone)
-    active = ordered[: max(distinct, 1)]  # the machines that take turns
-    reserve = ordered[max(distinct, 1) :]  # those that replace full ones, the next one last
-    reserve.reverse()
-    task_limits: dict[MachineId, int] = {}  # of the machines whose turn has come
+                zone_limits[room.zone] = remaining_in_zone(room.zone)
+    active = ordered[: max(spread_width, 1)]  # the machines in rotation
+    replacements = ordered[max(spread_width, 1) :]  # of full machines, the next one last
+    replacements.reverse()
+    task_limits: dict[MachineId, int] = {}  # set when a machine is first visited
     chosen: list[MachineId] = []
     turn = 0
     while active and len(chosen) < count:
@@ -51,13 +52,13 @@
         if room.machine_id not in task_limits:
             task_limits[room.machine_id] = need.count_within(room.free)
         if task_limits[room.machine_id] <= 0 or zone_limits.get(room.zone, 1) <= 0:
-            if reserve:
-                active[turn] = reserve.pop()
+            if replacements:
+                active[turn] = replacements.pop()
             else:
                 del active[turn]
             continue
         task_limits[room.machine_id] -= 1
-        if left_in_zone is not None:
+        if remaining_in_zone is not None:
             zone_limits[room.zone] -= 1
         chosen.append(room.machine_id)
         turn += 1
--- a/umberward/scheduling/consolidation.py
+++ b/umberward/scheduling/consolidation.py
@@ -1,9 +1,9 @@
-"""Replicas leave expensive machines on which nothing else runs. No I/O.
+"""Moves of replicas off expensive machines on which nothing else runs. No I/O.
 
-These can be returned then. In a burst replicas take whatever room there is, and they never end by
-themselves: a machine that costs a hundred times as much as theirs would be kept for them. They are
-moved to where their room costs less than half, one at a time and so rarely that nobody misses them;
-if there is no such room, machines are requested for it (`ScaleOutPlan.request_for_consolidation`).
+The machines can then be returned. In a burst, replicas take any free room, and they never end by
+themselves: a machine that costs a hundred times as much as theirs would be kept for them. They move
+one at a time to room that costs less than half, so rarely that availability does not suffer. If
+there is no such room, machines are requested (`ScaleOutPlan.request_for_consolidation`).
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from umberward.scheduling.cluster_state import ClusterState
 from umberward.scheduling.headroom import HIGHEST_PRIORITY
 from umberward.scheduling.jobs import Job, Placement
-from umberward.scheduling.machine_selection import Candidates, choose_machines
+from umberward.scheduling.machine_selection import CandidateMachines, choose_machines
 from umberward.scheduling.machines import Machine
 from umberward.scheduling.preemption import Preemption
 from umberward.scheduling.replica_moves import MIN_REPLICA_RUN_S
@@ -24,16 +24,16 @@
 
 log = logger(__name__)
 
-MOVE_PRICE_RATIO_MAX = 0.5  # of the price of a core: what makes a move worth while
+MOVE_PRICE_RATIO_MAX = 0.5  # highest price per core of a target, relative to the source
 CONSOLIDATE_INTERVAL_S = 1.0
-MAX_REPLICAS_EXAMINED = 12  # replicas that are examined each time
-MOVE_DOWNTIME_S = 0.3  # how long a replica is away that moves to where its image is
-MOVE_DOWNTIME_SHARE_MAX = 0.0005  # of all replica time: a quarter of what operators allow
-MIN_REPLICAS_AWAY = 0.01  # lower bound of the replicas away on average, so that moves do happen
+MAX_REPLICAS_EXAMINED = 12  # per check
+MOVE_DOWNTIME_S = 0.3  # of a replica that moves to a machine with its image
+MOVE_DOWNTIME_SHARE_MAX = 0.0005  # of total replica time: a quarter of what operators allow
+MIN_REPLICAS_DOWN = 0.01  # lower bound of the average allowed down, so that moves do happen
 
 
 class _Move(NamedTuple):
-    """A replica that has a cheaper place."""
+    """The move of a replica to a cheaper machine."""
 
     job: Job
     placement: Placement
@@ -46,48 +46,48 @@
     """Moves replicas to cheaper machines, one at a time."""
 
     def __init__(self, cluster: ClusterState, preemption: Preemption, now: Instant) -> None:
-        """Allow a first move at `now`, a time of the leader's monotonic clock."""
+        """Allow the first move at `now`, a time of the leader's monotonic clock."""
         self.cluster = cluster
         self.preemption = preemption
         self.check_not_before = now
         self.move_not_before = now
-        # Replicas for which cheaper room must be requested first, and what a core may cost there.
+        # Jobs of replicas for which cheaper room must be requested, and its highest price per core.
         self.replicas_without_room: list[tuple[Job, float]] = []
 
     def unit_price(self, machine_type_name: MachineTypeName) -> float:
-        """Return what a core costs for an hour on a machine that is no spot machine."""
+        """Return the hourly price per core of an on-demand machine."""
         machine_type = self.cluster.machine_types[machine_type_name]
         if machine_type.cores > 0:
             return machine_type.hourly_price / machine_type.cores
         return machine_type.hourly_price
 
     def consolidate(
-        self, headroom_machines: set[MachineId], usable: list[Machine], now: Instant
+        self, headroom_machines: set[MachineId], schedulable_machines: list[Machine], now: Instant
     ) -> None:
-        """Stop one replica that has a cheaper place, and reserve the room for it there.
+        """Stop one replica that can run on a cheaper machine, and reserve room for it there.
 
-        The machines kept for accelerated work are left as they are.
+        Machines that are kept free for accelerated work are not consolidated.
         """
         if now < max(self.check_not_before, self.move_not_before) or not self.cluster.machine_types:
             return
         self.check_not_before = Instant(now + CONSOLIDATE_INTERVAL_S)
         self.replicas_without_room = []
-        sources = self._expensive_machines(headroom_machines, usable)
+        sources = self._expensive_machines(headroom_machines, schedulable_machines)
         if not sources:
             return
-        move = self._find_move(sources, usable, now)
+        move = self._find_move(sources, schedulable_machines, now)
         if move is not None:
             self._carry_out(move, now)
 
     def _expensive_machines(
-        self, headroom_machines: set[MachineId], usable: list[Machine]
+        self, headroom_machines: set[MachineId], schedulable_machines: list[Machine]
     ) -> list[Machine]:
-        """Return the machines that only replicas keep, those that waste the most first."""
+        """Return the expensive machines that run only replicas, the most wasteful first."""
         machine_types = self.cluster.machine_types
         lowest = min(self.unit_price(name) for name in machine_types)
         wasteful = [
             (machine_types[m.machine_type].hourly_price - lowest * m.allocated.cores, m.id, m)
-            for m in usable
+            for m in schedulable_machines
             if m.placements
             and m.id not in headroom_machines
             and MOVE_PRICE_RATIO_MAX * self.unit_price(m.machine_type) > lowest
@@ -100,17 +100,17 @@
         return [machine for *_, machine in wasteful]
 
     def _find_move(
-        self, sources: list[Machine], usable: list[Machine], now: Instant
+        self, sources: list[Machine], schedulable_machines: list[Machine], now: Instant
     ) -> _Move | None:
-        """Return a move to where the image is, else one to where it must be pulled.
+        """Return a move to a machine with the image, else one to where it must be pulled.
 
-        Replicas without any cheaper place are noted in `replicas_without_room`.
+        Replicas without any cheaper room are added to `replicas_without_room`.
         """
         cluster = self.cluster
         _, free = cluster.schedulable_room()
         self.preemption.reservations.subtract(free, now)
         replicas = (job for job in cluster.jobs.values() if job.service)
-        with_room = machines_with_room(usable, free, replicas)
+        with_room = machines_with_room(schedulable_machines, free, replicas)
         pulling: _Move | None = None
         for job, placement, source, cheaper in self._movable_replicas(sources, with_room, now):
             image = ImageName(job.spec.image)
@@ -130,7 +130,7 @@
     def _movable_replicas(
         self, sources: list[Machine], with_room: list[Machine], now: Instant
     ) -> Iterator[tuple[Job, Placement, Machine, list[Machine]]]:
-        """Yield some replicas that may move, with their machine and the cheaper ones with room."""
+        """Yield some movable replicas with their machine and the cheaper machines with room."""
         examined = 0
         for source in sources:
             max_unit_price = MOVE_PRICE_RATIO_MAX * self.unit_price(source.machine_type)
@@ -155,8 +155,8 @@
         machines: list[Machine],
         free: dict[MachineId, Resources],
     ) -> MachineId | None:
-        candidates = Candidates(machines, free)
-        chosen = choose_machines(self.cluster, job, 1, candidates, leaving=placement)
+        candidates = CandidateMachines(machines, free)
+        chosen = choose_machines(self.cluster, job, 1, candidates, ending=placement)
         return chosen[0] if chosen else None
 
     def _carry_out(self, move: _Move, now: Instant) -> None:
@@ -166,19 +166,19 @@
             machine=move.source.id,
             reason="dear machine",
         )
-        self.move_not_before = Instant(now + move.downtime_s / self._max_replicas_away())
+        self.move_not_before = Instant(now + move.downtime_s / self._max_replicas_down())
         self.preemption.reserve(move.job, move.target, now)
         self.cluster.stop(move.placement, 0.0)
 
-    def _max_replicas_away(self) -> float:
-        """Return how many replicas may be away on average, for the sake of moves."""
+    def _max_replicas_down(self) -> float:
+        """Return how many replicas moves may keep down on average."""
         jobs = self.cluster.jobs.values()
         replicas = sum(len(job.placements) for job in jobs if job.service)
-        return max(MIN_REPLICAS_AWAY, MOVE_DOWNTIME_SHARE_MAX * replicas)
+        return max(MIN_REPLICAS_DOWN, MOVE_DOWNTIME_SHARE_MAX * replicas)
 
 
 def _may_move(job: Job, placement: Placement, now: Instant) -> bool:
-    """Tell whether the replica runs for long enough and none of its service is missing."""
+    """Tell whether the replica has run for long enough and no replica of its job is missing."""
     return (
         job.service
         and not job.requeued_tasks
--- a/umberward/scheduling/deadline_triage.py
+++ b/umberward/scheduling/deadline_triage.py
@@ -1,10 +1,10 @@
-"""Which jobs are put off when not all can be done by their deadlines. No I/O.
+"""Selection of the jobs to delay when not all can meet their deadlines. No I/O.
 
-In the order of their latest starts, too much work makes everybody late: each job waits for one
-before it that will be late all the same. By the algorithm of Moore and Hodgson as few as possible
-are late: jobs are taken in the order of their latest starts, and whenever one would start too late,
-the longest of those taken is put off. A job that is put off is served behind the rest, and not for
-long: one that has waited for `MISSED_GOALS_PRIORITY_S` is served first, whatever its size.
+Under overload, serving jobs by latest start makes nearly all of them late: each waits for one that
+misses its deadline anyway. The Moore-Hodgson algorithm minimizes the number of late jobs: it adds
+jobs in order of their latest starts, and whenever one would start too late, it removes the longest
+added so far. Removed jobs are served after the rest, but a job that has waited for
+`MISSED_GOALS_PRIORITY_S` is served first, whatever its size.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from umberward.scheduling.job_timing import MISSED_GOALS_PRIORITY_S
 from umberward.scheduling.jobs import Job
 
-TRIAGE_INTERVAL_S = 0.4
-RUN_SHARE_LEFT = 0.5  # what runs now is half done on average
+LATE_JOBS_INTERVAL_S = 0.4
+REMAINING_RUN_SHARE = 0.5  # running tasks are half done on average
 
 
 class DeadlineJob(NamedTuple):
-    """Until when a job's last task should start, and for how long it keeps the machines."""
+    """The latest start of a job's last task, and how long the job occupies the machines."""
 
     start_by: float
     duration_s: float
@@ -38,11 +38,11 @@
 
 
 def choose_late_jobs(jobs: Iterable[DeadlineJob], free_at: float) -> set[JobId]:
-    """Return as few jobs as possible, so that each of the others starts in time.
+    """Return the fewest jobs to delay so that all others start in time.
 
-    `free_at`: when the machines have done what comes before all of them, in seconds.
+    `free_at`: when, in seconds, the machines have finished the work served before all of them.
     """
-    chosen: list[tuple[float, JobId]] = []  # a heap, the longest first
+    chosen: list[tuple[float, JobId]] = []  # a heap, longest job first
     late: set[JobId] = set()
     total_s = 0.0
     for job in sorted(jobs):
@@ -56,19 +56,19 @@
 
 
 class DeadlineTriage:
-    """Keeps the set of jobs that are put off, and finds it anew a few times a second."""
+    """Maintains the set of late jobs, which is recomputed a few times per second."""
 
     def __init__(self, cluster: ClusterState, now: Instant) -> None:
-        """Allow a first triage at `now`, a time of the leader's monotonic clock."""
+        """Allow the first update at `now`, a time of the leader's monotonic clock."""
         self.cluster = cluster
-        self.triage_not_before = now
+        self.update_not_before = now
         self.late_jobs: set[JobId] = set()
 
     def update(self, jobs: Iterable[Job], now: Instant) -> None:
-        """Find `late_jobs` among the startable jobs; to be called before these are ordered."""
-        if now < self.triage_not_before:
+        """Recompute `late_jobs` from the startable jobs; call this before ordering them."""
+        if now < self.update_not_before:
             return
-        self.triage_not_before = Instant(now + TRIAGE_INTERVAL_S)
+        self.update_not_before = Instant(now + LATE_JOBS_INTERVAL_S)
         self.late_jobs = set()
         wall = self.cluster.wall_clock()
         by_kind: dict[_WorkKind, list[Job]] = {}
@@ -93,13 +93,13 @@
             if wall - job.ready_at > MISSED_GOALS_PRIORITY_S:
                 free_at += work / rate  # served first
                 continue
-            # The job's last task starts while those that were started last still run.
-            start_by = self.cluster.service_order(job, wall) + RUN_SHARE_LEFT * task_s
+            # The last task starts before the job's work is done: others still run at that time.
+            start_by = self.cluster.service_order(job, wall) + REMAINING_RUN_SHARE * task_s
             deadline_jobs.append(DeadlineJob(start_by, work / rate, job.id))
         return choose_late_jobs(deadline_jobs, free_at)
 
     def _service_rate(self, kind: _WorkKind) -> float:
-        """Return how many cores or accelerators do such work at once: in use by it, or free."""
+        """Return the cores, or accelerators, that such work uses or that are free for it."""
         total = 0.0
         for machine in self.cluster.schedulable.machines.values():
             machine_type = self.cluster.machine_types.get(machine.machine_type)
--- a/umberward/scheduling/gang_preemption.py
+++ b/umberward/scheduling/gang_preemption.py
@@ -1,4 +1,4 @@
-"""Room for a whole gang by preemption, or none: half of its room is of no use to anybody. Pure."""
+"""Preemption plans for whole gangs, as a gang cannot start with part of its room. Pure."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from umberward.scheduling.preemptable_work import PreemptableWork
 from umberward.scheduling.room_reservation import RoomReservations
 
-STOP_S = 0.1  # how long a victim takes to stop, besides its checkpoint
+VICTIM_STOP_S = 0.1  # time for a victim to stop, besides saving its checkpoint
 
 
 class GangStep(NamedTuple):
-    """Room for some of a gang's tasks on one machine, and what it costs."""
+    """Room for some of a gang's tasks on one machine, and its cost."""
 
     ready_in_s: float  # until a task could start there
-    lost_work: float  # core-seconds that are done again
+    lost_work: float  # core-seconds that must be repeated
     machine_id: MachineId
     task_count: int
     victims: list[Placement]
@@ -30,13 +30,13 @@
     job: Job,
     work: PreemptableWork,
     reservations: RoomReservations,
-    denied: set[MachineId],
+    reserved_for_others: set[MachineId],
 ) -> list[GangStep]:
-    """Return the machines for all of the gang with the least lost work; empty: there is no room.
+    """Return the plan for the whole gang that loses the least work; empty: there is no room.
 
-    `denied`: the machines that are held back for other gangs.
+    `reserved_for_others`: the machines that are reserved for other gangs.
     """
-    steps_by_zone = _steps_by_zone(cluster, job, work, reservations, denied)
+    steps_by_zone = _steps_by_zone(cluster, job, work, reservations, reserved_for_others)
     best: list[GangStep] = []
     least_lost = 0.0
     for steps in steps_by_zone.values():
@@ -57,20 +57,20 @@
     job: Job,
     work: PreemptableWork,
     reservations: RoomReservations,
-    denied: set[MachineId],
+    reserved_for_others: set[MachineId],
 ) -> dict[ZoneName, list[GangStep]]:
-    """Return what each machine has to offer, all under one zone if the gang may span zones."""
-    found: dict[ZoneName, list[GangStep]] = {}
+    """Return the possible steps by zone, all under `ANY_ZONE` if the gang may span zones."""
+    steps_by_zone: dict[ZoneName, list[GangStep]] = {}
     rooms = work.preemptable_room(job)
     for machine in work.machines_of(cluster.suitable_offers(job)):
-        if machine.id in reservations or machine.id in denied:
+        if machine.id in reservations or machine.id in reserved_for_others:
             continue
         zone = machine.zone if job.spec.same_zone else ANY_ZONE
-        steps = found.setdefault(zone, [])
+        steps = steps_by_zone.setdefault(zone, [])
         step = _step(cluster, job, machine, work, rooms)
         if step is not None:
             steps.append(step)
-    return found
+    return steps_by_zone
 
 
 def _step(
@@ -80,7 +80,7 @@
     work: PreemptableWork,
     rooms: dict[MachineId, tuple[Machine, Resources]],
 ) -> GangStep | None:
-    """Return free room on the machine, or room for one task by preemption; None: neither."""
+    """Return a step for free room, else for one task by preemption; None: neither is possible."""
     free = work.free[machine.id]
     ready_in_s = _image_pull_s(cluster, job, machine)
     task_count = job.need.count_within(free)
@@ -96,13 +96,16 @@
 
 
 def _image_pull_s(cluster: ClusterState, job: Job, machine: Machine) -> float:
-    """Return the seconds until the job's image is on the machine."""
+    """Return the seconds that the machine needs to pull the job's image; 0 if it is cached."""
     if ImageName(job.spec.image) in machine.images:
         return 0.0
     return job.spec.image_gb / cluster.machine_types[machine.machine_type].image_pull_gb_per_s
 
 
 def _stop_s(cluster: ClusterState, victims: list[Placement]) -> float:
-    """Return the seconds that the victims take to save a checkpoint and stop; never none."""
+    """Return the seconds that the victims take to save checkpoints and stop; always positive."""
     owners = (cluster.jobs.get(victim.task.job) for victim in victims)
-    return max((owner.spec.checkpoint_cost_s for owner in owners if owner), default=0.0) + STOP_S
+    return (
+        max((owner.spec.checkpoint_cost_s for owner in owners if owner), default=0.0)
+        + VICTIM_STOP_S
+    )
--- a/umberward/scheduling/gang_reservation.py
+++ b/umberward/scheduling/gang_reservation.py
@@ -1,12 +1,11 @@
-"""Room that is gathered for a gang which has waited for long. No I/O.
-
-A gang of several machines starts when so many are free at once, in one zone if it asks for that. A
-stream of smaller gangs would take each machine as it gets free, and the large one would wait for as
-long as they come. So for a gang that has waited for a part of the four minutes within which all
-should begin, the machines that get free in one zone are held back until they are enough: from work
-that it could not preempt, unless that is over before the last machine is expected. Work that it may
-preempt uses them meanwhile. In each zone room is gathered for one gang at a time, the one that
-waits longest, so that two never hold half of what each of them needs.
+"""Reservation of machines for gangs that have waited for long. No I/O.
+
+A gang starts only when enough machines are free at once, in one zone if it asks for that; a stream
+of smaller gangs would starve it. So after a part of the four minutes within which every job should
+begin, the machines of one zone that become free are reserved for the gang until they are enough.
+Work that it may preempt still uses them, and so does work that ends before the last machine is
+expected. Each zone has one such gang at a time, the longest waiting, to avoid a deadlock of two
+gangs that each hold half of what they need.
 """
 
 from __future__ import annotations
@@ -24,14 +23,14 @@
 
 log = logger(__name__)
 
-RESERVE_AFTER_S = 0.35 * START_WITHIN_S  # from this wait on room is gathered
-ZONE_CHANGE_GAIN_S = 10.0  # it is gathered in another zone if that is so much sooner
-MIN_REMAINING_RUN_S = 1.0  # of a task that runs for longer than estimated
+RESERVE_AFTER_S = 0.35 * START_WITHIN_S  # waiting time after which machines are reserved
+ZONE_CHANGE_GAIN_S = 10.0  # a reservation changes its zone if the gang starts so much sooner
+MIN_REMAINING_RUN_S = 1.0  # assumed for a task that runs longer than estimated
 ANY_ZONE = ZoneName("")
 
 
 class GangSlot(NamedTuple):
-    """When a machine has room for the gang, and for how many of its tasks; sorted in this order."""
+    """When a machine has room for the gang, and for how many tasks; sorted by the fields."""
 
     available_in_s: float
     image_missing: bool
@@ -42,37 +41,37 @@
 class _ZoneChoice(NamedTuple):
     """The machines of one zone that the gang would use."""
 
-    available_in_s: float  # until the last of them has room; less in the zone chosen before
+    available_in_s: float  # until all have room; reduced for the zone chosen before
     zone: ZoneName
     slots: list[GangSlot]
 
 
 class GangReservations:
-    """Selects a zone for each gang that has waited for long, and holds its free machines back."""
+    """Selects a zone for each gang that has waited for long, and reserves free machines there."""
 
     def __init__(self, cluster: ClusterState) -> None:
         """Start without any reservation."""
         self.cluster = cluster
-        # By machine held back: for which gang, and until when its last machine is expected.
+        # By reserved machine: the gang, and when the gang's last machine is expected.
         self.reserved: dict[MachineId, tuple[Job, Instant]] = {}
         self.zone_of_job: dict[JobId, ZoneName] = {}
 
     def update(self, waiting: list[Job], free: Mapping[MachineId, Resources], now: Instant) -> None:
-        """Select the machines to hold back in this pass; `free`: the room on each machine."""
+        """Select the machines to reserve in this pass; `free`: the room on each machine."""
         self.reserved.clear()
-        taken: set[ZoneName] = set()
+        zones_in_use: set[ZoneName] = set()
         zone_of_job: dict[JobId, ZoneName] = {}
         for job in self._gangs_to_reserve_for(waiting):
-            zone = self._reserve_zone(job, taken, free, now)
+            zone = self._reserve_zone(job, zones_in_use, free, now)
             if zone is not None:
-                taken.add(zone)
+                zones_in_use.add(zone)
                 zone_of_job[job.id] = zone
                 if job.id not in self.zone_of_job:
                     log.info("gang_room_reserved", job=job.id, tasks=job.size, zone=zone)
         self.zone_of_job = zone_of_job
 
     def _gangs_to_reserve_for(self, waiting: list[Job]) -> list[Job]:
-        """Return the gangs that have waited for long and could start, the oldest first."""
+        """Return the gangs that have waited for long and could start, the longest waiting first."""
         wall = self.cluster.wall_clock()
         gangs = [
             job
@@ -87,7 +86,7 @@
         return gangs
 
     def denied_machines(self, job: Job) -> set[MachineId]:
-        """Return the machines that the job may not use, as they are held back for others."""
+        """Return the machines that the job may not use, as they are reserved for other gangs."""
         duration_s = math.inf if job.service else self.cluster.expected_duration(job)
         return {
             machine_id
@@ -98,15 +97,19 @@
         }
 
     def _reserve_zone(
-        self, job: Job, taken: set[ZoneName], free: Mapping[MachineId, Resources], now: Instant
+        self,
+        job: Job,
+        zones_in_use: set[ZoneName],
+        free: Mapping[MachineId, Resources],
+        now: Instant,
     ) -> ZoneName | None:
-        """Hold the free machines of the best zone back; None: no zone ever has room for the gang.
+        """Reserve the free machines of the best zone; None: no zone will have room for the gang.
 
-        `taken`: the zones in which room is gathered for other gangs.
+        `zones_in_use`: the zones in which machines are reserved for other gangs.
         """
-        if taken and (ANY_ZONE in taken or not job.spec.same_zone):
+        if zones_in_use and (ANY_ZONE in zones_in_use or not job.spec.same_zone):
             return None
-        choice = self._choose_zone(job, self._slots_by_zone(job, taken, free, now))
+        choice = self._choose_zone(job, self._slots_by_zone(job, zones_in_use, free, now))
         if choice is None:
             return None
         until = Instant(now + choice.slots[-1].available_in_s)
@@ -116,24 +119,28 @@
         return choice.zone
 
     def _slots_by_zone(
-        self, job: Job, taken: set[ZoneName], free: Mapping[MachineId, Resources], now: Instant
+        self,
+        job: Job,
+        zones_in_use: set[ZoneName],
+        free: Mapping[MachineId, Resources],
+        now: Instant,
     ) -> dict[ZoneName, list[GangSlot]]:
-        """Return the machines that get room for the job, all as one zone if it may span zones."""
-        found: dict[ZoneName, list[GangSlot]] = {}
+        """Return the slots by zone, all under `ANY_ZONE` if the job may span zones."""
+        slots_by_zone: dict[ZoneName, list[GangSlot]] = {}
         for offer in self.cluster.suitable_offers(job):
             zone = offer.zone if job.spec.same_zone else ANY_ZONE
-            if zone in taken:
+            if zone in zones_in_use:
                 continue
             for machine in self.cluster.schedulable.by_offer.get(offer, {}).values():
                 slot = self._gang_slot(job, machine, free[machine.id], now)
                 if slot is not None:
-                    found.setdefault(zone, []).append(slot)
-        return found
+                    slots_by_zone.setdefault(zone, []).append(slot)
+        return slots_by_zone
 
     def _choose_zone(
         self, job: Job, slots_by_zone: dict[ZoneName, list[GangSlot]]
     ) -> _ZoneChoice | None:
-        """Return the zone that has room for all of the gang first."""
+        """Return the zone that is the first to have room for the whole gang."""
         best: _ZoneChoice | None = None
         for zone, slots in sorted(slots_by_zone.items()):
             slots.sort()
@@ -143,7 +150,7 @@
                 chosen.append(slots[len(chosen)])
                 missing_tasks -= chosen[-1].task_count
             if missing_tasks > 0:
-                continue  # the zone never has room for it
+                continue  # the zone will not have room for the gang
             available_in_s = chosen[-1].available_in_s
             if self.zone_of_job.get(job.id) == zone:
                 available_in_s = max(0.0, available_in_s - ZONE_CHANGE_GAIN_S)
@@ -154,7 +161,7 @@
     def _gang_slot(
         self, job: Job, machine: Machine, room: Resources, now: Instant
     ) -> GangSlot | None:
-        """Return when the machine has room; None: never while what runs there goes on."""
+        """Return when the machine has room; None: never, as replicas occupy it."""
         key = job.preemption_key
         for other, load in machine.preemptable_by_key().items():
             if may_preempt(key, other):
@@ -170,24 +177,24 @@
         return GangSlot(available_in_s, image_missing, machine.id, task_count)
 
     def _available_in_s(self, job: Job, machine: Machine, room: Resources, now: Instant) -> float:
-        """Return the seconds until enough has ended of what the job may not preempt."""
+        """Return the seconds until enough work that the job may not preempt has ended."""
         key = job.preemption_key
-        ending = []
+        ends = []
         for placement in machine.placements.values():
             if placement.stop_grace_s is None and may_preempt(key, placement.preemption_key):
                 continue
             remaining_s = self._remaining_s(placement, now)
             if remaining_s < math.inf:
-                ending.append((remaining_s, placement.need))
-        ending.sort()
-        for remaining_s, need in ending:
+                ends.append((remaining_s, placement.need))
+        ends.sort()
+        for remaining_s, need in ends:
             room = room.plus(need)
             if job.need.fits(room):
                 return remaining_s
         return math.inf
 
     def _remaining_s(self, placement: Placement, now: Instant) -> float:
-        """Return the expected seconds to the task's end; a replica never ends."""
+        """Return the expected seconds to the task's end; infinite for a replica."""
         owner = self.cluster.jobs.get(placement.task.job)
         if owner is None or placement.stop_grace_s is not None:
             return 0.0
--- a/umberward/scheduling/headroom.py
+++ b/umberward/scheduling/headroom.py
@@ -1,10 +1,10 @@
-"""Headroom: the room that is kept open for accelerated work. No I/O.
+"""Headroom: spare capacity that is kept free for accelerated work. No I/O.
 
-Accelerated machines are few, expensive and slow to boot, and their work needs nearly all of one.
-So as many of them as such work needed lately are kept open or run empty, for other work uses only
-what an accelerated task leaves over; and none is kept when no such work comes any more. Only work
-that should start soon after it comes counts (`Job.prompt`): what has a deadline and no objective
-for its start can wait for a machine, and uses the headroom meanwhile if it is of lower priority.
+Accelerated machines are few, expensive and slow to boot, and a task needs nearly all of one. So as
+many as such work needed recently are kept free or run empty, and other work uses only what an
+accelerated task would leave on them; the headroom shrinks to zero when no such work arrives. Only
+work that should start soon after submission counts (`Job.needs_prompt_start`). Work with a deadline
+and no start objective can wait for a machine, and uses the headroom if it has a lower priority.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from umberward.scheduling.jobs import Job, Placement
 from umberward.scheduling.machines import Machine
 
-PEAK_DECAY_S = 60.0  # time constant with which the peak falls towards the present need
-BRIEF_TASK_SHARE = 0.3  # of the time in which accelerated work should start: a brief task's length
+PEAK_DECAY_S = 60.0  # time constant of the exponential decay of the peak to the current need
+BRIEF_TASK_SHARE = 0.3  # longest brief task, as a share of accelerated work's time to start
 HIGHEST_PRIORITY = min(PRIORITIES.values())
 
-# How much a core of other work keeps accelerated work out, by how long it is likely to stay.
+# Penalties per core of other work on a machine, by how long that work is likely to stay.
 REPLICA_WEIGHT = 20.0
 TASK_WEIGHT = 1.0
 PREEMPTABLE_ACCELERATED_WEIGHT = 0.02
@@ -38,82 +38,82 @@
 
 
 class _Candidate(NamedTuple):
-    """A machine that could run accelerated work; the smaller, the sooner it is kept open."""
+    """Sort key of a machine that could run accelerated work; the smallest are kept free."""
 
     blocked: bool
-    newly_kept: bool
+    newly_selected: bool
     negated_zone_cores: float
     weight: float
     machine_id: MachineId
 
 
 class Headroom:
-    """Follows how much accelerated work there is and selects the machines to keep open for it."""
+    """Tracks the demand for accelerated work and selects the machines to keep free for it."""
 
     def __init__(self, machine_types: dict[MachineTypeName, MachineType], now: Instant) -> None:
-        """`machine_types` is the cloud's list, which its owner keeps up to date."""
+        """Start without demand; `machine_types` is the cloud's list, which its owner updates."""
         self.machine_types = machine_types
-        self.largest_need = NO_RESOURCES  # the largest accelerated task seen
+        self.largest_need = NO_RESOURCES  # of all accelerated tasks seen
         self.latest_spec: JobSpec | None = (
-            None  # the latest accelerated job: where such work may run
+            None  # of the latest accelerated job; its constraints say where such work may run
         )
-        self.lowest_priority = 0  # the least important priority of accelerated work seen
-        self.running_count = 0  # accelerated tasks that have a placement
-        self.waiting_count = 0  # ... and that wait for one
-        self.peak = 0.0  # how many there were at once, waiting ones included
+        self.lowest_priority = 0  # of all accelerated work seen, which is the largest number
+        self.running_count = 0  # accelerated tasks with a placement
+        self.waiting_count = 0  # accelerated tasks that wait for one
+        self.peak = 0.0  # decaying maximum of running and waiting tasks together
         self.updated_at = now
-        self.open_machines: set[MachineId] = set()
+        self.headroom_machines: set[MachineId] = set()
 
     def placement_added(self, placement: Placement) -> None:
-        """Count a placement, if it is of accelerated work."""
+        """Count a placement of accelerated work; ignore others."""
         if placement.needs_prompt_start:
             self.running_count += 1
-            self._note_need(placement.need)
+            self._update_largest_need(placement.need)
 
     def placement_released(self, placement: Placement) -> None:
-        """Take back what `placement_added` counted."""
+        """Undo `placement_added`."""
         if placement.needs_prompt_start:
             self.running_count -= 1
 
     def update(self, waiting: Iterable[Job], now: Instant) -> None:
-        """Count the accelerated tasks that wait, and let the peak follow."""
+        """Count the accelerated tasks that wait, and update the decaying peak."""
         self.waiting_count = 0
         for job in waiting:
             if job.needs_prompt_start:
                 self.waiting_count += job.startable_count()
                 self.lowest_priority = max(self.lowest_priority, job.priority)
                 self.latest_spec = job.spec
-                self._note_need(job.need)
+                self._update_largest_need(job.need)
         tasks = self.running_count + self.waiting_count
         decayed = tasks + (self.peak - tasks) * math.exp((self.updated_at - now) / PEAK_DECAY_S)
         self.updated_at = now
         self.peak = max(decayed, float(tasks))
 
     def restore(self, spec: JobSpec, need: Resources, peak: float) -> None:
-        """Take over what the previous leader saw, unless more was seen since."""
+        """Merge the demand that the previous leader saw; the larger values win."""
         self.peak = max(self.peak, peak)
         self.lowest_priority = max(self.lowest_priority, PRIORITIES[spec.priority])
         if self.latest_spec is None:
             self.latest_spec = spec
-        self._note_need(need)
+        self._update_largest_need(need)
 
-    def _note_need(self, need: Resources) -> None:
+    def _update_largest_need(self, need: Resources) -> None:
         if need.accelerators >= self.largest_need.accelerators:
             self.largest_need = need
 
-    def open_task_count(self) -> int:
-        """Return for how many tasks to keep room open, as accelerated work is likely to come."""
+    def spare_task_count(self) -> int:
+        """Return for how many further accelerated tasks to keep room free."""
         if self.largest_need.accelerators <= 0:
             return 0
         return max(0, round(self.peak) - self.running_count)
 
-    def could_run(
+    def could_run_accelerated(
         self,
         machine_type_name: MachineTypeName,
         zone: ZoneName,
         spot: bool,  # noqa: FBT001 - the fields of a MachineOffer, in order
     ) -> bool:
-        """Tell whether accelerated work may run on such a machine, were it empty."""
+        """Tell whether accelerated work may run on such a machine if it is empty."""
         spec, machine_type = self.latest_spec, self.machine_types.get(machine_type_name)
         if spec is None:
             return False
@@ -130,17 +130,17 @@
         by_offer: Mapping[MachineOffer, Mapping[MachineId, Machine]],
         free: Mapping[MachineId, Resources],
     ) -> tuple[set[MachineId], set[MachineId]]:
-        """Return the machines to keep open, and all candidates: those that could run such work.
+        """Return the machines to keep free, and all that could run accelerated work.
 
-        Where none is open, those that will be soonest are left to run empty: else short tasks that
-        come and go would keep accelerated work out for ever.
+        If too few are free, those that will be free soonest are selected and run empty; otherwise a
+        succession of short tasks would starve accelerated work.
         """
         if self.largest_need.accelerators <= 0:
             return set(), set()
         cores_by_zone = self._cores_by_zone(by_offer)
         candidates = []
         for offer, machines in by_offer.items():
-            if not self.could_run(*offer):
+            if not self.could_run_accelerated(*offer):
                 continue
             zone_cores = cores_by_zone.get(offer.zone, 0.0)
             for machine in machines.values():
@@ -149,13 +149,13 @@
                     candidates.append(self._candidate(machine, room, zone_cores))
         candidates.sort()
         machine_ids = [candidate.machine_id for candidate in candidates]
-        self.open_machines = set(machine_ids[: self.open_task_count()])
-        return set(self.open_machines), set(machine_ids)
+        self.headroom_machines = set(machine_ids[: self.spare_task_count()])
+        return set(self.headroom_machines), set(machine_ids)
 
     def _cores_by_zone(
         self, by_offer: Mapping[MachineOffer, Mapping[MachineId, Machine]]
     ) -> dict[ZoneName, float]:
-        """Sum up the cores of the machines that are no spot machines."""
+        """Return the cores of the on-demand machines by zone."""
         cores_by_zone: dict[ZoneName, float] = {}
         for offer, machines in by_offer.items():
             if not offer.spot:
@@ -164,12 +164,11 @@
         return cores_by_zone
 
     def _candidate(self, machine: Machine, room: Resources, zone_cores: float) -> _Candidate:
-        """Return the machine's sort key; `room`: what accelerated work would find there at once.
+        """Return the machine's sort key; `room`: free room plus that of preemptable work.
 
-        Work that must be spread needs as much of a small zone as of a large one, so machines of
-        large zones come first. Preemptable work may fill a machine that is kept open: had that to
-        be empty, such work would move on to the next empty machine each time, until it stands on
-        all and none is returned.
+        Spread work needs as much of a small zone as of a large one, so machines of large zones come
+        first. Preemptable work may fill headroom machines: if those had to be empty, such work
+        would move to the next empty machine each time, until it runs on all and none is returned.
         """
         weight = sum(
             load.cores * self._weight(accelerated=accelerated, priority=priority)
@@ -177,24 +176,24 @@
         )
         return _Candidate(
             not self.largest_need.fits(room),
-            machine.id not in self.open_machines,
+            machine.id not in self.headroom_machines,
             -zone_cores,
             weight,
             machine.id,
         )
 
     def _weight(self, *, accelerated: bool, priority: int) -> float:
-        """Return how much such work keeps accelerated work out, for each core that it takes."""
+        """Return the penalty for each core that such work uses."""
         if self._is_preemptable(priority):
             return PREEMPTABLE_ACCELERATED_WEIGHT if accelerated else PREEMPTABLE_WEIGHT
         return REPLICA_WEIGHT if priority == HIGHEST_PRIORITY else TASK_WEIGHT
 
     def _is_preemptable(self, priority: int) -> bool:
-        """Tell whether such work is stopped at once when prompt accelerated work comes."""
+        """Tell whether prompt accelerated work may preempt work of this priority."""
         return priority > self.lowest_priority
 
     def preemptable_room(self, machine: Machine) -> Resources:
-        """Return the room that preempting such work on the machine would make."""
+        """Return the resources that preempting all preemptable work on the machine would free."""
         room = NO_RESOURCES
         for (_, priority), load in machine.load_by_priority().items():
             if self._is_preemptable(priority):
@@ -202,18 +201,18 @@
         return room
 
     def barred_machines(
-        self, job: Job, open_machines: set[MachineId], task_s: float, start_within_s: float
+        self, job: Job, headroom_machines: set[MachineId], task_s: float, start_within_s: float
     ) -> set[MachineId]:
-        """Return those of `open_machines` of which the job may use only what headroom leaves.
+        """Return those of `headroom_machines` on which the job must leave the headroom free.
 
-        Work of lower priority may fill them, as it is preempted when they are needed; and, while no
-        accelerated work waits, tasks that are over long before such work must start. So scarce and
-        expensive machines do not stand idle meanwhile. `task_s`: how long a task of the job is
-        expected to take; `start_within_s`: how soon accelerated work should start.
+        There are none for work of lower priority, which is preempted when they are needed, nor,
+        while no accelerated work waits, for tasks that end long before such work must start. So
+        scarce and expensive machines do not stand idle. `task_s`: the expected duration of a task;
+        `start_within_s`: the time within which accelerated work should start.
         """
         if job.need.accelerators > 0 or job.priority > self.lowest_priority:
             return set()
         is_brief = 0 < task_s <= BRIEF_TASK_SHARE * start_within_s
         if is_brief and not job.service and not self.waiting_count:
             return set()
-        return open_machines
+        return headroom_machines
--- a/umberward/scheduling/machine_selection.py
+++ b/umberward/scheduling/machine_selection.py
@@ -1,4 +1,4 @@
-"""Which machines a job's tasks go to: those that may take them, by best fit. No I/O."""
+"""Selection of the machines for a job's tasks by best fit among the permitted ones. No I/O."""
 
 from __future__ import annotations
 
@@ -12,70 +12,70 @@
 from umberward.scheduling.jobs import Job, Placement
 from umberward.scheduling.machines import Machine
 
-MAX_SPREAD_MACHINES = 3  # machines among which the replicas of a spread service take turns
+MAX_SPREAD_MACHINES = 3  # machines over which replicas of a spread service go round-robin
 
 
-class Candidates(NamedTuple):
-    """The machines among which to search, and the room that the job may use on each."""
+class CandidateMachines(NamedTuple):
+    """The machines to search, and the room that the job may use on each."""
 
     machines: list[Machine]
     free: Mapping[MachineId, Resources]
-    # Machines of which the job may use only what accelerated work leaves over.
-    barred: Container[MachineId] = ()
+    # Machines on which the job must leave the headroom for accelerated work free.
+    restricted: Container[MachineId] = ()
 
 
 def choose_machines(
     cluster: ClusterState,
     job: Job,
     count: int,
-    candidates: Candidates,
+    candidates: CandidateMachines,
     *,
-    leaving: Placement | None = None,
-    prefer: Container[MachineId] = (),
+    ending: Placement | None = None,
+    preferred: Container[MachineId] = (),
 ) -> list[MachineId]:
-    """Return a machine for each of up to `count` tasks, in the order in which they take them.
+    """Return a machine for each of up to `count` tasks, in the order of assignment.
 
-    `leaving` is a placement of the job that is about to end, `prefer` the machines where room was
-    made for the job: a replica that moves would else go back to where its image is.
+    `ending`: a placement of the job that is about to end. `preferred`: the machines on which room
+    is reserved for the job; without them a moved replica would return to where its image is.
     """
     cluster.searches += 1
     spec = job.spec
     tasks_by_zone = Counter(
-        placement.zone for placement in job.placements.values() if placement is not leaving
+        placement.zone for placement in job.placements.values() if placement is not ending
     )
     if job.unlocated_tasks and (spec.same_zone or spec.spread):
-        return []  # a task of the job may be in a zone that is not known
-    rooms = _machine_rooms(cluster, job, candidates, prefer)
+        return []  # these tasks may be in any zone
+    rooms = _machine_rooms(cluster, job, candidates, preferred)
     if not rooms:
         return []
     if spec.same_zone:
         return _choose_zone(job, count, rooms, set(tasks_by_zone))
-    left_in_zone: Callable[[ZoneName], int] | None = None
-    distinct = 1
+    remaining_in_zone: Callable[[ZoneName], int] | None = None
+    spread_width = 1
     if spec.spread:
         max_per_zone = max_tasks_per_zone(job)
 
-        def left_in_zone(zone: ZoneName) -> int:
+        def remaining_in_zone(zone: ZoneName) -> int:
             return max_per_zone - tasks_by_zone.get(zone, 0)
 
         if job.service:
-            distinct = min(MAX_SPREAD_MACHINES, job.size)
-    return best_fit(job.need, count, rooms, distinct, left_in_zone)
+            spread_width = min(MAX_SPREAD_MACHINES, job.size)
+    return best_fit(job.need, count, rooms, spread_width, remaining_in_zone)
 
 
 def max_tasks_per_zone(job: Job) -> int:
-    """Return how many of the job's tasks one zone may have: half of a job that is spread."""
+    """Return the limit of the job's tasks per zone: half of them if the job is spread."""
     return (job.size + 1) // 2 if job.spec.spread else MAX_TASKS
 
 
 def _machine_rooms(
-    cluster: ClusterState, job: Job, candidates: Candidates, prefer: Container[MachineId]
+    cluster: ClusterState, job: Job, candidates: CandidateMachines, preferred: Container[MachineId]
 ) -> list[MachineRoom]:
-    """Return the machines that may take a task, with their sort keys.
+    """Return the machines that may run a task, with their sort keys.
 
-    Those on which the job's tasks have failed are used only if there are no others.
+    Machines on which the job's tasks have failed are returned only if there are no others.
     """
-    machines, free, barred = candidates
+    machines, free, restricted = candidates
     need, headroom_need = job.need, cluster.headroom.largest_need
     image = ImageName(job.spec.image)
     suitable = cluster.suitable_offers(job)
@@ -85,14 +85,14 @@
         for machine in machines
         if machine.offer in suitable
         and need.fits(room := free[machine.id])
-        and (machine.id not in barred or need.fits(room := room.minus(headroom_need)))
+        and (machine.id not in restricted or need.fits(room := room.minus(headroom_need)))
     ]
     rooms = [
         MachineRoom(
             machine.id,
             machine.zone,
             room,
-            (machine.id not in prefer, *_preference(cluster, job, machine, image)),
+            (machine.id not in preferred, *_preference(cluster, job, machine, image)),
         )
         for machine, room in fitting
         if machine.id not in avoided
@@ -108,7 +108,7 @@
 def _choose_zone(
     job: Job, count: int, rooms: list[MachineRoom], used_zones: set[ZoneName]
 ) -> list[MachineId]:
-    """Choose machines in one zone: where the job's other tasks are, else where most fit."""
+    """Choose machines in one zone: that of the job's other tasks, else where most tasks fit."""
     if len(used_zones) > 1:
         return []
     best: list[MachineId] = []
@@ -125,9 +125,9 @@
 ) -> tuple[float, ...]:
     """Return the machine's sort key for the job, smallest first.
 
-    The most allocated machine is first, as in best fit. Before that come: the image, where a
-    replica's or a gang's start waits for it; spot machines, for work that may use them, as other
-    work may not; and machines without accelerators.
+    The last criterion is best fit: the most allocated machine first. More significant are a cached
+    image (first for replicas and gangs, whose start waits for it), spot machines (for work that may
+    use them, as other work may not), and the absence of accelerators.
     """
     image_missing = 0.0 if image in machine.images else 1.0
     not_spot = 0.0 if machine.spot else 1.0
@@ -136,8 +136,8 @@
         return (image_missing, accelerators, -machine.allocated.cores)
     kept_open = float(machine.id in cluster.headroom_machines)
     if job.need.accelerators > 0:
-        # It fills one expensive machine after the other, those first that are kept open anyway:
-        # what gets empty can be returned.
+        # Fill expensive machines one by one, headroom machines first as they are kept anyway, so
+        # that the others become empty and can be returned.
         return (
             not_spot,
             1.0 - kept_open,
--- a/umberward/scheduling/objectives.py
+++ b/umberward/scheduling/objectives.py
@@ -1,6 +1,6 @@
-"""The operators' service-level objectives, by job class. No I/O.
+"""Service-level objectives by job class. No I/O.
 
-The deploy file lists them (docs/operators); each names a kind, a job class, and a time or a factor.
+The deploy file lists them (docs/operators), each with a kind, a job class, and a time or a factor.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from umberward.core.settings import Objective
 
-# Kinds of objectives, as the deploy file names them.
+# Kinds of objectives in the deploy file.
 START_KIND = "wait"
 FINISH_KIND = "finished"
 DEADLINE_KIND = "deadline"
@@ -19,7 +19,7 @@
 
 
 class ClassAim(NamedTuple):
-    """The strictest objective of each kind for a class, in seconds; None: there is none."""
+    """The strictest objective of each kind for a job class, in seconds; None: there is none."""
 
     start_within_s: float | None
     finish_within_s: float | None
@@ -29,7 +29,7 @@
 
 
 class ClassObjectives(NamedTuple):
-    """All objectives of a class: in seconds, and as multiples of a job's own deadline."""
+    """All objectives of a job class, in seconds and as multiples of a job's own deadline."""
 
     start_within_s: list[float]
     finish_within_s: list[float]
@@ -41,15 +41,15 @@
 
 @dataclass
 class Objectives:
-    """What the objectives of a deploy file ask for."""
+    """The parsed objectives of a deploy file."""
 
     aims: dict[str, ClassAim] = field(default_factory=dict)
     by_class: dict[str, ClassObjectives] = field(default_factory=dict)
-    guaranteed_start_s: float | None = None  # how soon guaranteed work should start
+    guaranteed_start_s: float | None = None  # time within which guaranteed work should start
 
 
 def parse_objectives(objectives: Iterable[Objective]) -> Objectives:
-    """Sort the objectives of the deploy file by job class."""
+    """Group the objectives of the deploy file by job class."""
     parsed = Objectives()
     for objective in objectives:
         if objective.kind == GUARANTEE_KIND and objective.within_s:
--- a/umberward/scheduling/offer_selection.py
+++ b/umberward/scheduling/offer_selection.py
@@ -1,6 +1,6 @@
-"""Which kind of machine to request for a job: the cheapest that the cloud is likely to have. Pure.
+"""Selection of the cheapest offer for a job that the cloud is likely to have. Pure.
 
-Prices are those of the cloud's list, for an hour.
+Prices are hourly prices from the cloud's list.
 """
 
 from __future__ import annotations
@@ -15,15 +15,18 @@
 from umberward.scheduling.scheduler import Scheduler
 from umberward.scheduling.spot_policy import AffordableMachines
 
-PRICE_RATIO_MAX = 3.0  # up to so many times the lowest price, machines are requested at once
-AFFORDABLE_WAIT_SHARE = 0.3  # ... and more expensive ones after this share of the time to the start
-SPOT_LOSS_RATIO = 1.25  # a spot machine may be taken at any time, and its work is done again
+# Machines up to this multiple of the lowest price are requested at once, more expensive ones after
+# this share of the time in which the job should start.
+PRICE_RATIO_MAX = 3.0
+AFFORDABLE_WAIT_SHARE = 0.3
+# Factor on spot prices: the cloud may take a spot machine back, and lost work must be repeated.
+SPOT_LOSS_RATIO = 1.25
 
 NO_PAUSE = (Instant(0.0), 0.0)
 
 
 class OfferChoice(NamedTuple):
-    """An offer and how many tasks of the job one such machine takes."""
+    """An offer, and how many of the job's tasks fit one such machine."""
 
     offer: MachineOffer
     tasks_per_machine: int
@@ -36,7 +39,7 @@
 
 
 class OfferSelection:
-    """Chooses offers during one decision to scale out, and counts what is requested of each."""
+    """Chooses offers in one decision to scale out, and counts the machines requested of each."""
 
     def __init__(
         self,
@@ -45,26 +48,27 @@
         no_capacity_until: Mapping[MachineOffer, tuple[Instant, float]],
         now: Instant,
     ) -> None:
-        """`affordable`: the jobs that wait for spot machines; `no_capacity_until`: refused offers.
+        """`affordable`: the jobs that wait for affordable machines, with these.
 
-        The latter are not requested again before the given time of the leader's monotonic clock.
+        `no_capacity_until`: by refused offer, the time of the leader's monotonic clock before which
+        it is not requested again, and the pause in seconds.
         """
         self.scheduler = scheduler
         self.affordable = affordable
         self.no_capacity_until = no_capacity_until
         self.now = now
-        self.requested: dict[MachineOffer, int] = {}  # machines, in the order of the first request
+        self.requested: dict[MachineOffer, int] = {}  # machine counts, in order of first request
 
     def request(self, offer: MachineOffer, machine_count: int) -> None:
         """Count machines that are to be requested."""
         self.requested[offer] = self.requested.get(offer, 0) + machine_count
 
     def is_exhausted(self, offer: MachineOffer) -> bool:
-        """Tell whether no more machines of the offer can be requested in this decision."""
+        """Tell whether this decision has requested as many machines of the offer as allowed."""
         return self.requested.get(offer, 0) >= MAX_MACHINES_PER_REQUEST
 
     def is_available(self, offer: MachineOffer) -> bool:
-        """Tell whether the cloud has not refused the offer lately."""
+        """Tell whether the offer is not paused after a refusal by the cloud."""
         until, _ = self.no_capacity_until.get(offer, NO_PAUSE)
         return until <= self.now
 
@@ -73,13 +77,13 @@
     ) -> OfferChoice | None:
         """Return the offer with the lowest price per task; None: none may be requested now.
 
-        `zone`: the one in which it has to be; None: any.
+        `zone`: the required zone; None: any.
         """
         max_task_price = self._max_task_price(job)
         best: tuple[float, OfferChoice] | None = None
         for offer, price, tasks_per_machine in self._priced_offers(job, zone):
             if price / tasks_per_machine > max_task_price:
-                continue  # the job waits for cheaper room while it has time
+                continue  # the job can still wait for cheaper room
             cost = price * math.ceil(task_count / tasks_per_machine) / task_count
             if best is None or cost < best[0]:
                 best = (cost, OfferChoice(offer, tasks_per_machine))
@@ -100,19 +104,19 @@
                 yield _PricedOffer(offer, price, tasks_per_machine)
 
     def _max_task_price(self, job: Job) -> float:
-        """Return the highest price of one task for an hour that the job's urgency justifies."""
+        """Return the highest hourly price per task that the job's urgency justifies."""
         scheduler = self.scheduler
         waited_s = scheduler.wall_clock() - job.ready_at
-        patience_s = AFFORDABLE_WAIT_SHARE * (scheduler.start_by(job) - job.ready_at)
+        price_limited_s = AFFORDABLE_WAIT_SHARE * (scheduler.start_by(job) - job.ready_at)
         max_price = math.inf
-        if waited_s <= patience_s:
-            max_price = PRICE_RATIO_MAX * self._lowest_ordinary_price(job)
+        if waited_s <= price_limited_s:
+            max_price = PRICE_RATIO_MAX * self._lowest_on_demand_price(job)
         if job.id in self.affordable:
             max_price = min(max_price, self.affordable[job.id].max_task_price)
         return max_price
 
-    def _lowest_ordinary_price(self, job: Job) -> float:
-        """Return the lowest price without spot machines for which a task of the job could run."""
+    def _lowest_on_demand_price(self, job: Job) -> float:
+        """Return the lowest hourly price per task of the job on on-demand machines."""
         lowest = math.inf
         for machine_type in self.scheduler.machine_types.values():
             tasks_per_machine = job.need.count_within(machine_type.capacity)
@@ -130,7 +134,7 @@
 
 
 def _effective_price(machine_type: MachineType, *, spot: bool) -> float | None:
-    """Return the hourly price, with what is lost on spot machines; None: there is no such offer."""
+    """Return the hourly price, raised for losses on spot machines; None: there is no such offer."""
     if not spot:
         return machine_type.hourly_price
     if machine_type.spot_price is None:
--- a/umberward/scheduling/placement_pass.py
+++ b/umberward/scheduling/placement_pass.py
@@ -1,7 +1,7 @@
 """The scheduling pass: one walk over the waiting jobs that places tasks on machines. No I/O.
 
-Each job takes free room by best fit, then room that is cleared for it by preemption. A placement
-is decided here and its start is sent once its intent is stored (docs/design.md, "Safety").
+Each job gets free room by best fit, then room that preemption clears for it. This module decides
+placements; a start command is sent once its intent is stored (docs/design.md, "Safety").
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from umberward.scheduling.consolidation import Consolidation
 from umberward.scheduling.gang_reservation import GangReservations
 from umberward.scheduling.jobs import Job, Placement
-from umberward.scheduling.machine_selection import Candidates, choose_machines
+from umberward.scheduling.machine_selection import CandidateMachines, choose_machines
 from umberward.scheduling.machines import Machine
 from umberward.scheduling.preemptable_work import PreemptableWork
 from umberward.scheduling.preemption import Preemption
@@ -37,36 +37,36 @@
 
 log = logger(__name__)
 
-MAX_FAILED_PASS_PAUSE_S = 30.0  # longest pause of a job whose placing fails, until the next try
-ATTEMPT_NUMBER_BITS = 20  # of an attempt's number; the bits above are the term's fencing token
+MAX_PLACEMENT_RETRY_DELAY_S = 30.0  # longest delay before retrying a job whose placement raised
+ATTEMPT_COUNTER_BITS = 20  # low bits of an attempt number; the high bits are the fencing token
 
 
 class SearchKind(NamedTuple):
-    """What decides whether a search finds room: jobs of one kind find the same."""
+    """The properties that decide whether a search finds room: equal for jobs of one kind."""
 
     placement_class: Hashable
     long_running: bool
-    has_barred: bool
-    has_denied: bool
+    has_restricted: bool
+    has_reserved_for_others: bool
     any_price: bool
-    widening: int = 0  # how far the search has been widened to machines kept for other work
+    widening: int = 0  # 1: also machines that could run accelerated work; 2: headroom machines too
 
 
 @dataclass
 class PassState:
-    """What the jobs of one pass share."""
+    """The state that the jobs of one pass share."""
 
-    usable: list[Machine]
-    free: dict[MachineId, Resources]  # by machine; lowered with each task placed
-    with_room: list[Machine]  # the usable machines with room for the least that any job takes
+    schedulable_machines: list[Machine]
+    free: dict[MachineId, Resources]  # reduced by each task placed
+    with_room: list[Machine]  # those with room for the smallest need of any waiting job
     with_room_ids: set[MachineId]
     unlocated_usage: dict[TeamName, Resources]
-    headroom_machines: set[MachineId]  # kept open for accelerated work
-    headroom_candidates: set[MachineId]  # all that could run such work
-    preemptable: PreemptableWork | None  # None: no preemption in this pass
-    affordable: dict[JobId, AffordableMachines]  # of the jobs that wait for spot machines
-    # Kinds of jobs for which nothing is left in this pass: thousands of tasks may wait.
-    exhausted: set[SearchKind] = field(default_factory=set)
+    headroom_machines: set[MachineId]  # kept free for accelerated work
+    headroom_candidates: set[MachineId]  # all machines that could run accelerated work
+    preemptable: PreemptableWork | None  # None: this pass does not preempt
+    affordable: dict[JobId, AffordableMachines]  # for the jobs that wait for affordable machines
+    # Kinds of jobs that found no room in this pass; not searched again, as thousands may wait.
+    kinds_without_room: set[SearchKind] = field(default_factory=set)
 
 
 @dataclass(slots=True)
@@ -75,21 +75,21 @@
 
     job: Job
     count: int  # tasks to place
-    reserved: set[MachineId]  # machines on which room was cleared for the job
+    reserved: set[MachineId]  # machines on which room is cleared for the job
     machines: list[Machine]
-    barred: set[MachineId]  # machines of which only what accelerated work leaves may be used
+    restricted: set[MachineId]  # machines on which the job must leave the headroom free
     kind: SearchKind
     chosen: list[MachineId] = field(default_factory=list)
-    clearing: int = 0  # tasks for which room is being cleared
+    clearing: int = 0  # tasks whose room is being cleared by preemption
 
     @property
     def missing(self) -> int:
-        """How many tasks have neither a machine nor room on its way."""
+        """The number of tasks that have no machine and no room being cleared."""
         return self.count - len(self.chosen) - self.clearing
 
 
 class PlacementPass:
-    """Places the waiting jobs, in the order of service."""
+    """Places the waiting jobs in service order."""
 
     def __init__(
         self,
@@ -99,7 +99,7 @@
         preemption: Preemption,
         consolidation: Consolidation,
     ) -> None:
-        """Tie the parts that a pass consults; room for gangs is reserved here alone."""
+        """Store the collaborators; gang reservations and replica moves belong to the pass alone."""
         self.cluster = cluster
         self.job_order = job_order
         self.unlocated_tasks = unlocated_tasks
@@ -107,10 +107,10 @@
         self.consolidation = consolidation
         self.gang_reservations = GangReservations(cluster)
         self.replica_moves = ReplicaMoves(cluster, preemption, cluster.now)
-        self.attempt_count = 0  # attempts numbered in this term
+        self.attempt_count = 0  # attempt numbers issued in this term
 
     def run(self, now: Instant) -> None:
-        """Place what can be placed; `now` is the leader's monotonic clock."""
+        """Place every job that has room; `now` is the leader's monotonic clock."""
         cluster = self.cluster
         cluster.pass_wanted = False
         if not cluster.loaded:
@@ -120,9 +120,11 @@
             try:
                 self.place_job(job, state, now)
             except Exception:
-                # The others are served all the same, and it is tried again.
+                # One failing job must not block the others; it is retried with a growing delay.
                 job.failed_passes += 1
-                job.retry_not_before = now + min(MAX_FAILED_PASS_PAUSE_S, 2.0**job.failed_passes)
+                job.retry_not_before = now + min(
+                    MAX_PLACEMENT_RETRY_DELAY_S, 2.0**job.failed_passes
+                )
                 log.exception("job_not_placed", job=job.id, again_s=job.retry_not_before - now)
         self.preemption.denied_machines = set()
         if not cluster.reconciliation_completed:
@@ -131,12 +133,12 @@
             self.replica_moves.move_replicas(
                 state.headroom_machines, state.headroom_candidates, state.preemptable
             )
-        self.consolidation.consolidate(state.headroom_machines, state.usable, now)
+        self.consolidation.consolidate(state.headroom_machines, state.schedulable_machines, now)
 
     def _prepare(self, now: Instant) -> tuple[list[Job], PassState]:
-        """Return the waiting jobs in the order of service, and what they share."""
+        """Return the waiting jobs in service order, and the state that they share."""
         cluster = self.cluster
-        usable, free = cluster.schedulable_room()
+        schedulable_machines, free = cluster.schedulable_room()
         unlocated_usage = self.unlocated_tasks.usage_by_team()
         if cluster.standings_outdated:
             self.job_order.update_standings()
@@ -147,10 +149,10 @@
         headroom_machines, candidates = cluster.headroom.select_machines(by_offer, free)
         cluster.headroom_machines = headroom_machines
         self.gang_reservations.update(waiting, free, now)
-        with_room = machines_with_room(usable, free, waiting)
+        with_room = machines_with_room(schedulable_machines, free, waiting)
         machine_counts = {offer: len(machines) for offer, machines in by_offer.items()}
         return waiting, PassState(
-            usable=usable,
+            schedulable_machines=schedulable_machines,
             free=free,
             with_room=with_room,
             with_room_ids={machine.id for machine in with_room},
@@ -158,15 +160,15 @@
             headroom_machines=headroom_machines,
             headroom_candidates=candidates,
             preemptable=(
-                PreemptableWork(cluster, usable, free, now)
-                if self.preemption.is_due(waiting, now)
+                PreemptableWork(cluster, schedulable_machines, free, now)
+                if self.preemption.start_search_if_due(waiting, now)
                 else None
             ),
             affordable=jobs_limited_to_affordable(cluster, waiting, machine_counts),
         )
 
     def place_job(self, job: Job, state: PassState, now: Instant) -> None:
-        """Place the job's startable tasks as far as there is room, a gang whole or not at all."""
+        """Place as many startable tasks of the job as have room; a gang whole or not at all."""
         count = self._count_to_place(job, state)
         if not count:
             return
@@ -178,7 +180,7 @@
         all_placed = len(search.chosen) == count
         used = reserved if all_placed else reserved.intersection(search.chosen)
         self.preemption.reservations.return_unused(used, reserved, state.free)
-        self._start(job, search.chosen, state.free, now)
+        self._place_tasks(job, search.chosen, state.free, now)
         if job.need.accelerators > 0 and search.chosen:
             cluster = self.cluster
             state.headroom_machines, state.headroom_candidates = cluster.headroom.select_machines(
@@ -187,14 +189,14 @@
             cluster.headroom_machines = state.headroom_machines
 
     def _count_to_place(self, job: Job, state: PassState) -> int:
-        """Return how many tasks to place now, within the team's limit; a gang: all or none."""
+        """Return how many tasks to place now within the team's quota; all or none for a gang."""
         unlocated_usage = state.unlocated_usage.get(job.team, NO_RESOURCES)
         quota = self.cluster.quota.tasks_within_limit(job.team, job.need, unlocated_usage)
         count = max(0, min(job.startable_count(), quota))
         if job.gang and (count < job.size or job.placements or job.unlocated_tasks):
             return 0
         if count and job.faulty:
-            # One try at a time, in room that happens to be free; nothing is preempted for it.
+            # Faulty jobs run one attempt at a time, in free room only: nothing is preempted.
             if job.placements:
                 return 0
             return job.size if job.gang else 1
@@ -203,48 +205,52 @@
     def _new_search(
         self, job: Job, count: int, reserved: set[MachineId], state: PassState
     ) -> JobSearch:
-        # What was cleared for the job counts as full for all others.
+        # Room that is reserved for this job counts as used for all others, also in `with_room`.
         machines = state.with_room
         if reserved:
             with_room_ids = state.with_room_ids
-            machines = [m for m in state.usable if m.id in reserved or m.id in with_room_ids]
-        denied = self.preemption.denied_machines = self.gang_reservations.denied_machines(job)
-        if denied:
-            machines = [m for m in machines if m.id not in denied]
-        # Replicas stay long: they take accelerated machines only if nothing else is left.
+            machines = [
+                m for m in state.schedulable_machines if m.id in reserved or m.id in with_room_ids
+            ]
+        reserved_for_others = self.preemption.denied_machines = (
+            self.gang_reservations.denied_machines(job)
+        )
+        if reserved_for_others:
+            machines = [m for m in machines if m.id not in reserved_for_others]
+        # Replicas run indefinitely: they use accelerated machines only as a last resort.
         long_running = job.service and job.need.accelerators <= 0
-        open_machines = state.headroom_candidates if long_running else state.headroom_machines
-        barred = self.cluster.barred_machines(job, open_machines) - reserved
+        candidates = state.headroom_candidates if long_running else state.headroom_machines
+        restricted = self.cluster.barred_machines(job, candidates) - reserved
         kind = SearchKind(
             job.placement_class,
             long_running,
-            bool(barred),
-            bool(denied),
+            bool(restricted),
+            bool(reserved_for_others),
             job.id not in state.affordable,
         )
-        return JobSearch(job, count, reserved, machines, barred, kind)
+        return JobSearch(job, count, reserved, machines, restricted, kind)
 
     def _find_machines(self, search: JobSearch, state: PassState) -> None:
-        """Choose machines: free room first, then by preemption, then machines kept for others."""
+        """Choose machines: free room, then preemption, then machines kept for other work."""
         job, preemptable = search.job, state.preemptable
         room = self._usable_room(search, state)
         if search.kind.long_running:
             self._count_room_being_cleared(search, state)
         if search.clearing < search.count:
-            self._choose(search, search.kind, room, search.barred, state)
+            self._choose_machines(search, search.kind, room, search.restricted, state)
         if search.missing > 0 and preemptable is not None:
             search.clearing += self.preemption.preempt(
                 job, search.missing, preemptable, search.reserved
             )
         if search.kind.long_running:
             widened = (state.headroom_machines - search.reserved, set[MachineId]())
-            for widening, barred in enumerate(widened, start=1):
+            for widening, restricted in enumerate(widened, start=1):
                 if search.missing > 0:
                     kind = search.kind._replace(widening=widening)
-                    self._choose(search, kind, state.free, barred, state)
+                    self._choose_machines(search, kind, state.free, restricted, state)
 
     def _usable_room(self, search: JobSearch, state: PassState) -> dict[MachineId, Resources]:
-        """Return the room by machine that the job may use; less where others are too expensive."""
+        """Return the room that the job may use on each machine; less on unaffordable machines."""
         affordable = state.affordable.get(search.job.id)
         if affordable is None:
             return state.free
@@ -259,7 +265,7 @@
         }
 
     def _count_room_being_cleared(self, search: JobSearch, state: PassState) -> None:
-        """Replicas wait for the room that is being cleared for them: it is free in a moment."""
+        """Count the replicas whose room is being cleared: it is free soon, so they wait for it."""
         job, free = search.job, state.free
         search.clearing = sum(
             1
@@ -267,7 +273,7 @@
             if machine_id in free and not job.need.fits(free[machine_id])
         )
         if state.preemptable is not None and self.preemption.needs_cached_image(job):
-            search.clearing += self.preemption.preempt_near_image(
+            search.clearing += self.preemption.preempt_where_image_cached(
                 job,
                 search.count - search.clearing,
                 search.machines,
@@ -275,36 +281,36 @@
                 state.headroom_candidates,
             )
 
-    def _choose(
+    def _choose_machines(
         self,
         search: JobSearch,
         kind: SearchKind,
         room: dict[MachineId, Resources],
-        barred: set[MachineId],
+        restricted: set[MachineId],
         state: PassState,
     ) -> None:
-        """Search for room, unless a job of the same kind has found none in this pass."""
+        """Choose machines, unless a job of the same kind found no room in this pass."""
         job = search.job
-        if not search.reserved and kind in state.exhausted:
+        if not search.reserved and kind in state.kinds_without_room:
             return
         search.chosen = choose_machines(
             self.cluster,
             job,
             search.count - search.clearing,
-            Candidates(search.machines, room, barred),
-            prefer=search.reserved,
+            CandidateMachines(search.machines, room, restricted),
+            preferred=search.reserved,
         )
         if not search.chosen and not search.reserved and job.interchangeable:
-            state.exhausted.add(kind)
+            state.kinds_without_room.add(kind)
 
-    def _start(
+    def _place_tasks(
         self, job: Job, chosen: list[MachineId], free: dict[MachineId, Resources], now: Instant
     ) -> None:
-        """Place one task on each chosen machine, all under one attempt number."""
+        """Place one task per chosen machine, all with the same attempt number."""
         if not chosen:
             return
         self.attempt_count += 1
-        attempt = Attempt((self.cluster.term_token << ATTEMPT_NUMBER_BITS) + self.attempt_count)
+        attempt = Attempt((self.cluster.term_token << ATTEMPT_COUNTER_BITS) + self.attempt_count)
         for index, machine_id in self._assign_tasks(job, chosen):
             machine = self.cluster.machines[machine_id]
             task = TaskId(job.id, index)
@@ -318,9 +324,9 @@
                 self.cluster.send_start(placement)
 
     def _assign_tasks(self, job: Job, chosen: list[MachineId]) -> list[tuple[int, MachineId]]:
-        """Return pairs of task index and machine; tasks left over are queued again.
+        """Return pairs of task index and machine; requeue the tasks that get no machine.
 
-        A worker refuses a task whose previous attempt it still lists, so such a pair is avoided.
+        A worker refuses a task whose previous attempt it still lists, so such pairs are avoided.
         """
         unassigned = [job.take_task() for _ in chosen]
         assigned: list[tuple[int, MachineId]] = []
@@ -333,7 +339,7 @@
                     assigned.append((index, machine_id))
                     break
         if job.gang and unassigned:
-            # One task would be refused where its last attempt is still listed: not without it.
+            # A worker would refuse one of the tasks, and a gang does not start without all.
             unassigned += [index for index, _ in assigned]
             assigned = []
         for index in unassigned:
--- a/umberward/scheduling/preemption.py
+++ b/umberward/scheduling/preemption.py
@@ -1,6 +1,6 @@
-"""Preemption: work of a lower standing is stopped to make room for a job. No I/O.
+"""Preemption: work of lower standing is stopped to make room for a job. No I/O.
 
-The room is reserved for the job until its victims are off the machine.
+The room is reserved for the job until the victims have left the machine.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from umberward.scheduling.gang_preemption import plan_gang
 from umberward.scheduling.jobs import Job, Placement
 from umberward.scheduling.machine_selection import (
-    Candidates,
+    CandidateMachines,
     choose_machines,
     max_tasks_per_zone,
 )
@@ -25,13 +25,13 @@
 
 log = logger(__name__)
 
-PREEMPT_INTERVAL_S = 0.1  # the search examines all that runs: not in every pass
-MAX_PREEMPTIONS_PER_PASS = 16  # machines that are cleared for one job at once
-PREEMPT_PAUSE_S = 1.5  # a job does not preempt again before its last victims are gone
+PREEMPT_INTERVAL_S = 0.1  # between searches, as each one examines all running tasks
+MAX_MACHINES_CLEARED_PER_PASS = 16  # for one job
+PREEMPT_PAUSE_S = 1.5  # between preemptions for one job: by then its last victims are gone
 
 
 class _MachinePlan(NamedTuple):
-    """What clearing room for one task on a machine takes; sorted by the first three fields."""
+    """The victims that clear room for one task on a machine; sorted by the first three fields."""
 
     image_missing: bool
     cost: VictimCost
@@ -40,20 +40,20 @@
 
 
 class Preemption:
-    """Decides what to preempt for a job, stops it, and reserves the room."""
+    """Selects victims for a job, stops them, and reserves the room."""
 
     def __init__(self, cluster: ClusterState, now: Instant) -> None:
         """Allow a first search at `now`, a time of the leader's monotonic clock."""
         self.cluster = cluster
         self.reservations = RoomReservations(cluster)
-        # Machines that the job being placed may not use, as they are held back for gangs.
+        # Machines that the job being placed may not use: they are reserved for other gangs.
         self.denied_machines: set[MachineId] = set()
         self.preempt_not_before = now
 
-    def is_due(self, waiting: list[Job], now: Instant) -> bool:
-        """Tell whether to search in this pass; if so, the next search waits for its interval.
+    def start_search_if_due(self, waiting: list[Job], now: Instant) -> bool:
+        """Tell whether to search in this pass; if so, delay the next search by the interval.
 
-        Replicas that need their image at once are reason enough for a search.
+        Replicas that need a cached image to start in time cause a search before that.
         """
         if now < self.preempt_not_before and not any(
             job.service and self.needs_cached_image(job) for job in waiting
@@ -67,30 +67,28 @@
         job: Job,
         count: int,
         work: PreemptableWork,
-        barred: set[MachineId],
+        excluded: set[MachineId],
         *,
-        near_image: bool = False,
-        leaving: Placement | None = None,
+        image_cached_only: bool = False,
+        ending: Placement | None = None,
     ) -> int:
-        """Make room for up to `count` tasks; return for how many room is being cleared.
+        """Clear room for up to `count` tasks; return for how many room is being cleared.
 
-        `barred` machines are not cleared; with `near_image` only those that have the job's image
-        are. `leaving` is a placement of the job that is about to end.
+        `excluded`: machines that are not cleared. `image_cached_only`: clear only machines with the
+        job's image. `ending`: a placement of the job that is about to end.
         """
         if not self._may_preempt_now(job, work.now):
             return 0
         if job.gang and job.size > 1:
             return self._preempt_for_gang(job, work)
         kind = (job.placement_class, job.standing, job.priority, frozenset(self.denied_machines))
-        if job.interchangeable and kind in work.exhausted:
+        if job.interchangeable and kind in work.kinds_without_victims:
             return 0
-        zones = [
-            placement.zone for placement in job.placements.values() if placement is not leaving
-        ]
-        plans = self._machine_plans(job, work, barred, zones, near_image=near_image)
+        zones = [placement.zone for placement in job.placements.values() if placement is not ending]
+        plans = self._machine_plans(job, work, excluded, zones, image_cached_only=image_cached_only)
         cleared = self._clear_machines(job, count, plans, zones, work.now)
-        if not cleared and job.interchangeable and not near_image:
-            work.exhausted.add(kind)
+        if not cleared and job.interchangeable and not image_cached_only:
+            work.kinds_without_victims.add(kind)
         return cleared
 
     def _may_preempt_now(self, job: Job, now: Instant) -> bool:
@@ -98,7 +96,7 @@
             return False
         if job.service or job.gang:
             return True
-        # An array waits at first: tasks end all the time, and the next free room is its anyway.
+        # Arrays wait first: tasks end all the time, and the next free room goes to this job.
         waited_s = self.cluster.wall_clock() - job.ready_at
         return waited_s >= self.cluster.preemption_delay(job)
 
@@ -106,12 +104,12 @@
         self,
         job: Job,
         work: PreemptableWork,
-        barred: set[MachineId],
+        excluded: set[MachineId],
         zones: list[ZoneName],
         *,
-        near_image: bool,
+        image_cached_only: bool,
     ) -> list[_MachinePlan]:
-        """Return the machines that can be cleared for one task each, the best first."""
+        """Return the machines that can be cleared for one task each, best first."""
         image = ImageName(job.spec.image)
         max_per_zone = max_tasks_per_zone(job)
         suitable = self.cluster.suitable_offers(job)
@@ -119,9 +117,9 @@
             _MachinePlan(image not in machine.images, plan.cost, machine_id, plan.victims)
             for machine_id, (machine, preemptable) in work.preemptable_room(job).items()
             if machine.offer in suitable
-            and (not near_image or image in machine.images)
+            and (not image_cached_only or image in machine.images)
             and machine_id not in self.reservations.by_machine
-            and machine_id not in barred
+            and machine_id not in excluded
             and machine_id not in self.denied_machines
             and (room := work.free.get(machine_id)) is not None
             and job.need.fits(room.plus(preemptable))
@@ -135,13 +133,13 @@
     def _clear_machines(
         self, job: Job, count: int, plans: list[_MachinePlan], zones: list[ZoneName], now: Instant
     ) -> int:
-        """Carry out the best plans; return how many."""
+        """Carry out the best plans; return how many were."""
         max_per_zone = max_tasks_per_zone(job)
         cleared = 0
         for plan in plans:
-            if cleared >= min(count, MAX_PREEMPTIONS_PER_PASS):
+            if cleared >= min(count, MAX_MACHINES_CLEARED_PER_PASS):
                 break
-            # Room in one zone is of no use beyond what the job may have there.
+            # The job cannot use more room in this zone than its limit per zone.
             zone = self.cluster.machines[plan.machine_id].zone
             if zones.count(zone) >= max_per_zone or any(
                 victim.stop_grace_s is not None for victim in plan.victims
@@ -153,8 +151,8 @@
         return cleared
 
     def _preempt_for_gang(self, job: Job, work: PreemptableWork) -> int:
-        """Clear room for all of the gang, or none."""
-        # Where one gang finds no room, no other of its kind does in this pass.
+        """Clear room for the whole gang, or none; return the number of its tasks."""
+        # If one gang finds no room, no other of its kind does in this pass.
         kind = (
             job.placement_class,
             job.standing,
@@ -163,11 +161,11 @@
             job.spec.same_zone,
             frozenset(self.denied_machines),
         )
-        if kind in work.exhausted:
+        if kind in work.kinds_without_victims:
             return 0
         steps = plan_gang(self.cluster, job, work, self.reservations, self.denied_machines)
         if not steps:
-            work.exhausted.add(kind)
+            work.kinds_without_victims.add(kind)
             return 0
         missing_tasks = job.size
         for step in steps:
@@ -184,7 +182,7 @@
         victims: list[Placement],
         now: Instant,
     ) -> None:
-        """Stop the victims, and reserve room for so many of the job's tasks."""
+        """Stop the victims and reserve room for `task_count` of the job's tasks."""
         self.reservations.add(job, machine_id, task_count, now)
         job.preempted_at = now
         for victim in victims:
@@ -192,8 +190,8 @@
             grace_s = 0.0
             if owner is not None and not job.service:
                 grace_s = owner.spec.checkpoint_cost_s
-            log.debug("stopping", task=victim.task, machine=machine_id, for_job=job.id)
-            # A gang saves a checkpoint only if all its tasks are told in time.
+            log.debug("preempting_task", task=victim.task, machine=machine_id, for_job=job.id)
+            # A gang saves a checkpoint only if all its tasks get the stop command in time.
             whole_gang = owner.placements.values() if owner is not None and owner.gang else [victim]
             for placement in list(whole_gang):
                 self.cluster.stop(placement, grace_s)
@@ -201,32 +199,32 @@
             log.info("tasks_preempted", tasks=len(victims), machine=machine_id, for_job=job.id)
 
     def reserve(self, job: Job, machine_id: MachineId, now: Instant) -> None:
-        """Keep free room for one of the job's tasks that is about to move there."""
+        """Reserve free room for one of the job's tasks that is about to move there."""
         self._preempt_and_reserve(job, machine_id, 1, [], now)
 
     # ---- replicas that need their image --------------------------------------------------
 
     def needs_cached_image(self, job: Job) -> bool:
-        """Tell whether the job's tasks would start too late if their image had to be pulled."""
+        """Tell whether the job can still start in time, but not if it had to pull its image."""
         start_within_s, _ = self.cluster.class_aims.get(job.spec.job_class, NO_AIM)
         if start_within_s is None:
             return False
         left_s = start_within_s - (self.cluster.wall_clock() - job.ready_at)
         return 0.0 < left_s < self.cluster.slowest_image_pull_s(job)
 
-    def preempt_near_image(
+    def preempt_where_image_cached(
         self,
         job: Job,
         count: int,
         machines: list[Machine],
         work: PreemptableWork,
-        barred: set[MachineId],
+        excluded: set[MachineId],
     ) -> int:
-        """Clear room for replicas where their image is, if too little is free there."""
+        """Clear room for replicas on machines that cache their image, if too little is free."""
         image = ImageName(job.spec.image)
         near = [machine for machine in machines if image in machine.images]
-        free = Candidates(near, work.free, barred)
+        free = CandidateMachines(near, work.free, excluded)
         missing_tasks = count - len(choose_machines(self.cluster, job, count, free))
         if missing_tasks <= 0:
             return 0
-        return self.preempt(job, missing_tasks, work, barred, near_image=True)
+        return self.preempt(job, missing_tasks, work, excluded, image_cached_only=True)
--- a/umberward/scheduling/preemption_key.py
+++ b/umberward/scheduling/preemption_key.py
@@ -6,10 +6,10 @@
 
 
 class PreemptionKey(NamedTuple):
-    """Everything about a job that decides which other work may preempt its tasks.
+    """The properties of a job that decide which work may preempt which.
 
-    `accelerated`: whether its tasks use accelerators; `standing`: the order of service, the
-    smaller the earlier: 0 or 1 for work within or beyond its team's guarantee, then the priority.
+    `accelerated`: whether its tasks use accelerators. `standing`: its place in the service order,
+    smallest first: 0 for work within its team's guarantee, 1 beyond it, then the priority.
     """
 
     accelerated: bool
@@ -17,12 +17,13 @@
     standing: tuple[int, int]
 
 
-def may_preempt(mine: PreemptionKey, other: PreemptionKey) -> bool:
-    """Whether work with the key `mine` may stop work with the key `other`."""
-    # Accelerated work is never stopped for ordinary work, whatever their standing. Therefore it
-    # may stop ordinary work of lower priority, and the two cannot stop each other in turn.
-    if mine.accelerated != other.accelerated:
-        return mine.accelerated and (
-            other.priority > mine.priority or other.standing > mine.standing
+def may_preempt(preemptor: PreemptionKey, victim: PreemptionKey) -> bool:
+    """Tell whether work with the key `preemptor` may stop work with the key `victim`."""
+    # Ordinary work never preempts accelerated work, whatever their standings. So accelerated work
+    # may preempt ordinary work of lower priority as well, and the two cannot preempt each other in
+    # turn.
+    if preemptor.accelerated != victim.accelerated:
+        return preemptor.accelerated and (
+            victim.priority > preemptor.priority or victim.standing > preemptor.standing
         )
-    return other.standing > mine.standing
+    return victim.standing > preemptor.standing
--- a/umberward/scheduling/replica_moves.py
+++ b/umberward/scheduling/replica_moves.py
@@ -1,6 +1,6 @@
-"""Replicas that keep accelerated work off a machine are moved elsewhere. No I/O.
+"""Moves of replicas off machines on which they block accelerated work. No I/O.
 
-Replicas never end by themselves, so nothing else would ever free the room.
+Replicas never end by themselves, so nothing else would free the room.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from umberward.core.types import ImageName, Instant, MachineId
 from umberward.scheduling.cluster_state import ClusterState
 from umberward.scheduling.jobs import Job, Placement
-from umberward.scheduling.machine_selection import Candidates, choose_machines
+from umberward.scheduling.machine_selection import CandidateMachines, choose_machines
 from umberward.scheduling.machines import Machine
 from umberward.scheduling.preemptable_work import PreemptableWork
 from umberward.scheduling.preemption import PREEMPT_PAUSE_S, Preemption
@@ -18,12 +18,12 @@
 log = logger(__name__)
 
 MOVE_INTERVAL_S = 1.0
-MAX_MOVES_PER_PASS = 8  # replicas that are examined each time: few are away at any moment
-MIN_REPLICA_RUN_S = 35.0  # a start counts for its user if the replica then stays for 30 s
+MAX_REPLICAS_EXAMINED = 8  # per interval, so that few replicas are down at once
+MIN_REPLICA_RUN_S = 35.0  # a start counts for the user if the replica then runs for 30 s
 
 
 class ReplicaMoves:
-    """Moves replicas off the machines that are kept for accelerated work."""
+    """Moves replicas off the machines that are kept free for accelerated work."""
 
     def __init__(self, cluster: ClusterState, preemption: Preemption, now: Instant) -> None:
         """Allow the first moves at `now`, a time of the leader's monotonic clock."""
@@ -34,11 +34,11 @@
     def move_replicas(
         self, headroom_machines: set[MachineId], candidates: set[MachineId], work: PreemptableWork
     ) -> None:
-        """Free the machines kept for accelerated work that have too little room for it.
+        """Make room on the headroom machines that have too little for accelerated work.
 
         `candidates`: all machines that could run such work; replicas do not move there. A replica
-        is stopped only when there is room for it elsewhere, with its image, so that it is away for
-        a moment only; and not when it has just started, for its user's sake.
+        is stopped only if there is room on another machine with its image, so that its downtime is
+        short, and not when it has just started, as the start would not count for its user.
         """
         now = work.now
         if now < self.move_not_before:
@@ -48,16 +48,16 @@
         if not blocked:
             return
         replicas = [job for job in self.cluster.jobs.values() if job.service]
-        with_room = machines_with_room(work.usable, work.free, replicas)
+        with_room = machines_with_room(work.schedulable_machines, work.free, replicas)
         examined = 0
         for machine in blocked:
             placements = list(machine.placements.values())
-            # Those that find no room must not hide the others.
+            # In random order, so that replicas without a target do not always come first.
             self.cluster.rng.shuffle(placements)
             for placement in placements:
                 job = self.cluster.jobs.get(placement.task.job)
                 if (
-                    examined >= MAX_MOVES_PER_PASS
+                    examined >= MAX_REPLICAS_EXAMINED
                     or job is None
                     or not _may_move(job, placement, now)
                 ):
@@ -70,11 +70,11 @@
     def _blocked_machines(
         self, headroom_machines: set[MachineId], work: PreemptableWork
     ) -> list[Machine]:
-        """Return the kept machines without room for an accelerated task, the emptiest first."""
+        """Return the headroom machines without room for an accelerated task, emptiest first."""
         need = self.cluster.headroom.largest_need
         blocked = [
             machine
-            for machine in work.usable
+            for machine in work.schedulable_machines
             if machine.id in headroom_machines and not need.fits(work.free[machine.id])
         ]
         blocked.sort(key=lambda machine: (machine.allocated.cores, machine.id))
@@ -88,19 +88,19 @@
         candidates: set[MachineId],
         work: PreemptableWork,
     ) -> bool:
-        """Reserve room for the replica near its image, or clear some; tell whether there is any."""
+        """Reserve or clear room on a machine with the replica's image; False: there is none."""
         image = ImageName(job.spec.image)
         machines = [m for m in with_room if m.id not in candidates and image in m.images]
         chosen = [
             machine_id
             for machine_id in choose_machines(
-                self.cluster, job, 1, Candidates(machines, work.free), leaving=placement
+                self.cluster, job, 1, CandidateMachines(machines, work.free), ending=placement
             )
             if machine_id not in self.preemption.reservations
         ]
         if not chosen:
             cleared = self.preemption.preempt(
-                job, 1, work, candidates, near_image=True, leaving=placement
+                job, 1, work, candidates, image_cached_only=True, ending=placement
             )
             return cleared > 0
         target = chosen[0]
@@ -110,7 +110,7 @@
 
 
 def _may_move(job: Job, placement: Placement, now: Instant) -> bool:
-    """Tell whether the replica runs for long enough and nothing else is under way for its job."""
+    """Tell whether the replica has run for long enough and its job has no other change pending."""
     return (
         job.service
         and not job.requeued_tasks
--- a/umberward/scheduling/room_reservation.py
+++ b/umberward/scheduling/room_reservation.py
@@ -1,4 +1,4 @@
-"""Room that is kept on a machine for one job while it is cleared. No I/O."""
+"""Reservations of room that is being cleared for a job. No I/O."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from umberward.scheduling.cluster_state import ClusterState
 from umberward.scheduling.jobs import Job
 
-RESERVATION_S = 12.0  # how long cleared room is kept
+RESERVATION_S = 12.0  # lifetime of a reservation
 
 
 class Reservation(NamedTuple):
-    """Room on a machine that is being cleared for a job."""
+    """Room on a machine that is reserved for a job."""
 
     job_id: JobId
     room: Resources
@@ -23,7 +23,7 @@
     """The reservations by machine, at most one on each."""
 
     def __init__(self, cluster: ClusterState) -> None:
-        """Start without any; `cluster` tells which jobs are live."""
+        """Start without reservations; `cluster` has the live jobs."""
         self.cluster = cluster
         self.by_machine: dict[MachineId, Reservation] = {}
 
@@ -32,14 +32,14 @@
         return machine_id in self.by_machine
 
     def add(self, job: Job, machine_id: MachineId, task_count: int, now: Instant) -> None:
-        """Reserve room for so many of the job's tasks."""
+        """Reserve room for `task_count` of the job's tasks, instead of any earlier reservation."""
         room = NO_RESOURCES.plus(job.need, task_count)
         self.by_machine[machine_id] = Reservation(job.id, room, Instant(now + RESERVATION_S))
 
     def subtract(self, free: dict[MachineId, Resources], now: Instant) -> None:
-        """Take reserved room out of what is free: the victims would come back first.
+        """Subtract reserved room from `free`, or the victims would be placed there again.
 
-        Reservations that are over are dropped.
+        Expired reservations and those of jobs that have ended are dropped.
         """
         for machine_id, reservation in list(self.by_machine.items()):
             if reservation.until < now or reservation.job_id not in self.cluster.jobs:
@@ -48,9 +48,9 @@
                 free[machine_id] = free[machine_id].minus(reservation.room)
 
     def grant(self, job: Job, free: dict[MachineId, Resources]) -> set[MachineId]:
-        """Add the job's reserved room to what is free; return its machines.
+        """Add the job's reserved room to `free`; return the machines.
 
-        That room counts for the job everywhere, else it would clear the machines again.
+        The room counts as free for this job, or it would clear the machines again.
         """
         granted = {
             machine_id
@@ -65,7 +65,7 @@
     def return_unused(
         self, used: set[MachineId], granted: set[MachineId], free: dict[MachineId, Resources]
     ) -> None:
-        """Keep for the job what it did not use, and drop the reservations that it has used."""
+        """Drop the used reservations, and subtract the unused ones from `free` again."""
         for machine_id in granted:
             if machine_id in used:
                 del self.by_machine[machine_id]
--- a/umberward/scheduling/scale_in.py
+++ b/umberward/scheduling/scale_in.py
@@ -1,4 +1,4 @@
-"""Which machines to return to the cloud, as nothing needs them. Pure."""
+"""Which machines to return to the cloud because nothing needs them. Pure."""
 
 from __future__ import annotations
 
@@ -14,39 +14,39 @@
 def unneeded_machines(
     scheduler: Scheduler, affordable: Mapping[JobId, AffordableMachines], now: Instant
 ) -> list[Machine]:
-    """Return the machines that have been empty for long, and those quarantined for their faults.
+    """Return the machines that have been idle for long, and empty quarantined ones that are faulty.
 
-    `affordable`: the jobs that wait for spot machines. None is returned before each machine's tasks
-    are known.
+    `affordable`: the jobs that wait for affordable machines. The result is empty until
+    reconciliation is complete, so that the tasks of every machine are known.
     """
     if not scheduler.reconciliation_completed:
         return []
-    # Jobs of one class need the same: one of them stands for all.
+    # Jobs of one placement class have equal needs: keep one for each class.
     waiting = {
         (job.placement_class, job.id in affordable): job
         for job, _ in scheduler.jobs_without_room(now)
     }.values()
     headroom = scheduler.headroom
-    kept_for_headroom = headroom.open_task_count() if scheduler.operator.rent_spare > 0 else 0
-    found = []
+    kept_for_headroom = headroom.spare_task_count() if scheduler.operator.rent_spare > 0 else 0
+    unneeded = []
     for machine in scheduler.machines.values():
         if not _is_empty(scheduler, machine):
             continue
         if machine.quarantined:
-            # Others may still exonerate it: a faulty job fails in the same way.
+            # A faulty job fails in the same way, so other machines may still exonerate this one.
             if scheduler.failure_attribution.machine_is_faulty(machine, now):
-                found.append(machine)
-        elif kept_for_headroom > 0 and headroom.could_run(*machine.offer):
-            kept_for_headroom -= 1  # it would be requested again
+                unneeded.append(machine)
+        elif kept_for_headroom > 0 and headroom.could_run_accelerated(*machine.offer):
+            kept_for_headroom -= 1  # else it would be requested again
         elif _is_idle_for_long(scheduler, machine, now) and not _is_wanted(
             scheduler, machine, waiting, affordable
         ):
-            found.append(machine)
-    return found
+            unneeded.append(machine)
+    return unneeded
 
 
 def _is_empty(scheduler: Scheduler, machine: Machine) -> bool:
-    """Tell whether the machine surely runs nothing, and no start may still arrive there."""
+    """Tell whether the machine surely runs nothing and no start command may still arrive."""
     return (
         not (machine.placements or machine.unplaced_tasks or machine.deletion_requested)
         and machine.reconciled
@@ -55,7 +55,7 @@
 
 
 def _is_idle_for_long(scheduler: Scheduler, machine: Machine, now: Instant) -> bool:
-    """Tell whether it is idle for longer than operators allow, and than a new one takes to boot."""
+    """Tell whether it is idle for longer than the operators' limit and the boot time."""
     machine_type = scheduler.machine_types.get(machine.machine_type)
     boot_s = machine_type.boot_s if machine_type is not None else 0.0
     idle_s = now - max(machine.idle_since, machine.known_since)
@@ -68,7 +68,7 @@
     waiting: Collection[Job],
     affordable: Mapping[JobId, AffordableMachines],
 ) -> bool:
-    """Tell whether a waiting job could use it: a gang may wait for more machines than this one."""
+    """Tell whether a waiting job could use it, such as a gang that waits for more machines."""
     machine_type = scheduler.machine_types.get(machine.machine_type)
     return machine_type is not None and any(
         job.need.fits(machine_type.capacity)
--- a/umberward/scheduling/scale_out.py
+++ b/umberward/scheduling/scale_out.py
@@ -1,7 +1,7 @@
-"""How many machines of which kind to request for the work that waits. Pure.
+"""How many machines of which offers to request for waiting work. Pure.
 
-Machines that exist or boot are filled in a simulation first; what finds no room there is what the
-cloud is asked for.
+A simulation first places the work on existing and booting machines; machines are requested for the
+rest.
 """
 
 from __future__ import annotations
@@ -18,48 +18,50 @@
 from umberward.scheduling.scheduler import Scheduler
 from umberward.scheduling.simulated_machines import SimulatedMachine
 
-MAX_MACHINES_PER_CHOICE = 10  # the best offer is chosen anew after so many machines
+MAX_MACHINES_PER_CHOICE = 10  # after these the best offer is chosen again
 
 
 class _GangZone(NamedTuple):
-    """A zone in which a gang could run, were some machines added."""
+    """A zone in which a gang could run, if necessary with more machines."""
 
     missing_tasks: int
     zone: ZoneName
     machines: list[SimulatedMachine]  # those with room for a task of the gang
-    choice: OfferChoice | None  # what to request for the missing tasks
+    choice: OfferChoice | None  # the offer to request for the missing tasks
 
 
 class ScaleOutPlan:
-    """One decision to scale out; the machines to request are counted in `offers.requested`."""
+    """One decision to scale out; `offers.requested` counts the machines to request."""
 
     def __init__(
         self, scheduler: Scheduler, offers: OfferSelection, machines: list[SimulatedMachine]
     ) -> None:
-        """`machines`: those that exist and those that boot; requested ones are added to them."""
+        """`machines`: the existing and booting ones, to which requested ones are added."""
         self.scheduler = scheduler
         self.offers = offers
         self.machines = machines
-        self.comparisons = 0  # how often a machine's room was compared with what waits
+        self.comparisons = 0  # checks whether a machine has room for a waiting job
 
     # ---- waiting jobs --------------------------------------------------------------------
 
     def request_for_jobs(self, waiting: list[tuple[Job, int]]) -> None:
-        """Request machines for the jobs that wait and their numbers of tasks, in that order."""
-        # How far the machines were searched for each class of jobs: room there only gets less.
-        searched: dict[Hashable, int] = {}
+        """Request machines for the waiting jobs and their numbers of tasks, in this order."""
+        # By placement class, how many machines were searched: the room on these only shrinks.
+        search_positions: dict[Hashable, int] = {}
         for job, task_count in waiting:
             if job.gang and job.spec.same_zone and task_count > 1:
                 self._request_for_gang(job, task_count)
             else:
-                missing_tasks = self._fill_machines(job, task_count, searched)
+                missing_tasks = self._fill_machines(job, task_count, search_positions)
                 self._request_for_tasks(job, missing_tasks)
 
-    def _fill_machines(self, job: Job, task_count: int, searched: dict[Hashable, int]) -> int:
-        """Fill the simulated machines with the job's tasks; return how many found no room."""
+    def _fill_machines(
+        self, job: Job, task_count: int, search_positions: dict[Hashable, int]
+    ) -> int:
+        """Fill the simulated machines with the job's tasks; return how many did not fit."""
         need, machines = job.need, self.machines
         missing_tasks = task_count
-        position = searched.get(job.placement_class, 0)
+        position = search_positions.get(job.placement_class, 0)
         while missing_tasks > 0 and position < len(machines):
             self.comparisons += 1
             machine = machines[position]
@@ -70,7 +72,7 @@
                 missing_tasks -= fitting
             if missing_tasks > 0:
                 position += 1
-        searched[job.placement_class] = position
+        search_positions[job.placement_class] = position
         return missing_tasks
 
     def _request_for_tasks(self, job: Job, missing_tasks: int) -> None:
@@ -87,7 +89,7 @@
     def _add_machines(
         self, job: Job, choice: OfferChoice, machine_count: int, missing_tasks: int
     ) -> int:
-        """Request machines and fill them with the job's tasks; return how many are left."""
+        """Request machines and fill them with the job's tasks; return how many did not fit."""
         self.offers.request(choice.offer, machine_count)
         capacity = self.scheduler.machine_types[choice.offer.type].capacity
         for _ in range(machine_count):
@@ -100,22 +102,24 @@
     # ---- gangs in one zone ---------------------------------------------------------------
 
     def _request_for_gang(self, job: Job, task_count: int) -> None:
-        """Make room for all of a gang in the zone where least has to be requested for that."""
+        """Make room for the whole gang in the zone where the fewest tasks lack room."""
         zones = self._zones_for_gang(job, task_count)
         if not zones:
             return
         best = min(zones, key=lambda zone: zone[:2])
-        left = task_count - best.missing_tasks
+        remaining_tasks = task_count - best.missing_tasks
         for machine in best.machines:
-            fitting = min(left, job.need.count_within(machine.room(prompt=job.needs_prompt_start)))
+            fitting = min(
+                remaining_tasks, job.need.count_within(machine.room(prompt=job.needs_prompt_start))
+            )
             machine.free = machine.free.minus(job.need, fitting)
-            left -= fitting
+            remaining_tasks -= fitting
         if best.choice is not None:
             machine_count = math.ceil(best.missing_tasks / best.choice.tasks_per_machine)
             self._add_machines(job, best.choice, machine_count, best.missing_tasks)
 
     def _zones_for_gang(self, job: Job, task_count: int) -> list[_GangZone]:
-        """Return the zones that have room for the gang, or can get it."""
+        """Return the zones that have room for the gang or can get it by a request."""
         need = job.need
         machines_by_zone: dict[ZoneName, list[SimulatedMachine]] = {}
         for machine in self.machines:
@@ -140,10 +144,10 @@
         machine_types = self.scheduler.machine_types.values()
         return sorted({ZoneName(zone) for offered in machine_types for zone in offered.zones})
 
-    # ---- work that does not wait yet -----------------------------------------------------
+    # ---- headroom and consolidation ------------------------------------------------------
 
     def request_for_headroom(self) -> None:
-        """Request machines ahead of accelerated work that would wait too long for them."""
+        """Request machines ahead of accelerated work that would otherwise start too late."""
         scheduler = self.scheduler
         headroom, rent_spare = scheduler.headroom, scheduler.operator.rent_spare
         if headroom.latest_spec is None or rent_spare <= 0:
@@ -151,12 +155,12 @@
         start_within_s, _ = scheduler.class_aims.get(headroom.latest_spec.job_class, NO_AIM)
         if start_within_s is None:
             return
-        missing = round(headroom.open_task_count() * rent_spare)
+        missing = round(headroom.spare_task_count() * rent_spare)
         missing -= sum(
             1
             for machine in self.machines
             if headroom.largest_need.fits(machine.room(prompt=True))
-            and headroom.could_run(*machine.offer)
+            and headroom.could_run_accelerated(*machine.offer)
         )
         offer = self._cheapest_for_headroom(start_within_s)
         if offer is not None and missing > 0:
@@ -165,7 +169,7 @@
             self.machines.extend(SimulatedMachine(offer, capacity) for _ in range(missing))
 
     def _cheapest_for_headroom(self, start_within_s: float) -> MachineOffer | None:
-        """Return the cheapest offer among those that boot too slowly to be requested on demand."""
+        """Return the cheapest offer among those that boot too slowly to request when work comes."""
         headroom = self.scheduler.headroom
         best: tuple[float, MachineOffer] | None = None
         for machine_type in self.scheduler.machine_types.values():
@@ -177,7 +181,7 @@
             pull_s = headroom.latest_spec.image_gb / machine_type.image_pull_gb_per_s
             if machine_type.boot_s + pull_s <= start_within_s:
                 continue
-            for offer in _ordinary_offers(machine_type):
+            for offer in _on_demand_offers(machine_type):
                 if not self.offers.is_available(offer):
                     continue
                 if best is None or machine_type.hourly_price < best[0]:
@@ -185,10 +189,10 @@
         return None if best is None else best[1]
 
     def request_for_consolidation(self) -> None:
-        """Request machines for replicas that should leave a expensive machine and have no room."""
+        """Request machines for replicas that should leave an expensive machine and have no room."""
         for job, max_unit_price in self.scheduler.consolidation.replicas_without_room:
             if self._has_cheaper_room(job, max_unit_price):
-                continue  # it is on its way
+                continue  # such a machine exists, boots or is being requested
             for _, offer in sorted(self._cheaper_offers(job, max_unit_price)):
                 if self.offers.is_available(offer) and self.scheduler.admits_offer(job, *offer):
                     self._add_machines(job, OfferChoice(offer, 1), 1, 1)
@@ -204,17 +208,17 @@
         )
 
     def _cheaper_offers(self, job: Job, max_unit_price: float) -> list[tuple[float, MachineOffer]]:
-        """Return the offers whose price per core is below the bound, with that price."""
+        """Return the on-demand offers with a lower price per core, with that price."""
         unit_price = self.scheduler.consolidation.unit_price
         found = []
         for machine_type in self.scheduler.machine_types.values():
             price = unit_price(MachineTypeName(machine_type.name))
             if price < max_unit_price and job.need.fits(machine_type.capacity):
-                found += [(price, offer) for offer in _ordinary_offers(machine_type)]
+                found += [(price, offer) for offer in _on_demand_offers(machine_type)]
         return found
 
 
-def _ordinary_offers(machine_type: MachineType) -> list[MachineOffer]:
-    """Return the offers of a machine type that are no spot machines, by zone."""
+def _on_demand_offers(machine_type: MachineType) -> list[MachineOffer]:
+    """Return the on-demand offers of a machine type, one for each zone."""
     name = MachineTypeName(machine_type.name)
     return [MachineOffer(name, ZoneName(zone), spot=False) for zone in machine_type.zones]
--- a/umberward/scheduling/schedulable_machines.py
+++ b/umberward/scheduling/schedulable_machines.py
@@ -1,4 +1,4 @@
-"""The machines that may be given tasks, and those with room for some job. No I/O."""
+"""The machines that may be given tasks, and filters by free room. No I/O."""
 
 from __future__ import annotations
 
@@ -20,12 +20,11 @@
 class SchedulableMachines:
     """An index of the schedulable machines and the free resources of each.
 
-    Of a large fleet few machines change between two scheduling passes, and only those are
-    examined.
+    Only machines that changed since the last scheduling pass are examined, few in a large cluster.
     """
 
     def __init__(self) -> None:
-        """Begin without machines."""
+        """Start without machines."""
         self.changed: dict[MachineId, None] = {}  # in the order in which they changed
         self.machines: dict[MachineId, Machine] = {}
         self.free: dict[MachineId, Resources] = {}
@@ -36,7 +35,7 @@
         machines: Mapping[MachineId, Machine],
         machine_types: Mapping[MachineTypeName, MachineType],
     ) -> None:
-        """Bring the index up to date with the machines noted in `changed`."""
+        """Update the index for the machines in `changed`."""
         for machine_id in self.changed:
             machine = machines.get(machine_id)
             machine_type = None if machine is None else machine_types.get(machine.machine_type)
@@ -53,15 +52,15 @@
 def machines_with_room(
     machines: list[Machine], free: dict[MachineId, Resources], jobs: Iterable[Job]
 ) -> list[Machine]:
-    """The machines with room for the least that any of the jobs needs: of a full fleet, few.
+    """Return the machines with room for the smallest need of the jobs: few in a full cluster.
 
-    `free` has the free resources of each of the machines.
+    `free` has the free resources of each machine.
     """
-    least = smallest_need(jobs)
-    if least is None:
+    smallest = smallest_need(jobs)
+    if smallest is None:
         return []
-    # Written out instead of `least.fits(...)`: it is evaluated for each machine in each pass.
-    cores, accelerators, mem_gb = (part - ROUNDING_TOLERANCE for part in least)
+    # Inlined `smallest.fits(...)`, as it is evaluated for each machine in each pass.
+    cores, accelerators, mem_gb = (part - ROUNDING_TOLERANCE for part in smallest)
     return [
         m
         for m in machines
@@ -69,14 +68,14 @@
     ]
 
 
-def smallest_need(jobs: Iterable[Job], besides: Resources = NO_RESOURCES) -> Resources | None:
-    """The least of each resource that a task of any of the jobs needs.
+def smallest_need(jobs: Iterable[Job], extra_need: Resources = NO_RESOURCES) -> Resources | None:
+    """Return the minimum of each resource over the needs of the jobs.
 
-    `besides` is one more task's need, unless it is empty. Returns None if there is no task.
+    `extra_need` is the need of one more task, unless it is empty. None: there is no need at all.
     """
     needs = {job.need for job in jobs}
-    if besides != NO_RESOURCES:
-        needs.add(besides)
+    if extra_need != NO_RESOURCES:
+        needs.add(extra_need)
     if not needs:
         return None
     return Resources(*(min(parts) for parts in zip(*needs, strict=True)))
--- a/umberward/scheduling/service_order.py
+++ b/umberward/scheduling/service_order.py
@@ -1,8 +1,9 @@
-"""The order in which waiting jobs are served, and who may be preempted for whom. No I/O.
+"""The order in which waiting jobs are served, and the standings that decide preemption. No I/O.
 
-A job's standing is `(0, priority)` if it is of the highest priority or within its team's guarantee
-and `(1, priority)` otherwise; the smaller standing is served first. Jobs of equal standing are
-served by the latest start for the next of their objectives (`ClusterState.service_order`).
+A job's standing is `(0, priority)` if it has the highest priority or is within its team's
+guarantee, and `(1, priority)` otherwise; the smaller standing is served first. Jobs of equal
+standing are served by the latest start that meets their next objective
+(`ClusterState.service_order`).
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 from umberward.scheduling.headroom import HIGHEST_PRIORITY
 from umberward.scheduling.jobs import Job
 
-GUARANTEED = 0  # first part of a standing: served before all other work
+GUARANTEED = 0  # first part of a standing; served before work that is not guaranteed
 NOT_GUARANTEED = 1
 
 
 class _ServiceRank(NamedTuple):
-    """Sort key of one waiting job, smallest first; `position` keeps the order among equals."""
+    """Sort key of a waiting job, smallest first; `position` makes the sort stable."""
 
     faulty: bool
     standing: tuple[int, int]
@@ -39,7 +40,7 @@
 
 
 class _GuaranteeClaim(NamedTuple):
-    """A job of a team with a guarantee; claims are granted in the order of the first two fields."""
+    """A job of a team with a guarantee; claims are granted in order of the first two fields."""
 
     ready_at: WallTime
     job_id: JobId
@@ -48,20 +49,20 @@
 
 
 class ServiceOrder:
-    """Orders the jobs that wait for machines and keeps every live job's standing."""
+    """Orders the jobs that wait for machines, and sets the standing of every live job."""
 
     def __init__(
         self, cluster: ClusterState, waiting_jobs: WaitingJobs, deadline_triage: DeadlineTriage
     ) -> None:
-        """Read jobs from `cluster`, and the demand of dependent jobs from `waiting_jobs`."""
+        """Read jobs from `cluster`, and the demands of dependent jobs from `waiting_jobs`."""
         self.cluster = cluster
         self.waiting_jobs = waiting_jobs
         self.deadline_triage = deadline_triage
 
     def jobs_in_order(self, now: Instant) -> list[Job]:
-        """Return the jobs with tasks to place, in the order in which they are served.
+        """Return the jobs with tasks to place, in service order.
 
-        Jobs without a startable task are dropped from `ClusterState.unplaced` on the way.
+        Jobs without a startable task are removed from `ClusterState.jobs_to_place`.
         """
         cluster = self.cluster
         wall = cluster.wall_clock()
@@ -91,30 +92,30 @@
         return [job for _, job in ranked]
 
     def jobs_without_room(self, now: Instant) -> list[tuple[Job, int]]:
-        """Return the jobs that wait for machines and for how many tasks, in the order of service.
+        """Return the jobs that wait for machines and their numbers of tasks, in service order.
 
-        Tasks beyond the team's limit are left out, and so are faulty jobs: no machine would help.
+        Tasks beyond the team's quota and faulty jobs are left out, as more machines would not help.
         """
-        found = []
+        jobs_and_counts = []
         for job in self.jobs_in_order(now):
             quota = self.cluster.quota.tasks_within_limit(job.team, job.need)
             count = min(job.startable_count(), quota)
             if job.gang and (job.placements or count < job.size):
                 continue
             if count > 0 and not job.faulty:
-                found.append((job, count))
-        return found
+                jobs_and_counts.append((job, count))
+        return jobs_and_counts
 
     def update_standings(self) -> None:
         """Set the standing of every live job.
 
         A job is guaranteed if it fits its team's guarantee together with the team's earlier
-        unfinished jobs. That only ever changes from no to yes, and only work of a strictly lower
-        standing is preempted: so two jobs never take turns in preempting each other.
+        unfinished jobs. A job only ever becomes guaranteed, never the reverse, and only work of a
+        strictly lower standing is preempted: so two jobs never preempt each other in turn.
 
-        The team's order is that in which its jobs became ready: a job that waited for others takes
-        nothing from those that run. The priority is the highest among the job and the live jobs
-        that depend on it, which changes only when users act.
+        A team's jobs are ordered by when they became ready, so that a job that waited for its
+        dependencies takes nothing from running jobs. The priority is the highest among the job and
+        the live jobs that depend on it; it changes only when users act.
         """
         cluster = self.cluster
         cluster.standings_outdated = False
@@ -134,7 +135,7 @@
         self._grant_guarantees(claims)
 
     def _grant_guarantees(self, claims: list[_GuaranteeClaim]) -> None:
-        """Set the standings of those that depend on the claims of the same team before them."""
+        """Set the standings of the claimants, each after the earlier claims of its team."""
         totals: dict[TeamName, Resources] = {}
         for _, _, priority, job in claims:
             total = totals.get(job.team, NO_RESOURCES).plus(job.need, job.size)
--- a/umberward/scheduling/simulated_machines.py
+++ b/umberward/scheduling/simulated_machines.py
@@ -1,6 +1,7 @@
-"""Machines that exist or are booting, to be filled in a simulation with the tasks that wait. Pure.
+"""Existing and booting machines, as simulated by the autoscaler. Pure.
 
-The autoscaler fills them to find how many more machines to request. Nothing is placed by it.
+The autoscaler fills them with waiting tasks to find how many more machines to request. The
+simulation places nothing.
 """
 
 from __future__ import annotations
@@ -12,8 +13,9 @@
 from umberward.scheduling.schedulable_machines import smallest_need
 from umberward.scheduling.scheduler import Scheduler
 
-LATE_BOOT_RATIO = 2.5  # a machine that boots for so many times boot_s is no longer counted on
-LATE_BOOT_MARGIN_S = 5.0  # ... and so much longer
+# A machine that boots for longer than this multiple of `boot_s` plus the margin is not counted on.
+LATE_BOOT_RATIO = 2.5
+LATE_BOOT_MARGIN_S = 5.0
 
 
 class PendingMachine:
@@ -26,37 +28,37 @@
 
 
 class SimulatedMachine:
-    """A machine's offer and the room that the simulation has left on it."""
+    """A machine's offer and the room left on it in the simulation."""
 
     __slots__ = ("free", "offer", "preemptable")
 
     def __init__(
         self, offer: MachineOffer, free: Resources, preemptable: Resources = NO_RESOURCES
     ) -> None:
-        """`preemptable`: what prompt accelerated work would find besides the free room."""
+        """`preemptable`: the room that prompt accelerated work could get by preemption."""
         self.offer = offer
         self.free = free
         self.preemptable = preemptable
 
     def room(self, *, prompt: bool) -> Resources:
-        """Return the room for prompt accelerated work, or for other work."""
+        """Return the room for prompt accelerated work, which may preempt, or for other work."""
         return self.free.plus(self.preemptable) if prompt else self.free
 
 
 def simulate_existing(
     scheduler: Scheduler, waiting: Iterable[tuple[Job, int]]
 ) -> list[SimulatedMachine]:
-    """Return the machines that there are, less those that no waiting task could use.
+    """Return the existing machines without those too full for any waiting task.
 
-    Of a fleet that is full these are nearly all. Machines that are unreachable count as empty ones
-    when they are many: the fault is likely in the network, and they come back.
+    In a full cluster those are nearly all. If many machines are unreachable, they count as empty:
+    the fault is likely in the network, and they come back.
     """
     jobs = [job for job, _ in waiting] + [
         job for job, _ in scheduler.consolidation.replicas_without_room
     ]
     headroom = scheduler.headroom
     least = smallest_need(jobs, headroom.largest_need)
-    for_accelerated = {offer: headroom.could_run(*offer) for offer in scheduler.offers}
+    for_accelerated = {offer: headroom.could_run_accelerated(*offer) for offer in scheduler.offers}
     simulated = []
     usable, free_by_machine = scheduler.schedulable_room()
     for machine in usable:
@@ -77,7 +79,7 @@
 def simulate_pending(
     scheduler: Scheduler, pending: Iterable[PendingMachine], now: Instant
 ) -> list[SimulatedMachine]:
-    """Return the booting machines, empty, but for those that are long overdue."""
+    """Return the booting machines as empty ones, without those that are long overdue."""
     simulated = []
     for machine in pending:
         machine_type = scheduler.machine_types.get(machine.offer.type)
--- a/umberward/scheduling/spot_policy.py
+++ b/umberward/scheduling/spot_policy.py
@@ -1,18 +1,17 @@
-"""Which work waits for affordable machines, spot ones above all. No I/O.
+"""Which work waits for affordable machines, mainly spot machines. No I/O.
 
-A machine with accelerators costs ten times as much for each core as one without, and several times
-as much when it is no spot machine. Two kinds of work never need that:
+Machines with accelerators cost ten times as much per core as those without, and on-demand machines
+several times as much as spot ones. Two kinds of work wait for affordable machines:
 
 - Work of the lowest priority, until it may miss a goal that it can still reach. It uses expensive
-  machines where other work keeps them anyway: what accelerated work leaves over, and the headroom.
-  Else it would fill each that gets free, so that none is ever empty and returned, and have more
-  requested.
-- Accelerated work that has a deadline and may use spot machines, as long as the affordable
-  machines, taking it in the order of service, will have started it by when it must start. It leaves
-  the headroom alone as well: what has to save a checkpoint first would hold up the work that the
-  headroom is for.
-
-Elsewhere the difference in price is small next to what a missed deadline costs its user.
+  machines only where other work keeps them anyway: what accelerated work leaves over, and the
+  headroom. Otherwise it would fill each that becomes free, so that none is ever empty and returned,
+  and cause requests for more.
+- Accelerated work with a deadline that may use spot machines, as long as the affordable machines,
+  in service order, can start it in time. It does not use the headroom either: saving its checkpoint
+  first would delay the work that the headroom is for.
+
+For other work the price difference is small compared with the cost of a missed deadline.
 """
 
 from __future__ import annotations
@@ -39,32 +38,33 @@
 from umberward.scheduling.machines import Machine
 from umberward.scheduling.service_order import GUARANTEED
 
-# Up to so many times the lowest price a machine is affordable, for accelerated work ...
+# Affordable prices, as multiples of the lowest price: for accelerated work, of all machines.
 SPOT_PRICE_RATIO_MAX = 1.5
-# ... and for work of the lowest priority, of the prices of machines that are no spot machines.
+# For work of the lowest priority, of on-demand machines.
 LOWEST_PRIORITY_PRICE_RATIO_MAX = 2.0
-MIN_WAIT_FOR_AFFORDABLE_S = 0.25 * START_WITHIN_S  # so long work of the lowest priority waits, or
-WAIT_SHARE_OF_START_TIME = 0.3  # ... for this share of the time in which it should start, if longer
+# Work of the lowest priority waits for the longer of a fixed time and a share of its time to start.
+MIN_WAIT_FOR_AFFORDABLE_S = 0.25 * START_WITHIN_S
+WAIT_SHARE_OF_START_TIME = 0.3
 MIN_TASK_S = 1.0
 LOWEST_PRIORITY = max(wire.PRIORITIES.values())
 
 
 class AffordableMachines(NamedTuple):
-    """What is affordable for a kind of jobs."""
+    """The machines that are affordable for one kind of jobs."""
 
-    max_task_price: float  # for an hour
-    offers: frozenset[MachineOffer]  # among those of which there is a machine
-    may_use_leftovers: bool  # whether it may fill what accelerated work leaves over on others
+    max_task_price: float  # per hour
+    offers: frozenset[MachineOffer]  # among the offers of existing machines
+    may_use_leftovers: bool  # on other machines: the room that accelerated work leaves over
 
     def usable_room(
         self, machine: Machine, free: Resources, machine_type: MachineType
     ) -> Resources:
-        """Return what the job may use of a machine's free room."""
+        """Return the part of a machine's free room that the job may use."""
         if machine.offer in self.offers:
             return free
         if not self.may_use_leftovers or free.accelerators >= machine_type.accelerators:
             return NO_RESOURCES
-        # Each accelerator that is free keeps its part of the machine.
+        # Each free accelerator keeps its share of the machine's cores and memory free.
         part = free.accelerators / machine_type.accelerators
         return free.minus(Resources(part * machine_type.cores, 0.0, part * machine_type.mem_gb))
 
@@ -77,9 +77,9 @@
 
 
 def task_price(cluster: ClusterState, job: Job, offer: MachineOffer) -> float:
-    """Return the price of one of the job's tasks for an hour on such a machine, full of them.
+    """Return the hourly price of one task on such a machine when it is full of the job's tasks.
 
-    It is infinite if the job may not run there.
+    The price is infinite if the job may not run there.
     """
     machine_type = cluster.machine_types.get(offer.type)
     if machine_type is None or not cluster.admits_offer(job, *offer):
@@ -92,17 +92,17 @@
 def jobs_limited_to_affordable(
     cluster: ClusterState, waiting: Iterable[Job], machine_counts: Mapping[MachineOffer, int]
 ) -> dict[JobId, AffordableMachines]:
-    """Return the jobs that use affordable machines only, for now, and what these are.
+    """Return the jobs that may use only affordable machines for now, with these machines.
 
-    `waiting` is in the order of service; `machine_counts` has the machines there are of each offer.
+    `waiting` is in service order; `machine_counts` is the number of existing machines by offer.
     """
-    found: dict[JobId, AffordableMachines] = {}
+    limited: dict[JobId, AffordableMachines] = {}
     by_kind: dict[_JobKind, AffordableMachines] = {}
-    slots: dict[_JobKind, int] = {}  # how many of a kind's tasks the affordable machines take
+    slots: dict[_JobKind, int] = {}  # the tasks of a kind that fit the affordable machines
     tasks_ahead: Counter[_JobKind] = Counter()
     wall = cluster.wall_clock()
     for job in waiting:
-        if not _may_wait(cluster, job, wall):
+        if not _may_wait_for_affordable(cluster, job, wall):
             continue
         kind = _JobKind(job.placement_class, job.need.accelerators > 0)
         affordable = by_kind.get(kind)
@@ -112,35 +112,35 @@
             )
         if kind.accelerated:
             if kind not in slots:
-                slots[kind] = _slots(cluster, job, affordable, machine_counts)
+                slots[kind] = _affordable_slots(cluster, job, affordable, machine_counts)
             tasks_ahead[kind] += job.startable_count()
             left_s = cluster.service_order(job, wall) - wall
             task_s = max(MIN_TASK_S, cluster.estimate(job))
             if tasks_ahead[kind] > slots[kind] * left_s / task_s:
                 continue
-        found[job.id] = affordable
-    return found
+        limited[job.id] = affordable
+    return limited
 
 
-def _may_wait(cluster: ClusterState, job: Job, wall: WallTime) -> bool:
-    """Tell whether the job is of the two kinds of work that wait for affordable machines."""
+def _may_wait_for_affordable(cluster: ClusterState, job: Job, wall: WallTime) -> bool:
+    """Tell whether the job is one of the two kinds of work that wait for affordable machines."""
     if job.service or job.gang or job.needs_prompt_start:
         return False
     if job.need.accelerators > 0:
         return True
     if job.priority < LOWEST_PRIORITY or job.standing[0] == GUARANTEED:
-        return False  # what is guaranteed to a team need not be cheap
+        return False  # guaranteed work does not wait for a low price
     return not _may_miss_goal(cluster, job, wall)
 
 
 def _may_miss_goal(cluster: ClusterState, job: Job, wall: WallTime) -> bool:
-    """Tell whether the job has waited so long that it may miss a goal it can still reach.
+    """Tell whether the job has waited so long that it may miss a goal that it can still reach.
 
-    A job that has missed all of them has no use for expensive machines.
+    Expensive machines would not help a job that has missed all its goals.
     """
     waited_s = wall - job.ready_at
     if waited_s > WAITING_PRIORITY_S and not (job.has_begun or job.placements):
-        return True  # it should begin, if only with some of its tasks
+        return True  # at least some of its tasks should begin
     max_wait_s = max(
         MIN_WAIT_FOR_AFFORDABLE_S, WAIT_SHARE_OF_START_TIME * (cluster.start_by(job) - job.ready_at)
     )
@@ -150,7 +150,7 @@
 def _affordable_machines(
     cluster: ClusterState, job: Job, *, accelerated: bool
 ) -> AffordableMachines:
-    """Find the lowest price in the cloud's list, whether there is such a machine or not."""
+    """Compute affordable prices from the cloud's whole list, not only from existing machines."""
     lowest = min(
         (
             task_price(cluster, job, MachineOffer(MachineTypeName(name), ZoneName(zone), spot))
@@ -168,13 +168,13 @@
     return AffordableMachines(max_task_price, offers, may_use_leftovers=not accelerated)
 
 
-def _slots(
+def _affordable_slots(
     cluster: ClusterState,
     job: Job,
     affordable: AffordableMachines,
     machine_counts: Mapping[MachineOffer, int],
 ) -> int:
-    """Return how many of the job's tasks the affordable machines take at once."""
+    """Return how many of the job's tasks can run on the affordable machines at once."""
     slots = 0
     for offer, count in machine_counts.items():
         if task_price(cluster, job, offer) <= affordable.max_task_price:
--- a/umberward/scheduling/victim_selection.py
+++ b/umberward/scheduling/victim_selection.py
@@ -1,4 +1,4 @@
-"""Which tasks on a machine to preempt so that other work finds room. Pure."""
+"""Selection of the tasks to preempt on one machine. Pure."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class VictimCost(NamedTuple):
-    """What a preemption costs; the smaller, the better: a low priority first, then little loss."""
+    """The cost of a preemption, smaller is better: low priority first, then little lost work."""
 
-    negated_priority: float  # of the most important victim, whose priority figure is the smallest
-    lost_work: float  # core-seconds that are done again
+    negated_priority: float  # of the most important victim, whose priority is the smallest number
+    lost_work: float  # core-seconds that must be repeated
 
 
 class VictimPlan(NamedTuple):
-    """The tasks to preempt on one machine, and the cost of that."""
+    """The tasks to preempt on one machine, and the cost."""
 
     cost: VictimCost
     victims: list[Placement]
 
 
 def lost_work(placement: Placement, now: Instant) -> float:
-    """Return the core-seconds that are done again if this attempt is stopped at once.
+    """Return the core-seconds that must be repeated if this attempt is stopped now.
 
-    On average half of a checkpoint interval is lost, if there are checkpoints.
+    A task with checkpoints loses half a checkpoint interval on average.
     """
     if placement.running_since is None:
         return 0.0
@@ -38,18 +38,18 @@
 def select_victims(
     need: Resources, free: Resources, candidates: list[Placement], now: Instant
 ) -> VictimPlan | None:
-    """Return which of `candidates` to stop so that `need` finds room on their machine.
+    """Return which of `candidates` to stop so that `need` fits on their machine.
 
-    None: nothing has to be stopped, or all of them would not be enough.
+    None: it fits already, or not even after stopping all of them.
     """
-    room = free
+    available = free
     victims: list[Placement] = []
     for placement in sorted(candidates, key=lambda p: (-p.priority, lost_work(p, now))):
-        if need.fits(room):
+        if need.fits(available):
             break
-        room = room.plus(placement.need)
+        available = available.plus(placement.need)
         victims.append(placement)
-    if not victims or not need.fits(room):
+    if not victims or not need.fits(available):
         return None
     cost = VictimCost(
         -min(victim.priority for victim in victims),
