--- a/umberward/scheduling/headroom.py
+++ b/umberward/scheduling/headroom.py
@@ -54,10 +54,9 @@
         """Start without demand; `machine_types` is the cloud's list, which its owner updates."""
         self.machine_types = machine_types
         self.largest_need = NO_RESOURCES  # of all accelerated tasks seen
-        self.latest_spec: JobSpec | None = (
-            None  # of the latest accelerated job; its constraints say where such work may run
-        )
-        self.lowest_priority = 0  # of all accelerated work seen, which is the largest number
+        # Of the latest accelerated job, whose constraints decide where such work may run.
+        self.latest_spec: JobSpec | None = None
+        self.lowest_priority = 0  # of all accelerated work seen; a lower one is a larger number
         self.running_count = 0  # accelerated tasks with a placement
         self.waiting_count = 0  # accelerated tasks that wait for one
         self.peak = 0.0  # decaying maximum of running and waiting tasks together
@@ -90,7 +89,7 @@
         self.peak = max(decayed, float(tasks))
 
     def restore(self, spec: JobSpec, need: Resources, peak: float) -> None:
-        """Merge the demand that the previous leader saw; the larger values win."""
+        """Adopt the demand that the previous leader saw, unless this one has seen more."""
         self.peak = max(self.peak, peak)
         self.lowest_priority = max(self.lowest_priority, PRIORITIES[spec.priority])
         if self.latest_spec is None:
--- a/umberward/scheduling/placement_pass.py
+++ b/umberward/scheduling/placement_pass.py
@@ -65,7 +65,7 @@
     headroom_candidates: set[MachineId]  # all machines that could run accelerated work
     preemptable: PreemptableWork | None  # None: this pass does not preempt
     affordable: dict[JobId, AffordableMachines]  # for the jobs that wait for affordable machines
-    # Kinds of jobs that found no room in this pass; not searched again, as thousands may wait.
+    # Kinds of jobs that found no room; not searched again, as thousands of tasks may wait.
     kinds_without_room: set[SearchKind] = field(default_factory=set)
 
 
