--- a/umberward/clients/__init__.py
+++ b/umberward/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the state service and of the cloud, within their limits."""
+"""Clients of the state service and of the cloud, which observe their rate limits."""
--- a/umberward/clients/cloud_client.py
+++ b/umberward/clients/cloud_client.py
@@ -1,7 +1,7 @@
-"""Client of the cloud's machine API, within its request limit.
+"""Client of the cloud's machine API, within its rate limit (PROTOCOL, "Controller nodes -> cloud").
 
-PROTOCOL, "Controller nodes -> cloud". Only the leader calls it for changes: the parameter `still`
-is asked right before a request is sent, and the request is dropped if it returns False.
+Only the leader makes changes: the predicate `still` is checked right before a request is sent, and
+the request is dropped if it returns False.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 __all__ = ["CloudClient", "CloudUnavailableError", "NoCapacityError"]
 
-USABLE_SHARE = 0.9  # of the cloud's request limit
+USABLE_SHARE = 0.9  # of the cloud's rate limit
 REQUEST_TIMEOUT_S = 5.0
 BUDGET_WAIT_S = 5.0
 
@@ -39,7 +39,7 @@
     """Rents, deletes and lists machines.
 
     All operations raise CloudUnavailableError if the request was not executed, or if it failed and
-    repeating it does no harm.
+    is safe to retry.
     """
 
     def __init__(self, address: Address, max_requests_per_s: float, client: Client) -> None:
@@ -52,7 +52,7 @@
         self._decode_scale_out = wire.decoder(ScaleOutResponse)
 
     async def machine_types(self) -> dict[MachineTypeName, MachineType]:
-        """The machine types on offer, with their current prices."""
+        """Return the offered machine types with their current prices."""
         response = await self._send_repeatable("GET", "/flavors", "flavors")
         offered = self._decode_machine_types(response.body).machine_types
         return {MachineTypeName(machine_type.name): machine_type for machine_type in offered}
@@ -60,10 +60,10 @@
     async def scale_out(
         self, request: ScaleOutRequest, still: Callable[[], bool]
     ) -> list[MachineId]:
-        """Rent machines; returns those that were rented, which may be fewer than requested.
+        """Rent machines; returns the rented ones, which may be fewer than requested.
 
-        Raises NoCapacityError if there are none, and NoResponseError if the request may have been
-        executed: the same request can then be repeated, and rents nothing twice.
+        Raises NoCapacityError if none is available, and NoResponseError if the request may have
+        been executed. The same request can then be repeated without renting anything twice.
         """
         body = {
             "claim": request.request_id,
@@ -80,13 +80,13 @@
         return [MachineId(name) for name in self._decode_scale_out(response.body).machine_ids]
 
     async def terminate(self, machine_ids: list[MachineId], still: Callable[[], bool]) -> None:
-        """Delete machines; when this returns, they and all tasks on them are gone for certain."""
+        """Delete machines; after the return, they and all their tasks have certainly ended."""
         await self._send_repeatable(
             "POST", "/hosts/delete", "delete", body={"hosts": machine_ids}, still=still
         )
 
     async def list_machines(self) -> list[CloudMachine]:
-        """All machines that the cloud lists; the list lags, see `cloud.list_lag_s`."""
+        """Return all machines in the cloud's list, which lags by up to `cloud.list_lag_s`."""
         machines: list[CloudMachine] = []
         while True:
             target = f"/hosts?most={wire.MAX_MACHINES_PER_PAGE}"
@@ -107,9 +107,9 @@
         body: object = None,
         still: Callable[[], bool] | None = None,
     ) -> Response:
-        """The successful response to a request that may be executed any number of times.
+        """Send an idempotent request and return its successful response.
 
-        `operation` is its name in error messages. Only CloudUnavailableError is raised.
+        `operation`: its name in error messages. Raises only CloudUnavailableError.
         """
         try:
             response = await self._send(method, target, body, still)
@@ -122,7 +122,7 @@
     async def _send(
         self, method: str, target: str, body: object, still: Callable[[], bool] | None
     ) -> Response:
-        """The response to a request. Raises CloudUnavailableError or NoResponseError."""
+        """Return the response to a request. Raises CloudUnavailableError or NoResponseError."""
         try:
             await self.budget.take(1, URGENT, BUDGET_WAIT_S)
         except RateBudgetError as error:
@@ -134,14 +134,14 @@
             )
         except RequestNotSentError as error:
             raise CloudUnavailableError(str(error)) from None
-        if _refused(response):
+        if _rejected_unprocessed(response):
             operation = f"{method} {target}"
             raise CloudStatusError(operation, response.status)
         return response
 
 
-def _refused(response: Response) -> bool:
-    """Whether the cloud did not even look at the request: too many of them, or an outage."""
+def _rejected_unprocessed(response: Response) -> bool:
+    """Whether the cloud rejected the request without processing it: rate limit or outage."""
     if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
         return b"capacity" not in response.body
     return response.status == HTTPStatus.TOO_MANY_REQUESTS
--- a/umberward/clients/errors.py
+++ b/umberward/clients/errors.py
@@ -1,14 +1,14 @@
 """Errors of the clients of the state service and of the cloud.
 
-For the caller the decisive question is whether a request may have been executed. Each error of the
-state service's client answers it; see also `umberward.protocol.http.NoResponseError`.
+A caller must know whether a request may have been executed. Each error of the state service's
+client answers this; see also `umberward.protocol.http.NoResponseError`.
 """
 
 from __future__ import annotations
 
 
 class ServiceClientError(Exception):
-    """The base of all errors in this package."""
+    """Base class of all errors in this package."""
 
 
 class StateUnavailableError(ServiceClientError):
@@ -16,40 +16,40 @@
 
 
 class RateBudgetError(StateUnavailableError):
-    """This controller's own share of a service's rate limit is used up; nothing was sent."""
+    """This controller's share of a service's rate limit is used up; nothing was sent."""
 
     def __init__(self, wait_s: float) -> None:
         """`wait_s`: seconds until the budget would allow the request."""
-        super().__init__(f"over budget for {wait_s:.2f} s")
+        super().__init__(f"rate budget exceeded; next request allowed in {wait_s:.2f} s")
         self.wait_s = wait_s
 
 
 class RateLimitedError(StateUnavailableError):
-    """The state service refused the request for its rate; a later attempt may succeed."""
+    """The state service rejected the request because of its rate limit; a retry may succeed."""
 
     def __init__(self, method: str, target: str) -> None:
-        """`method` and `target` are those of the refused HTTP request."""
-        super().__init__(f"{method} {target}: 429")
+        """`method` and `target`: those of the rejected HTTP request."""
+        super().__init__(f"{method} {target}: rate limit exceeded (HTTP 429)")
 
 
 class UnexpectedStatusError(StateUnavailableError):
-    """The state service answered with a status that the operation does not know."""
+    """The state service responded with a status that is not expected for the operation."""
 
     def __init__(self, operation: str, status: int) -> None:
         """`operation`: what was requested, for the log; `status`: the HTTP status."""
-        super().__init__(f"{operation}: {status}")
+        super().__init__(f"{operation}: unexpected HTTP status {status}")
 
 
 class ValueTooLargeError(StateUnavailableError):
-    """The state service refuses the transaction or one of its values; a retry is useless."""
+    """The state service rejected the transaction or one of its values; a retry is useless."""
 
-    def __init__(self, reason: str = "commit: 400") -> None:
-        """`reason`: the refused operation and its status, for the log."""
+    def __init__(self, reason: str = "commit: transaction or value rejected (HTTP 400)") -> None:
+        """`reason`: the rejected operation and its status, for the log."""
         super().__init__(reason)
 
 
 class UnknownOutcomeError(ServiceClientError):
-    """The request to the state service may have been executed, or may be executed later."""
+    """The request to the state service may have been executed or may yet be executed."""
 
 
 class CompareAndSwapError(ServiceClientError):
@@ -57,24 +57,24 @@
 
 
 class LeaseExpiredError(ServiceClientError):
-    """The state service does not have the lease any more."""
+    """The lease has expired or was revoked in the state service."""
 
 
 class RevisionCompactedError(ServiceClientError):
-    """The state service no longer has the changes after the requested revision."""
+    """The state service no longer keeps the changes after the requested revision."""
 
 
 class CloudUnavailableError(ServiceClientError):
-    """The request to the cloud was not executed, or it only read and can be repeated."""
+    """The request to the cloud was not executed, or it failed and is safe to retry."""
 
 
 class CloudStatusError(CloudUnavailableError):
-    """The cloud answered with a status that the operation does not know."""
+    """The cloud responded with a status that is not expected for the operation."""
 
     def __init__(self, operation: str, status: int) -> None:
         """`operation`: what was requested, for the log; `status`: the HTTP status."""
-        super().__init__(f"{operation}: {status}")
+        super().__init__(f"{operation}: unexpected HTTP status {status}")
 
 
 class NoCapacityError(ServiceClientError):
-    """The cloud has no machine of the requested type, zone and kind (spot or ordinary) now."""
+    """The cloud currently has no machine of the requested type, zone and kind (spot or not)."""
--- a/umberward/clients/rate_budget.py
+++ b/umberward/clients/rate_budget.py
@@ -9,51 +9,51 @@
 from umberward.clients.errors import RateBudgetError
 from umberward.protocol.transactions import Priority
 
-# Shares of one second's requests that a priority leaves to the more urgent ones.
+# Share of one second's tokens that requests of a priority leave to those of higher ones.
 RESERVED_SHARES = {Priority.URGENT: 0.0, Priority.NORMAL: 0.15, Priority.BACKGROUND: 0.4}
-TIMER_MARGIN_S = 0.001  # the bucket is full enough only shortly after the computed wait
+TIMER_MARGIN_S = 0.001  # added to the computed wait, after which the bucket may lack a fraction
 
 
 class RateBudget:
-    """A token bucket: it refills at `rate` tokens a second and holds `burst` tokens.
+    """A token bucket: it refills at `rate` tokens per second and holds up to `burst` tokens.
 
     Requests of a lower priority leave a reserve in the bucket for those of a higher one. All times
-    are those of the process's own steady clock.
+    are readings of the process's monotonic clock.
     """
 
     def __init__(self, rate: float) -> None:
-        """Start with a full bucket that holds one second's tokens."""
+        """Create a full bucket that holds one second's tokens."""
         self.rate = rate
         self.burst = rate
         self.tokens = rate
-        self.filled_at = time.monotonic()
+        self.refilled_at = time.monotonic()
 
     def set_rate(self, rate: float, min_burst: float = 0.0) -> None:
-        """Refill at `rate` tokens a second from now on.
+        """Refill at `rate` tokens per second from now on.
 
-        The bucket holds one second's tokens, or `min_burst` tokens if that is more.
+        The bucket then holds one second's tokens, but at least `min_burst`.
         """
-        self._fill()
+        self._refill()
         self.rate = rate
         self.burst = max(rate, min_burst)
 
     def wait_time(self, count: int, priority: Priority) -> float:
-        """Seconds until `count` tokens may be taken; 0: at once."""
-        self._fill()
+        """Return the seconds until `count` tokens may be taken; 0: immediately."""
+        self._refill()
         needed = min(count, self.rate) + RESERVED_SHARES[priority] * self.rate
-        # More than one second's tokens would possibly never be in the bucket.
+        # The bucket may never hold more than one second's tokens.
         needed = min(needed, self.rate)
         return max(0.0, (needed - self.tokens) / self.rate)
 
     def drain(self) -> None:
-        """Empty the bucket: the service's limit is used up by the other controllers."""
-        self._fill()
+        """Empty the bucket, as the other controllers have used up the service's limit."""
+        self._refill()
         self.tokens = min(self.tokens, 0.0)
 
     async def take(self, count: int, priority: Priority, max_wait_s: float) -> None:
-        """Take `count` tokens, after a wait of `max_wait_s` seconds at most.
+        """Take `count` tokens, waiting for them for at most `max_wait_s` seconds.
 
-        Raises RateBudgetError, without a wait, as soon as the tokens would come too late.
+        Raises RateBudgetError, without further waiting, if they would become available later.
         """
         deadline = time.monotonic() + max_wait_s
         while True:
@@ -65,7 +65,7 @@
                 raise RateBudgetError(wait_s)
             await curio.sleep(wait_s + TIMER_MARGIN_S)
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = time.monotonic()
-        self.tokens = min(self.burst, self.tokens + (now - self.filled_at) * self.rate)
-        self.filled_at = now
+        self.tokens = min(self.burst, self.tokens + (now - self.refilled_at) * self.rate)
+        self.refilled_at = now
--- a/umberward/clients/state_client.py
+++ b/umberward/clients/state_client.py
@@ -1,8 +1,8 @@
 """Client of the state service, within this controller's share of its rate limits.
 
 The operations are compare-and-swap transactions, reads, watches and leases (PROTOCOL, "Controller
-nodes -> state service"). Every request takes from a budget first, so that the controllers together
-stay below the service's limits.
+nodes -> state service"). Every request takes a token from a rate budget first, so that all
+controllers together stay below the service's limits.
 """
 
 from __future__ import annotations
@@ -51,21 +51,21 @@
 
 log = logger(__name__)
 
-# Shares of the state service's limits. A little stays unused: clocks and bursts differ.
+# Shares of the state service's limits. A small part stays unused, as clocks and bursts differ.
 USABLE_SHARE = 0.98
 LEADER_REQUEST_SHARE = 0.38
 LEADER_WRITE_SHARE = 0.58
-# Submissions come in bursts, and rarely at all controllers at once. So a follower may use this
-# share of one second's writes in a burst, although its rate is lower. If all followers do so at
-# once, the state service refuses some of the requests, which are then repeated.
+# Submissions come in bursts, rarely at all controllers at once. A burst of a follower may therefore
+# use this share of the write limit per second, although its rate is lower. If all followers do so
+# at once, the state service rejects some requests, which are then retried.
 FOLLOWER_WRITE_BURST_SHARE = 0.4
-CHANGE_RATE_HEADROOM = 2.0
+CHANGE_RATE_SAFETY_FACTOR = 2.0  # for bursts and for keys deleted when their leases end
 
 READ_TIMEOUT_S = 1.5
 LIST_TIMEOUT_S = 3.0
 COMMIT_TIMEOUT_S = 2.0
 LEASE_TIMEOUT_S = 1.0
-WATCH_GRACE_S = 2.0  # beyond the time for which the service may delay its response
+WATCH_RESPONSE_MARGIN_S = 2.0  # added to the time for which the service may delay its response
 READ_BUDGET_WAIT_S = 0.5
 REQUEST_BUDGET_WAIT_S = 1.0
 LEASE_RENEWAL_BUDGET_WAIT_S = 0.3
@@ -76,14 +76,14 @@
 
 
 class ListResult(NamedTuple):
-    """All entries under a prefix, and a revision from which a watch misses no change of them."""
+    """All entries under a prefix, and the revision after which to watch for their changes."""
 
     entries: list[wire.KeyValue]
     revision: Revision
 
 
 class WatchResult(NamedTuple):
-    """Changes after the requested revision, and the revision to watch from next."""
+    """Changes after the requested revision, and the revision for the next watch."""
 
     changes: list[wire.KeyChange]
     revision: Revision
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Request:
-    """One HTTP request, with its limits in seconds of this process's steady clock."""
+    """One HTTP request, with its time limits in seconds."""
 
     method: str
     target: str
@@ -105,17 +105,17 @@
     """Operations on the state service.
 
     All of them raise StateUnavailableError if the request was certainly not executed, and
-    UnknownOutcomeError if that cannot be known; further errors are named at each. `patience` is
+    UnknownOutcomeError if it may have been; each operation documents further errors. `patience` is
     the time in seconds that a request may wait for the rate budget.
     """
 
     def __init__(
         self, address: Address, limits: StateLimits, controller_count: int, client: Client
     ) -> None:
-        """`limits` hold for all `controller_count` controllers together; start as a follower."""
+        """Create a follower's client. `limits` apply to all `controller_count` controllers."""
         self.address = address
         self.limits = limits
-        self.strictest_limits = limits.strictest()  # these come into force without notice
+        self.strictest_limits = limits.strictest()  # these may take effect without notice
         next_write_rps = limits.next.write_rps if limits.next is not None else None
         self.max_write_rps = max(limits.write_rps, next_write_rps or 0.0)
         self.leading = False
@@ -131,9 +131,10 @@
         self._decode_lease = wire.decoder(wire.LeaseResponse)
 
     def set_role(self, *, leading: bool) -> None:
-        """Set the budgets for a leader or a follower.
+        """Set the rate budgets for a leader or a follower.
 
-        The leader writes most. The shares of all controllers together stay below the limits.
+        The leader writes most, so it gets the largest share of the writes. The sum of all
+        controllers' shares is below the limits.
         """
         self.leading = leading
         request_share, write_share = LEADER_REQUEST_SHARE, LEADER_WRITE_SHARE
@@ -149,9 +150,9 @@
     def max_changes_per_s(self) -> float:
         """An upper bound of the revision's growth per second.
 
-        It has room for writes, bursts of them, and keys that are deleted when their leases end.
+        It covers writes, bursts of writes, and deletions of keys whose leases end.
         """
-        return CHANGE_RATE_HEADROOM * self.max_write_rps
+        return CHANGE_RATE_SAFETY_FACTOR * self.max_write_rps
 
     # ---- reads -------------------------------------------------------------------------
 
@@ -162,7 +163,7 @@
         timeout: float = READ_TIMEOUT_S,
         patience: float = READ_BUDGET_WAIT_S,
     ) -> VersionedValue | None:
-        """The value of a key; None: there is no such key."""
+        """Return the value of a key; None: there is no such key."""
         response = await self._send(
             _Request("GET", f"/kv/{key}", None, timeout, priority, patience)
         )
@@ -179,7 +180,7 @@
         max_entries: int = LIST_PAGE_SIZE,
         priority: Priority = URGENT,
     ) -> wire.KeyValuePage:
-        """At most `max_entries` entries with keys under `prefix` and behind `after_key`."""
+        """Return up to `max_entries` entries with keys under `prefix` and above `after_key`."""
         target = f"/kv?prefix={quote(prefix)}&most={max_entries}"
         if after_key:
             target += f"&from={quote(after_key)}"
@@ -190,10 +191,10 @@
         return self._decode_page(response.body)
 
     async def list_all(self, prefix: str) -> ListResult:
-        """All entries with keys under `prefix`."""
+        """Return all entries with keys under `prefix`."""
         page = await self.list_page(prefix)
-        # The first page's revision: a watch from there on also reports what changes in pages
-        # while later ones are read.
+        # Use the first page's revision, so that a watch also reports changes made while later pages
+        # are read.
         revision = Revision(page.revision)
         entries = list(page.entries)
         while page.more and page.entries:
@@ -202,16 +203,20 @@
         return ListResult(entries, revision)
 
     async def watch(
-        self, prefix: str, after: Revision, hold_s: float, grace_s: float = WATCH_GRACE_S
+        self,
+        prefix: str,
+        after: Revision,
+        hold_s: float,
+        response_margin_s: float = WATCH_RESPONSE_MARGIN_S,
     ) -> WatchResult:
-        """The changes under `prefix` after the revision `after`.
+        """Return the changes under `prefix` after the revision `after`.
 
-        If there are none, the service delays its response by up to `hold_s` seconds. Raises
-        RevisionCompactedError if it no longer has these changes.
+        This is a long poll: without changes, the service delays its response by up to `hold_s`
+        seconds. Raises RevisionCompactedError if the service no longer keeps these changes.
         """
         target = f"/watch?prefix={quote(prefix)}&from={after}&hold_ms={round(hold_s * MS_PER_S)}"
         response = await self._send(
-            _Request("GET", target, timeout_s=hold_s + grace_s, priority=URGENT)
+            _Request("GET", target, timeout_s=hold_s + response_margin_s, priority=URGENT)
         )
         if response.status == HTTPStatus.GONE:
             raise RevisionCompactedError
@@ -242,16 +247,16 @@
             body["writes"] = writes
         deadline = time.monotonic() + patience
         while True:
-            left_s = max(0.0, deadline - time.monotonic())
+            remaining_wait_s = max(0.0, deadline - time.monotonic())
             if writes:
-                await self.write_budget.take(len(writes), priority, left_s)
+                await self.write_budget.take(len(writes), priority, remaining_wait_s)
             try:
                 response = await self._send(
-                    _Request("POST", "/commit", body, timeout, priority, left_s)
+                    _Request("POST", "/commit", body, timeout, priority, remaining_wait_s)
                 )
                 break
             except RateLimitedError:
-                # The controllers together were too fast: this one pauses, too, and repeats it.
+                # The controllers together exceeded the limit, so this one slows down and retries.
                 self.write_budget.drain()
                 if time.monotonic() >= deadline:
                     raise
@@ -276,14 +281,14 @@
     # ---- leases ------------------------------------------------------------------------
 
     async def grant_lease(self, ttl_s: float) -> LeaseId:
-        """A new lease that ends `ttl_s` seconds after its last renewal, by the service's clock."""
+        """Grant a lease that ends `ttl_s` seconds (service's clock) after its last renewal."""
         body = {"ttl_ms": round(ttl_s * MS_PER_S)}
         response = await self._send(_Request("POST", "/leases", body, LEASE_TIMEOUT_S, URGENT))
         _require_ok(response, "lease")
         return LeaseId(self._decode_lease(response.body).lease_id)
 
     async def renew_lease(self, lease: LeaseId, timeout: float) -> None:
-        """Renew a lease. Raises LeaseExpiredError if it has ended already."""
+        """Renew a lease. Raises LeaseExpiredError if it has already ended."""
         target = f"/leases/{lease}/extend"
         response = await self._send(
             _Request("POST", target, {}, timeout, URGENT, LEASE_RENEWAL_BUDGET_WAIT_S)
@@ -293,13 +298,13 @@
         _require_ok(response, "extend")
 
     async def revoke_lease(self, lease: LeaseId) -> None:
-        """End a lease, and with it the keys that were written with it."""
+        """End a lease, which also deletes the keys attached to it."""
         await self._send(_Request("DELETE", f"/leases/{lease}", None, LEASE_TIMEOUT_S, URGENT))
 
     # ---- requests ----------------------------------------------------------------------
 
     async def _send(self, request: _Request) -> Response:
-        """The response to a request, unless it says that the service did not execute it."""
+        """Send a request and return its response. Raises if the service did not execute it."""
         await self.request_budget.take(1, request.priority, request.budget_wait_s)
         body = b"" if request.body is None else wire.encode(request.body)
         try:
@@ -319,7 +324,7 @@
         return response
 
     def _use_strictest_limits(self) -> None:
-        """Assume that the service has lowered its limits; if not, the lower ones do no harm."""
+        """Assume that the service has lowered its limits; otherwise the lower ones are harmless."""
         if self.limits is self.strictest_limits:
             return
         log.info("state_limits_lowered", reason="the state service refused a request for its rate")
--- a/umberward/core/actor.py
+++ b/umberward/core/actor.py
@@ -1,7 +1,7 @@
-"""Actors: objects whose state only one message at a time may read or change.
+"""Actors: objects that handle one message at a time, so that their state needs no locks.
 
-Each actor has a mailbox and handles its messages in the order of their arrival. `Actor.tell` sends
-a message, `Actor.ask` sends a `Request` and waits for its answer.
+An actor has a mailbox and handles its messages in the order of arrival. `Actor.tell` sends a
+message; `Actor.ask` sends a `Request` and waits for the response.
 """
 
 from __future__ import annotations
@@ -20,30 +20,30 @@
 
 
 class Request(msgspec.Struct, Generic[AnswerT], frozen=True):
-    """Base of the messages that are answered with an `AnswerT`."""
+    """Base class of messages whose response is an `AnswerT`."""
 
 
 class Question:
-    """A message in a mailbox whose sender waits for the answer.
+    """A queued request whose sender waits for the response.
 
-    The answer's type depends on the message, so it is not checked here: see `Actor.ask`.
+    The response's type depends on the request and is not checked here; see `Actor.ask`.
     """
 
     __slots__ = ("_done", "answer", "message")
 
     def __init__(self, message: object) -> None:
-        """Wrap `message`, which is what the receiver handles."""
+        """Wrap `message`, which the receiver will handle."""
         self.message = message
         self.answer: Any = None
         self._done = curio.Event()
 
     async def reply(self, answer: object) -> None:
-        """Give the answer and wake the sender. To be called once."""
+        """Set the response and wake up the sender. Must be called only once."""
         self.answer = answer
         await self._done.set()
 
     async def wait(self) -> Any:  # noqa: ANN401 - depends on the message
-        """Return the answer once it has been given."""
+        """Wait for the response and return it."""
         await self._done.wait()
         return self.answer
 
@@ -51,8 +51,8 @@
 class Actor(Generic[MessageT]):
     """Handles one message at a time.
 
-    `handle` may spawn tasks, and must not wait for anything: until it returns, no other message is
-    handled. A message whose handler raises is logged, and the actor goes on with the next one.
+    `handle` may spawn tasks but must not wait for anything, as no other message is handled until it
+    returns. If it raises, the error is logged and the actor continues with the next message.
     """
 
     def __init__(self) -> None:
@@ -63,28 +63,28 @@
         self.handling = False
 
     async def tell(self, message: MessageT) -> None:
-        """Put the message into the mailbox, without waiting until it is handled."""
+        """Put the message into the mailbox without waiting for its handling."""
         await self.mailbox.put(message)
 
     async def ask(self, request: Request[AnswerT]) -> AnswerT | None:
-        """Send the request and return its answer.
+        """Send the request and return its response.
 
-        Returns None if the actor has ended, if it ends before the answer is given, or if the
-        request's handler fails.
+        Returns None if the actor has ended, ends before it responds, or fails to handle the
+        request.
         """
         if self.ended:
             return None
         if self.running and not self.handling and self.mailbox.empty():
-            # No other message is before it, so it may be handled at once, in the sender's task.
-            # This saves two task switches, which cost more than handling a heartbeat does; nearly
-            # all heartbeats of a large fleet are handled here.
+            # With no message queued before it, handle the request directly in the sender's task.
+            # This saves two task switches, which cost more than the handling of a heartbeat. Nearly
+            # all heartbeats of a large fleet take this path.
             return await self._handle_or_log(request)  # type: ignore[no-any-return]
         question = Question(request)
         await self.mailbox.put(question)
         return await question.wait()  # type: ignore[no-any-return]
 
     async def run(self) -> None:
-        """Handle messages until cancelled; then answer every waiting request with None."""
+        """Handle messages until cancelled, then respond to all queued requests with None."""
         self.running, self.ended = True, False
         try:
             while True:
@@ -95,25 +95,25 @@
                     await self._handle_or_log(message)
         finally:
             self.running, self.ended = False, True
-            # Senders that still wait would otherwise wait for ever.
+            # Otherwise their senders would wait forever.
             while not self.mailbox.empty():
                 message = await self.mailbox.get()
                 if isinstance(message, Question):
                     await message.reply(None)
 
     async def _handle_or_log(self, message: Any) -> Any:  # noqa: ANN401 - see Question
-        """Return the handler's answer; None if it raised, which is logged."""
+        """Return the handler's result; if it raises, log the error and return None."""
         self.handling = True
         try:
             return await self.handle(message)
         except curio.CancelledError:
             raise
         except Exception:
-            log.exception("message_failed", message=type(message).__name__)
+            log.exception("message_handler_failed", message=type(message).__name__)
             return None
         finally:
             self.handling = False
 
     async def handle(self, message: MessageT) -> object:
-        """Handle one message. Returns the answer if the message is a `Request`."""
+        """Handle one message. Returns the response if the message is a `Request`."""
         raise NotImplementedError
--- a/umberward/core/event_loop.py
+++ b/umberward/core/event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop of a controller: the one of curio, with fewer system calls."""
+"""The event loop of a controller: curio's, with fewer system calls."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 Arguments = TypeVarTuple("Arguments")
 Result = TypeVar("Result")
 
-POLL_INTERVAL_S = 0.002  # how often sockets are polled while tasks are ready to run
+POLL_INTERVAL_S = 0.002  # between polls of the sockets while tasks are ready to run
 
 
 class BatchingSelector(selectors.DefaultSelector):
     """A selector that limits how often sockets are polled while tasks are ready to run.
 
-    curio polls before each round of ready tasks, and every message from one actor to another makes
-    a round. Sockets need no polling that often.
+    curio polls before each round of ready tasks, and every message between actors causes a round.
+    Sockets need not be polled that often.
     """
 
     def __init__(self) -> None:
-        """A selector that watches no sockets yet."""
+        """Create a selector without sockets."""
         super().__init__()
         self.last_poll_at = 0.0  # seconds of the monotonic clock
-        self.polls = 0  # so far
+        self.polls = 0  # number of polls so far
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Events as of `selectors`; none, without a poll, if the last one was just before.
+        """Return the events as `selectors` does, or none without polling if it is too early.
 
-        `timeout`: seconds, 0 while tasks are ready to run.
+        `timeout`: in seconds; 0 while tasks are ready to run.
         """
         if timeout == 0 and time.monotonic() - self.last_poll_at < POLL_INTERVAL_S:
             return []
@@ -42,6 +42,6 @@
 
 
 def run(main: Callable[[*Arguments], Awaitable[Result]], *args: *Arguments) -> Result:
-    """Run `main(*args)` as the main task to its end; returns its result, raises what it raises."""
+    """Run `main(*args)` as the main task; returns its result or raises its exception."""
     result: Result = curio.run(main, *args, selector=BatchingSelector())
     return result
--- a/umberward/core/log.py
+++ b/umberward/core/log.py
@@ -1,7 +1,7 @@
-"""Structured logs: the name of an event and its fields, as lines for people or as JSON.
+"""Structured logging: event names with fields, as human-readable lines or as JSON.
 
-Built on `structlog`, which adds 16 ms to a start of 250 ms, and 0.4 MB of memory. An event below
-the level costs a call of 1 us and writes no line.
+It uses `structlog`, which adds 16 ms to a start-up of 250 ms, and 0.4 MB of memory. An event below
+the level costs a call of 1 us and writes nothing.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 import msgspec
 import structlog
 
-# The levels of the platform by their names on the command line.
+# The platform's log levels, by their names on the command line.
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
-JSON_TYPES = (str, int, float, bool, type(None))  # values that stay as they are in JSON
+JSON_TYPES = (str, int, float, bool, type(None))  # written to JSON without conversion
 
 
-# structlog's loggers take their type from the configuration, so it has no name here.
+# The type of structlog's loggers depends on the configuration, so it cannot be named here.
 def logger(name: str) -> Any:  # noqa: ANN401
-    """The logger of a module; `name` is the module's."""
+    """Return the logger of the module `name`."""
     return structlog.get_logger(name)
 
 
 def configure(level: str, form: str, *, keep: bool = True) -> None:
-    """Set the level and the form of all log lines; the program calls it before it logs anything.
+    """Set the level and format of all log lines; must be called before the program logs anything.
 
-    `level`: one of LEVELS; `form`: "json" or "lines". With `keep`, loggers keep the configuration
-    of their first line, which makes them faster; a later call does not change them.
+    `level`: one of LEVELS; `form`: "json" or "lines". With `keep`, loggers cache the configuration
+    at their first line, which makes them faster; later calls of this function do not affect them.
     """
     structlog.configure(
         processors=[
@@ -42,12 +42,12 @@
         logger_factory=_LineWriter,
         cache_logger_on_first_use=keep,
     )
-    # Libraries, such as the event loop, log in the same form and at the same level.
+    # Libraries, such as the event loop, log in the same format and at the same level.
     logging.basicConfig(handlers=[_LibraryHandler()], level=LEVELS[level], force=True)
 
 
 class _LibraryHandler(logging.Handler):
-    """Passes the records of the standard library's logging on to this log."""
+    """Forwards records of the standard library's `logging` to this log."""
 
     def emit(self, record: logging.LogRecord) -> None:
         fields = {"text": record.getMessage()}
@@ -57,13 +57,13 @@
 
 
 class _LineWriter:
-    """Writes finished lines to standard error, the only place that a controller logs to."""
+    """Writes rendered lines to standard error, the only log output of a controller."""
 
     def __init__(self, name: str = "") -> None:
         self.name = name
 
     def msg(self, line: str) -> None:
-        """Write a line of any level: structlog calls the method with the level's name."""
+        """Write a line of any level: structlog calls the method named after the level."""
         sys.stderr.write(line + "\n")
 
     debug = info = warning = error = critical = exception = log = msg
@@ -79,7 +79,7 @@
 
 def _quote_if_needed(value: object) -> str:
     text = str(value)
-    return repr(text) if not text or any(sign in text for sign in ' ="\n') else text
+    return repr(text) if not text or any(char in text for char in ' ="\n') else text
 
 
 def _render_json(writer: _LineWriter, _: str, event: MutableMapping[str, Any]) -> str:
@@ -89,4 +89,4 @@
     return msgspec.json.encode(fields).decode()
 
 
-configure("error", "lines", keep=False)  # used as a library, it reports only errors by default
+configure("error", "lines", keep=False)  # default for use as a library: only errors
--- a/umberward/core/rate_limited_log.py
+++ b/umberward/core/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""A log of bounded rate: repeated events are counted, and reported with their next line."""
+"""A rate-limited log: suppressed lines are counted and reported with the next line."""
 
 from __future__ import annotations
 
@@ -6,54 +6,54 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-LINES_PER_S = 20  # of one event
+DEFAULT_LINES_PER_S = 20  # per event name
 WINDOW_S = 1.0
 
 
 class InfoLogger(Protocol):
-    """The part of a logger of `umberward.core.log` that is used here."""
+    """The logger method that is used here; loggers of `umberward.core.log` have it."""
 
-    def info(self, event: str, **fields: Any) -> Any:  # noqa: ANN401 - as structlog has it
+    def info(self, event: str, **fields: Any) -> Any:  # noqa: ANN401 - as in structlog
         """Write one line."""
 
 
 class _EventWindow:
-    """The lines of one event within the window that began at `began`."""
+    """Line counts of one event in the window that began at `began_at`."""
 
-    __slots__ = ("began", "left_out", "lines")
+    __slots__ = ("began_at", "left_out", "lines")
 
-    def __init__(self, began: float) -> None:
-        self.began = began
+    def __init__(self, began_at: float) -> None:
+        self.began_at = began_at
         self.lines = 0
         self.left_out = 0
 
 
 class RateLimitedLog:
-    """A logger that writes at most so many lines of each event a second."""
+    """A logger that writes a limited number of lines per second for each event name."""
 
     def __init__(
         self,
         log: InfoLogger,
-        lines_per_s: int = LINES_PER_S,
+        lines_per_s: int = DEFAULT_LINES_PER_S,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """`log`: a logger of `umberward.core.log`; `clock`: steady, in seconds."""
+        """`log`: a logger of `umberward.core.log`; `clock`: monotonic, in seconds."""
         self.log = log
         self.lines_per_s = lines_per_s
         self.clock = clock
         self._windows: dict[str, _EventWindow] = {}
 
     def info(self, event: str, **fields: Any) -> None:  # noqa: ANN401 - any value can be logged
-        """Write a line, unless too many of this event were written within the last second.
+        """Write a line, unless too many of this event were written in the current window.
 
-        The field `left_out` of a line is how many lines of its event were dropped before it.
+        The field `left_out` of a line is the number of lines of its event suppressed before it.
         """
         now = self.clock()
         window = self._windows.get(event)
         if window is None:
             window = self._windows[event] = _EventWindow(now)
-        if now - window.began >= WINDOW_S:
-            window.began, window.lines = now, 0
+        if now - window.began_at >= WINDOW_S:
+            window.began_at, window.lines = now, 0
         if window.lines >= self.lines_per_s:
             window.left_out += 1
             return
--- a/umberward/core/settings.py
+++ b/umberward/core/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file (TOML) and the operators' own properties, both checked."""
+"""Loads and validates the platform's settings file (TOML) and the operators' properties file."""
 
 from __future__ import annotations
 
@@ -12,66 +12,66 @@
 from umberward.core.types import Address, parse_address
 
 Positive = Annotated[float, msgspec.Meta(gt=0, lt=1e12)]
-NotNegative = Annotated[float, msgspec.Meta(ge=0, lt=1e12)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0, lt=1e12)]
 Count = Annotated[int, msgspec.Meta(ge=1, lt=1 << 40)]
-Text = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
+NonEmptyText = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 
-MIN_VALUE_KB = 2.0  # a job's spec, its placement intents and some of its completions
-MIN_TRANSACTION_CHANGES = 2  # a job's end puts its final record and deletes its live record
+MIN_VALUE_KB = 2.0  # room for a job's spec, its placement intents and some completions
+MIN_TRANSACTION_CHANGES = 2  # a job's end writes its final record and deletes its live one
 
 
 class SettingsError(Exception):
-    """The settings are invalid: one line that names the file, the field and the problem."""
+    """Invalid settings, with a one-line message that names the file, the field and the problem."""
 
     def __init__(self, source: Path | str, problem: str) -> None:
-        """`source`: the file; `problem`: the field, if it is known, and what is wrong with it."""
+        """`source`: the file; `problem`: the field, if known, and what is wrong."""
         super().__init__(f"{source}: {problem}")
 
 
 class PeerSettings(msgspec.Struct, frozen=True):
-    """Another controller: its name, its zone and the address for messages between controllers."""
+    """Another controller: its name, its zone and its address for messages between controllers."""
 
-    label: Text
-    site: Text
-    addr: Text
+    label: NonEmptyText
+    site: NonEmptyText
+    addr: NonEmptyText
 
 
 class Endpoints(msgspec.Struct, frozen=True):
     """The addresses of the cloud and of the state service, as HOST:PORT."""
 
-    cloud: Text
-    state: Text
+    cloud: NonEmptyText
+    state: NonEmptyText
 
 
 class TeamQuota(msgspec.Struct, frozen=True):
-    """The guaranteed and the maximum resources of a team; a maximum of 0: there is none."""
+    """The guaranteed and maximum resources of a team; a maximum of 0 means unlimited."""
 
-    name: Text
-    cpus: NotNegative = 0.0
-    cpus_max: NotNegative = 0.0
-    gpus: NotNegative = 0.0
-    gpus_max: NotNegative = 0.0
+    name: NonEmptyText
+    cpus: NonNegative = 0.0
+    cpus_max: NonNegative = 0.0
+    gpus: NonNegative = 0.0
+    gpus_max: NonNegative = 0.0
 
 
 class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
-    """A service-level objective of the jobs of one class, or of all if `job_class` is not set.
+    """A service-level objective for the jobs of one class, or for all if `job_class` is not set.
 
-    `within_s` is in seconds, `share` a part of the jobs, `times` a multiple of their deadlines.
+    `within_s` is in seconds, `share` a fraction of the jobs, `times` a multiple of their deadlines.
     """
 
-    kind: Text
+    kind: NonEmptyText
     job_class: str | None = None
-    within_s: NotNegative | None = None
-    share: NotNegative | None = None
-    times: NotNegative | None = None
+    within_s: NonNegative | None = None
+    share: NonNegative | None = None
+    times: NonNegative | None = None
 
 
 class WorkerTimes(msgspec.Struct, frozen=True):
-    """Times in seconds that hold for all workers (PROTOCOL, "Workers -> controller nodes").
+    """Times in seconds that apply to all workers (PROTOCOL, "Workers -> controller nodes").
 
-    `report_s`: the interval of heartbeats; `lease_s`: the lease of a worker; `gang_wait_s` and
+    `report_s`: heartbeat interval; `lease_s`: length of a worker's lease; `gang_wait_s` and
     `gang_peer_s`: how long the tasks of a gang wait for each other before and after their start;
-    `cancel_s`: within which the tasks of a cancelled job must have ended.
+    `cancel_s`: time within which the tasks of a cancelled job must end.
     """
 
     report_s: Positive
@@ -82,7 +82,7 @@
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """Limits that may come into force at any moment; those that are not set stay the same."""
+    """Limits that may take effect at any moment; unset ones do not change."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -94,7 +94,7 @@
     """Limits of the state service for all controllers together.
 
     `rps` and `write_rps` are per second, `value_kb` is per value, and `txn_ops` is the number of
-    changes in one transaction. `next`: limits that may come into force at any moment.
+    changes in one transaction. `next`: limits that may take effect at any moment.
     """
 
     rps: Positive
@@ -104,7 +104,7 @@
     next: NextLimits | None = None
 
     def strictest(self) -> StateLimits:
-        """The smaller one of each limit: a request within these is never refused."""
+        """Return the lower value of each limit; requests within these are never rejected."""
         if self.next is None:
             return self
         smaller_limits = {
@@ -116,14 +116,14 @@
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """The cloud's limit on requests per second, and by how many seconds its list lags."""
+    """The cloud's limit on requests per second, and the lag of its machine list in seconds."""
 
     rps: Positive
-    list_lag_s: NotNegative
+    list_lag_s: NonNegative
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
-    """What a controller may use of its machine: CPUs, memory and open sockets."""
+    """The CPUs, memory and open sockets that a controller may use on its machine."""
 
     cpu: Positive
     memory_mb: Positive
@@ -131,26 +131,26 @@
 
 
 class ClusterSettings(msgspec.Struct, frozen=True):
-    """What holds for the whole cluster; `skew_ms` bounds the difference of clocks."""
+    """Settings of the whole cluster; `skew_ms` bounds the difference between clocks."""
 
     size: Count
-    zones: Annotated[list[Text], msgspec.Meta(min_length=1)]
+    zones: Annotated[list[NonEmptyText], msgspec.Meta(min_length=1)]
     teams: list[TeamQuota]
     workers: WorkerTimes
     state: StateLimits
     cloud: CloudLimits
     machine_limits: MachineLimits
-    skew_ms: NotNegative = 0.0
+    skew_ms: NonNegative = 0.0
     objectives: list[Objective] = []
 
 
 class PlatformSettings(msgspec.Struct, frozen=True):
     """The platform's settings file for one controller; addresses are HOST:PORT."""
 
-    label: Text
-    site: Text
-    listen: Text
-    peer_bind: Text
+    label: NonEmptyText
+    site: NonEmptyText
+    listen: NonEmptyText
+    peer_bind: NonEmptyText
     endpoints: Endpoints
     cluster: ClusterSettings
     peers: list[PeerSettings] = []
@@ -169,7 +169,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """All settings of a controller, with the addresses parsed; `peers` by their labels."""
+    """All settings of a controller, with parsed addresses; `peers` maps labels to addresses."""
 
     platform: PlatformSettings
     operator: OperatorSettings
@@ -181,7 +181,7 @@
 
 
 def load(path: Path, properties: Path | None = None) -> Settings:
-    """The settings of a controller: the platform's file and, if given, the operators' properties.
+    """Load the platform's settings file and, if given, the operators' properties file.
 
     Raises SettingsError if a file cannot be read or has an invalid field.
     """
@@ -193,15 +193,15 @@
         raise SettingsError(path, f"not UTF-8 text: {error.reason}") from None
     except tomllib.TOMLDecodeError as error:
         raise SettingsError(path, f"not TOML: {error}") from None
-    return validate(raw, load_operator(properties), str(path))
+    return validate(raw, load_operator_settings(properties), str(path))
 
 
 def validate(raw: dict[str, Any], operator: OperatorSettings, source: str = "settings") -> Settings:
-    """The settings of a decoded TOML file. `source` names the file in the SettingsError raised."""
+    """Convert a decoded TOML file to settings. `source`: the file's name, for SettingsError."""
     try:
         platform = msgspec.convert(raw, PlatformSettings)
     except msgspec.ValidationError as error:
-        raise SettingsError(source, _field_first(error)) from None
+        raise SettingsError(source, _format_validation_error(error)) from None
     addresses = _parse_addresses(platform, source)
     _check_worker_times(platform.cluster.workers, source)
     _check_state_limits("cluster.state", platform.cluster.state, source)
@@ -220,7 +220,7 @@
 
 
 def _parse_addresses(platform: PlatformSettings, source: str) -> dict[str, Address]:
-    """All addresses of the settings by the names of their fields."""
+    """Parse all addresses of the settings; the keys are the names of their fields."""
     addresses: dict[str, Address] = {}
     for field, text in [
         ("listen", platform.listen),
@@ -245,24 +245,26 @@
     if limits.value_kb is not None and limits.value_kb < MIN_VALUE_KB:
         raise SettingsError(
             source,
-            f"{section}.value_kb: {limits.value_kb:g} is too little for one record,"
-            f" at least {MIN_VALUE_KB:g} are needed",
+            f"{section}.value_kb: {limits.value_kb:g} is too small for one record;"
+            f" at least {MIN_VALUE_KB:g} is required",
         )
     if limits.txn_ops is not None and limits.txn_ops < MIN_TRANSACTION_CHANGES:
-        raise SettingsError(source, f"{section}.txn_ops: a job's end needs 2 changes at once")
+        raise SettingsError(
+            source, f"{section}.txn_ops: must be at least 2: a job's end makes 2 changes at once"
+        )
 
 
 def _check_names(platform: PlatformSettings, source: str) -> None:
     if platform.label in [peer.label for peer in platform.peers]:
-        raise SettingsError(source, f"peers: {platform.label} is this controller itself")
+        raise SettingsError(source, f"peers: {platform.label} is the label of this controller")
     team_names = [team.name for team in platform.cluster.teams]
     for name in team_names:
         if team_names.count(name) > 1:
             raise SettingsError(source, f"cluster.teams: {name} stands there twice")
 
 
-def load_operator(path: Path | None) -> OperatorSettings:
-    """The operators' settings from a Java properties file; None: the defaults.
+def load_operator_settings(path: Path | None) -> OperatorSettings:
+    """Load the operators' settings from a Java properties file; None: the defaults.
 
     Raises SettingsError if the file cannot be read or has an unknown or invalid property.
     """
@@ -279,16 +281,16 @@
     for name, value in properties.items():
         field = name.replace(".", "_")
         if field not in known_fields:
-            raise SettingsError(path, f"{name}: no such property")
+            raise SettingsError(path, f"{name}: unknown property")
         fields[field] = value
     try:
         return msgspec.convert(fields, OperatorSettings, strict=False)
     except msgspec.ValidationError as error:
-        raise SettingsError(path, _field_first(error).replace("_", ".")) from None
+        raise SettingsError(path, _format_validation_error(error).replace("_", ".")) from None
 
 
-def _field_first(error: msgspec.ValidationError) -> str:
-    """The error with the field's name first: 'cluster.state.rps: Expected `float`, got `str`'."""
+def _format_validation_error(error: msgspec.ValidationError) -> str:
+    """Format the error with the field first: 'cluster.state.rps: Expected `float`, got `str`'."""
     text = str(error)
     problem, separator, field = text.partition(" - at `$")
     if separator:
--- a/umberward/core/tasks.py
+++ b/umberward/core/tasks.py
@@ -1,9 +1,8 @@
-"""Structured concurrency: background tasks with an owner that ends them.
+"""Structured concurrency: background tasks with an owner that cancels them.
 
-A curio task without an owner is cancelled only while the kernel shuts down. The kernel lists the
-tasks that exist at that moment and cancels one after the other; a task that is started meanwhile is
-not in the list, and the shutdown fails. A task of a `TaskScope` ends with its scope, while the
-kernel still runs.
+A curio task without an owner is cancelled only when the kernel shuts down. The kernel then lists
+the existing tasks and cancels them one after another; a task started meanwhile is not in the list,
+and the shutdown fails. A task of a `TaskScope` ends with its scope, while the kernel still runs.
 """
 
 from __future__ import annotations
@@ -16,11 +15,10 @@
 
 
 class TaskScope:
-    """Owns background tasks: all of them have ended once the scope is closed.
+    """Owns background tasks: closing the scope ends all of them.
 
-    The scope does not wait for its tasks, and a task that fails does not end the others. A task
-    that has finished is not kept, so a scope can own any number of short tasks. Spawning in a
-    closed scope raises RuntimeError.
+    The scope does not wait for its tasks to finish, and a failing task does not end the others.
+    Finished tasks are not retained, so a scope can own any number of short tasks.
     """
 
     def __init__(self) -> None:
@@ -32,16 +30,16 @@
 
         Raises RuntimeError if the scope is closed.
         """
-        # curio's groups keep a finished task until it is joined, unless it is a daemon.
+        # curio's groups retain a finished task until it is joined, unless it is a daemon.
         return await self._group.spawn(function, *args, daemon=True)
 
     async def close(self) -> None:
-        """Cancel all tasks and wait until they have ended, even if the caller is cancelled."""
+        """Cancel all tasks and wait for their end, even if the caller is cancelled."""
         async with curio.disable_cancellation():
             await self._group.join()
 
     async def __aenter__(self) -> TaskScope:
-        """Return the scope, which is open already."""
+        """Return the scope, which is already open."""
         return self
 
     async def __aexit__(
@@ -50,5 +48,5 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Close the scope, whether or not the block has raised."""
+        """Close the scope, whether or not the block raised."""
         await self.close()
--- a/umberward/core/types.py
+++ b/umberward/core/types.py
@@ -1,4 +1,4 @@
-"""Ids, versions, times and resources, each as a type of its own so that none is mistaken."""
+"""Distinct types of ids, versions, times and resources, so that they cannot be mixed up."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
 ScaleOutRequestId = NewType("ScaleOutRequestId", str)
 Key = NewType("Key", str)
 
-Version = NewType("Version", int)  # version of a key in the state service; 0: no such key
+Version = NewType("Version", int)  # of a key in the state service; 0: no such key
 Revision = NewType("Revision", int)  # counter of all changes in the state service
-FencingToken = NewType("FencingToken", int)  # workers ignore commands with a lower one than seen
-Incarnation = NewType("Incarnation", int)  # of a worker: grows whenever its lease expires
+FencingToken = NewType("FencingToken", int)  # workers reject commands with a lower one than seen
+Incarnation = NewType("Incarnation", int)  # of a worker; grows whenever its lease expires
 SequenceNumber = NewType("SequenceNumber", int)  # of a worker's heartbeats within an incarnation
-Attempt = NewType("Attempt", int)  # tells the starts of one task apart
+Attempt = NewType("Attempt", int)  # distinguishes the starts of one task
 LeaseId = NewType("LeaseId", int)
 
 Seconds = NewType("Seconds", float)
-Instant = NewType("Instant", float)  # a reading of the process's steady clock, in seconds
-WallTime = NewType("WallTime", float)  # a time of day, in seconds as time.time() has them
+Instant = NewType("Instant", float)  # a reading of the process's monotonic clock, in seconds
+WallTime = NewType("WallTime", float)  # wall-clock time in seconds since the Unix epoch
 
-MAX_TASKS = 100_000  # of one job
+MAX_TASKS = 100_000  # per job
 MAX_PORT = 65535
-PARSED_TASK_IDS = 32768  # that are remembered: each heartbeat names the same tasks again
+TASK_ID_CACHE_SIZE = 32768  # parsed ids; successive heartbeats name the same tasks
 JOB_PREFIX = "req-"
 _JOB_ID = re.compile(JOB_PREFIX + r"[0-9]{1,18}\Z")
 
 
 class TaskId(NamedTuple):
-    """A task by its job and its number from 0; as text `req-000412/3`."""
+    """A task's job and its number in the job, from 0; as text `req-000412/3`."""
 
     job: JobId
     number: int
 
     def __str__(self) -> str:
-        """The form in messages."""
+        """Return the form used in messages."""
         return f"{self.job}/{self.number}"
 
 
@@ -53,20 +53,20 @@
     port: int
 
     def __str__(self) -> str:
-        """The form in settings and messages."""
+        """Return the form used in settings and messages."""
         return f"{self.host}:{self.port}"
 
 
 def parse_job_id(text: object) -> JobId | None:
-    """`text` as a job id; None: no job can have it."""
+    """Parse a job id; None if `text` is not a valid one."""
     if isinstance(text, str) and _JOB_ID.match(text):
         return JobId(text)
     return None
 
 
-@lru_cache(PARSED_TASK_IDS)
+@lru_cache(TASK_ID_CACHE_SIZE)
 def parse_task_id(text: str) -> TaskId | None:
-    """`text` as a task id; None: it has no number after its last slash."""
+    """Parse a task id; None if `text` has no number after its last slash."""
     job_id, slash, number = text.rpartition("/")
     if not slash or not number.isdecimal():
         return None
@@ -74,25 +74,25 @@
 
 
 def parse_address(text: str) -> Address:
-    """`text` as an address. Raises ValueError for anything but HOST:PORT."""
+    """Parse an address. Raises ValueError if `text` is not HOST:PORT."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"expected HOST:PORT, got {text!r}")  # noqa: TRY003 - its only place
     return Address(host, int(port))
 
 
-ROUNDING_TOLERANCE = 1e-6  # sums of decimal numbers are not exact
+ROUNDING_TOLERANCE = 1e-6  # sums of floating-point numbers are inexact
 
 
 class Resources(NamedTuple):
-    """What a task needs, or what a machine has."""
+    """The resources that a task needs or that a machine has."""
 
     cores: float
     accelerators: float
     mem_gb: float
 
     def plus(self, other: Resources, times: int = 1) -> Resources:
-        """The sum with `times` times the other resources."""
+        """Return the sum of these and `times` times the other resources."""
         cores, accelerators, mem_gb = other
         return _make_resources(
             (
@@ -103,15 +103,15 @@
         )
 
     def minus(self, other: Resources, times: int = 1) -> Resources:
-        """The difference to `times` times the other resources."""
+        """Return these minus `times` times the other resources."""
         return self.plus(other, -times)
 
     def minimum(self, other: Resources) -> Resources:
-        """The smaller one of each resource."""
+        """Return the smaller amount of each resource."""
         return Resources(*map(min, self, other))
 
     def fits(self, room: Resources) -> bool:
-        """Whether these resources fit into `room`, but for rounding errors."""
+        """Whether these resources fit into `room`, tolerating rounding errors."""
         return (
             self[0] <= room[0] + ROUNDING_TOLERANCE
             and self[1] <= room[1] + ROUNDING_TOLERANCE
@@ -119,7 +119,7 @@
         )
 
     def count_within(self, room: Resources) -> int:
-        """How many tasks of this size fit into `room`."""
+        """Return how many tasks of this size fit into `room`."""
         count = MAX_TASKS
         for needed, free in zip(self, room, strict=True):
             if needed > 0:
@@ -127,13 +127,13 @@
         return max(count, 0)
 
 
-# A scheduling pass creates more of these than of anything else, and this is the fastest way.
+# A scheduling pass creates more of these than of any other object; this is the fastest way.
 _make_resources = partial(tuple.__new__, Resources)
 NO_RESOURCES = Resources(0.0, 0.0, 0.0)
 
 
 class MachineOffer(NamedTuple):
-    """What the cloud rents: a machine type in a zone, spot or ordinary."""
+    """What the cloud offers for rent: a machine type in a zone, spot or not."""
 
     type: MachineTypeName
     zone: ZoneName
@@ -141,7 +141,7 @@
 
 
 class ScaleOutRequest(NamedTuple):
-    """A request for machines of one offer; its id ensures that they are rented only once."""
+    """A request for machines of one offer; its id makes retries idempotent."""
 
     request_id: ScaleOutRequestId
     offer: MachineOffer
--- a/umberward/leader/__init__.py
+++ b/umberward/leader/__init__.py
@@ -1,1 +1,1 @@
-"""One term of leadership: election, the event loop, failover snapshots, machine scaling."""
+"""Leader election, and the leader's event loop, failover snapshots and machine scaling."""
--- a/umberward/leader/clock.py
+++ b/umberward/leader/clock.py
@@ -1,4 +1,4 @@
-"""The clocks of this controller, as typed readings."""
+"""Typed readings of the monotonic clock and of the wall clock."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def monotonic_now() -> Instant:
-    """Return the steady clock's reading, in seconds. It is comparable within a process only."""
+    """Return the monotonic clock's reading in seconds, comparable only within this process."""
     return Instant(time.monotonic())
 
 
 def wall_now() -> WallTime:
-    """Return the time of day, in seconds since 1970."""
+    """Return the wall-clock time in seconds since the Unix epoch."""
     return WallTime(time.time())
--- a/umberward/leader/command_sender.py
+++ b/umberward/leader/command_sender.py
@@ -1,4 +1,4 @@
-"""Sends direct commands and probes to workers, and reports their results to the leader loop."""
+"""Sends direct commands and probes to workers and reports the results to the leader loop."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from umberward.scheduling.command_queue import CommandQueue
 
 log = logger(__name__)
-bounded_log = RateLimitedLog(log)
+rate_limited_log = RateLimitedLog(log)
 
 COMMAND_TIMEOUT_S = 2.0
 PROBE_TIMEOUT_S = 1.0
-LOGGED_COMMANDS = 4  # task commands of one direct command that a log line names
+MAX_LOGGED_COMMANDS = 4  # task commands listed in a log line about one direct command
 
-# A worker answers a direct command with a heartbeat if it has executed it (200), and if it has
-# refused it because of the fencing token or the incarnation (409).
+# A worker responds to a direct command with a heartbeat if it executed the command (200) or
+# rejected its fencing token or incarnation (409).
 HEARTBEAT_STATUSES = (HTTPStatus.OK, HTTPStatus.CONFLICT)
-# After these it is certain what was executed: a malformed command (400) is executed in no part.
+# With these it is certain what was executed: no part of a malformed command (400) is.
 KNOWN_OUTCOME_STATUSES = (*HEARTBEAT_STATUSES, HTTPStatus.BAD_REQUEST)
 
 
 class CommandSender:
-    """Carries out the scheduler's outbox. At most one direct command is in flight per machine."""
+    """Sends the scheduler's outbox, with at most one direct command in flight per machine."""
 
     def __init__(
         self,
@@ -39,23 +39,23 @@
         client: Client,
         spawn: Callable[..., Awaitable[object]],
     ) -> None:
-        """`spawn(function, *args)` starts a task that ends with the leadership."""
+        """`spawn(function, *args)` starts a task that is cancelled when the leadership ends."""
         self.context = context
         self.client = client
         self.spawn = spawn
         self.queue = CommandQueue(context.scheduler, self.may_start)
 
     def may_start(self) -> bool:
-        """Whether a task start may be decided or sent at this moment."""
+        """Whether a task start may be scheduled or sent now."""
         return self.context.election.may_start(self.context.scheduler.jobs_read_at)
 
     def job_read_age_s(self, now: Instant) -> float | None:
-        """Seconds since the request of the latest successful read of the jobs; None: no read."""
+        """Seconds since the latest successful read of the jobs was requested; None: no read yet."""
         read_at = self.context.scheduler.jobs_read_at
         return None if read_at is None else round(now - read_at, 2)
 
     async def send_outbox(self) -> None:
-        """Empty the scheduler's outbox: start sending what is in it, or queue it."""
+        """Drain the scheduler's outbox: start sending each item, or queue it."""
         scheduler = self.context.scheduler
         outbox, scheduler.outbox = scheduler.outbox, []
         for item in outbox:
@@ -65,7 +65,7 @@
                 await self._spawn_command(self.queue.submit(item))
 
     async def command_completed(self, machine: MachineId) -> None:
-        """Send the machine's next command, if one waits: the one in flight has completed."""
+        """Send the machine's next queued command, if any, as the one in flight has completed."""
         await self._spawn_command(self.queue.completed(machine))
 
     async def _spawn_command(self, command: DirectCommand | None) -> None:
@@ -87,8 +87,8 @@
         except RequestNotSentError:
             completed = CommandCompleted(command, None, outcome_unknown=False)
         except (NoResponseError, wire.MalformedMessageError, ValueError) as error:
-            bounded_log.info(
-                "command_timed_out",
+            rate_limited_log.info(
+                "command_outcome_unknown",
                 machine=command.machine,
                 epoch=command.fencing_token,
                 session=command.incarnation,
@@ -100,10 +100,10 @@
         await self.context.mailbox.tell(completed)
 
     async def _request(self, command: DirectCommand) -> CommandCompleted:
-        """Send the command and return what the worker's response says.
+        """Send the command and convert the worker's response.
 
         Raises RequestNotSentError, NoResponseError, MalformedMessageError, or ValueError for an
-        address that is none.
+        invalid address.
         """
         body = {
             "epoch": command.fencing_token,
@@ -126,10 +126,10 @@
         )
 
     def _send_condition(self, command: DirectCommand) -> Callable[[], bool]:
-        """What must hold at the moment of sending.
+        """Return the check that must pass right before the command is sent.
 
-        Without the lease, or long after the latest read of the jobs, nothing may be started; tasks
-        that run already may still be kept alive and stopped.
+        Without the lease, or long after the latest read of the jobs, nothing may be started, but
+        running tasks may still be kept alive and stopped.
         """
         if any(order.verb == wire.START for order in command.commands):
             return self.may_start
@@ -144,16 +144,16 @@
             if response.status == HTTPStatus.OK:
                 heartbeat = wire.decode_heartbeat(response.body)
         except (RequestNotSentError, NoResponseError, wire.MalformedMessageError, ValueError):
-            pass  # the probe is unanswered, which is all that the scheduler needs to know
+            pass  # to the scheduler, every failure is a probe without a response
         await self.context.mailbox.tell(ProbeCompleted(probe, heartbeat))
 
 
 def _describe_commands(commands: list[wire.TaskCommand]) -> str:
-    """The verb, task and attempt of the first few commands, for a log line."""
+    """Format the verb, task and attempt of the first few commands for a log line."""
     described = [
         f"{command.verb}:{command.task_id}#{command.attempt}"
-        for command in commands[:LOGGED_COMMANDS]
+        for command in commands[:MAX_LOGGED_COMMANDS]
     ]
-    if len(commands) > LOGGED_COMMANDS:
-        described.append(f"+{len(commands) - LOGGED_COMMANDS}")
+    if len(commands) > MAX_LOGGED_COMMANDS:
+        described.append(f"+{len(commands) - MAX_LOGGED_COMMANDS}")
     return ",".join(described)
--- a/umberward/leader/failover_snapshot.py
+++ b/umberward/leader/failover_snapshot.py
@@ -1,13 +1,13 @@
-"""What a leader has learnt and no stored record holds, as it is handed to the next leader. No I/O.
+"""Snapshots of a leader's in-memory knowledge, which the next leader restores. No I/O.
 
-Which machine has which image, how long tasks of a class run, how much accelerated work comes, which
-machines are on their way, what fails: a new leader that had to learn all that anew would start
-replicas where their image is missing and request machines that were requested already. A snapshot
-serves better choices only: no rule rests on it, and it may be old or missing altogether.
+A snapshot holds what no stored record does: cached images, observed run times, demand for
+accelerators, booting machines and failures. Without it a new leader would start replicas where
+their image is missing and request machines that were already requested. It only improves decisions:
+no safety rule depends on it, and it may be outdated or missing.
 
-The other controllers ask the leader for it every few seconds. For the case that all controllers end
-at once, what changes slowly also stands in the state service. It is stored a part at a time, as
-writes are scarce there.
+The other controllers fetch it from the leader every few seconds. In case all controllers fail at
+once, its slowly changing content is also stored in the state service, one part at a time because
+the write rate there is limited.
 """
 
 from __future__ import annotations
@@ -31,33 +31,33 @@
 from umberward.scheduling.autoscaler import Autoscaler, PendingMachine
 from umberward.scheduling.scheduler import Scheduler
 
-MAX_SNAPSHOT_AGE_S = 120.0  # too much has changed since an older snapshot was taken
+MAX_SNAPSHOT_AGE_S = 120.0  # too much has changed since an older snapshot
 
 
 class ImageEntry(NamedTuple):
-    """An image that some machine has cached."""
+    """An image cached by at least one machine."""
 
     name: str
     size_gb: float
 
 
 class BootingMachine(NamedTuple):
-    """A rented machine that has not sent a heartbeat yet."""
+    """A rented machine that has not yet sent a heartbeat."""
 
     machine_type: str
     zone: str
     spot: bool
-    pending_s: float  # since it was rented
+    pending_s: float  # time since it was rented
 
 
 class CapacityPause(NamedTuple):
-    """An offer that the cloud had no capacity for, and that is not requested for a while."""
+    """The back-off of an offer for which the cloud had no capacity."""
 
     machine_type: str
     zone: str
     spot: bool
-    remaining_s: float  # until it may be requested again
-    pause_s: float  # the whole pause, from which the next one is computed
+    remaining_s: float  # time until the offer may be requested again
+    pause_s: float  # the whole back-off, from which the next one is computed
 
 
 class FailoverSnapshot(
@@ -74,26 +74,26 @@
         "no_capacity": "refused",
     },
 ):
-    """A leader's knowledge at one moment. Times are relative to that moment."""
+    """A leader's knowledge at one moment, to which all times are relative."""
 
     fencing_token: int
     images: list[ImageEntry]
-    # Machine -> its images as indexes into `images`, least recently used first.
+    # Machine -> indexes into `images`, least recently used first.
     machine_images: dict[str, list[int]]
     runtime_ratio: dict[str, float] = {}  # job class -> observed run time / expected run time
-    headroom_peak: float = 0.0  # the most accelerated tasks at once
-    accelerated_spec: wire.JobSpec | None = None  # an example of an accelerated job
-    quarantined: list[str] = []  # machines
-    faulty_jobs: dict[str, int] = {}  # job -> retries since its failures were attributed to it
+    headroom_peak: float = 0.0  # peak number of concurrent accelerated tasks
+    accelerated_spec: wire.JobSpec | None = None  # the latest accelerated job, as an example
+    quarantined: list[str] = []  # machine ids
+    faulty_jobs: dict[str, int] = {}  # job id -> retries since its failures were attributed to it
     booting: dict[str, BootingMachine] = {}
     no_capacity: list[CapacityPause] = []
 
 
-# ---- the leader's side -------------------------------------------------------------------
+# ---- taking snapshots --------------------------------------------------------------------
 
 
 def take_snapshot(scheduler: Scheduler, autoscaler: Autoscaler, now: Instant) -> FailoverSnapshot:
-    """Return what the leader knows at `now`, by its steady clock."""
+    """Return the leader's knowledge at `now`, a reading of its monotonic clock."""
     images, machine_images = _index_images(scheduler)
     return FailoverSnapshot(
         fencing_token=scheduler.fencing_token,
@@ -124,7 +124,7 @@
 
 
 def _index_images(scheduler: Scheduler) -> tuple[list[ImageEntry], dict[str, list[int]]]:
-    """All cached images, and for each machine the indexes of those that it has."""
+    """Return all cached images, and for each machine the indexes of its images."""
     indexes: dict[ImageName, int] = {}
     images: list[ImageEntry] = []
     machine_images: dict[str, list[int]] = {}
@@ -141,17 +141,17 @@
 def split_snapshot(
     snapshot: FailoverSnapshot, max_machines: int, max_bytes: int
 ) -> list[FailoverSnapshot]:
-    """Return what is worth storing, in parts.
+    """Return the content worth storing, in parts.
 
-    A part has at most `max_machines` machines and `max_bytes` bytes as JSON. The first has what is
-    not about single machines. What is too large for a part of its own is left out.
+    A part has at most `max_machines` machines and `max_bytes` bytes as JSON. The first part holds
+    what is not specific to a machine. A machine or first part that exceeds `max_bytes` is omitted.
     """
     general = FailoverSnapshot(
         snapshot.fencing_token,
         [],
         {},
         snapshot.runtime_ratio,
-        round(snapshot.headroom_peak, 1),  # rounded, as each change costs a write
+        round(snapshot.headroom_peak, 1),  # rounded because every change costs a write
         snapshot.accelerated_spec,
     )
     parts = [general] if wire.json_size(general) <= max_bytes else []
@@ -169,7 +169,7 @@
 
 
 def _snapshot_of_machines(snapshot: FailoverSnapshot, names: list[str]) -> FailoverSnapshot:
-    """The images of these machines only."""
+    """Return a snapshot of the images of these machines only."""
     used = sorted({index for name in names for index in snapshot.machine_images[name]})
     new_indexes = {index: position for position, index in enumerate(used)}
     return FailoverSnapshot(
@@ -181,7 +181,7 @@
     )
 
 
-# ---- the next leader's side --------------------------------------------------------------
+# ---- restoring snapshots -----------------------------------------------------------------
 
 
 def restore_snapshot(
@@ -191,9 +191,9 @@
     autoscaler: Autoscaler,
     now: Instant,
 ) -> None:
-    """Add what the snapshot knows; what this leader has learnt already takes precedence.
+    """Merge the snapshot into this leader's knowledge, which takes precedence.
 
-    To be called when blocks and jobs are loaded, with the seconds since the snapshot was taken.
+    Must be called after blocks and jobs are loaded. `age_s`: seconds since the snapshot was taken.
     """
     _restore_images(snapshot, scheduler)
     scheduler.runtime_ratios = {**snapshot.runtime_ratio, **scheduler.runtime_ratios}
@@ -215,16 +215,16 @@
         machine = scheduler.machines.get(MachineId(name))
         if machine is None:
             continue
-        learnt = machine.images
+        reported_images = machine.images
         machine.images = {
             ImageName(snapshot.images[index].name): snapshot.images[index].size_gb
             for index in indexes
             if 0 <= index < len(snapshot.images)
         }
-        # Cached anew, so that these are the most recently used ones.
+        # Re-add the images reported to this leader, as the most recently used ones.
         machine_type = scheduler.machine_types.get(machine.machine_type)
         cache_gb = machine_type.image_cache_gb if machine_type is not None else 0.0
-        for image, size_gb in learnt.items():
+        for image, size_gb in reported_images.items():
             machine.cache_image(image, size_gb, cache_gb)
 
 
@@ -259,16 +259,16 @@
     return MachineOffer(MachineTypeName(entry.machine_type), ZoneName(entry.zone), entry.spot)
 
 
-# ---- between controllers -----------------------------------------------------------------
+# ---- exchange between controllers --------------------------------------------------------
 
 
 def encode_snapshot(snapshot: FailoverSnapshot) -> bytes:
-    """Return the snapshot as one controller sends it to another: in CBOR."""
+    """Encode the snapshot as CBOR, for another controller."""
     return bytes(cbor2.dumps(msgspec.to_builtins(snapshot)))
 
 
 def decode_snapshot(body: bytes) -> FailoverSnapshot | None:
-    """Return the snapshot; None if it cannot be read, as the peer may run another version."""
+    """Decode the snapshot; None if it is malformed, as the peer may run another version."""
     try:
         return msgspec.convert(cbor2.loads(body), FailoverSnapshot)
     except (cbor2.CBORDecodeError, msgspec.ValidationError, ValueError, TypeError):
--- a/umberward/leader/final_record_lookup.py
+++ b/umberward/leader/final_record_lookup.py
@@ -1,4 +1,4 @@
-"""Looks up how jobs ended that other jobs depend on."""
+"""Looks up the final records of jobs that other jobs depend on."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 
 class FinalRecordLookup:
-    """Finds the final records of jobs that are not live and whose end the watch has not shown."""
+    """Finds final records of dependencies that are not live and whose end the watch has missed."""
 
     def __init__(
-        self, context: LeaderContext, known_final: Callable[[JobId], FinalJobRecord | None]
+        self, context: LeaderContext, cached_final_record: Callable[[JobId], FinalJobRecord | None]
     ) -> None:
-        """`known_final(job_id)`: the final record if this controller has a copy of it."""
+        """`cached_final_record(job_id)`: the final record if this controller has cached it."""
         self.context = context
-        self.known_final = known_final
+        self.cached_final_record = cached_final_record
 
     async def run(self) -> None:
-        """Look up all unresolved dependencies a few times a second, until cancelled."""
+        """Look up all unresolved dependencies periodically, until cancelled."""
         while True:
             await curio.sleep(FINAL_LOOKUP_INTERVAL_S)
             if not self.context.scheduler.loaded:
@@ -46,12 +46,12 @@
                     break
 
     async def _look_up(self, job_id: JobId) -> None:
-        """Tell the leader loop the final record, if there is one."""
-        final = self.known_final(job_id)
+        """Send the job's final record to the leader loop, if there is one."""
+        final = self.cached_final_record(job_id)
         if final is not None:
             await self.context.mailbox.tell(JobEnded(job_id, wire.to_builtins(final)))
             return
         stored = await self.context.store.get(Key(FINAL_JOBS_PREFIX + job_id))
         if stored is not None:
             await self.context.mailbox.tell(JobEnded(job_id, stored.data))
-        # Else the job's record is just being moved, and the watch will show it.
+        # Otherwise the record is being moved, and the watch will report it.
--- a/umberward/leader/leader_context.py
+++ b/umberward/leader/leader_context.py
@@ -1,4 +1,4 @@
-"""What the tasks of one leadership share."""
+"""Objects shared by the tasks of one leadership."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderContext:
-    """The objects that nearly every task of the leader loop works with.
+    """The objects that nearly every task of the leader loop uses.
 
-    Tasks change the scheduler through messages to `mailbox`, so that a scheduling pass and the
-    effects follow. Where a task calls it directly, a comment there says why. All of them run in one
-    thread and switch only where they await something, so a call of the scheduler is atomic.
+    Tasks change the scheduler through messages to `mailbox`, so that a scheduling pass and its
+    effects follow; a comment explains each direct call. All tasks run in one thread and switch only
+    at an `await`, so a call of the scheduler is atomic.
     """
 
     election: LeaderElection
@@ -28,5 +28,5 @@
     rng: random.Random
 
     def is_loaded_leader(self) -> bool:
-        """Whether the jobs have been loaded and the lease holds."""
+        """Whether the jobs have been loaded and the lease is valid."""
         return self.scheduler.loaded and self.election.is_leader()
--- a/umberward/leader/leader_election.py
+++ b/umberward/leader/leader_election.py
@@ -1,9 +1,9 @@
 """Leader election: a lease in the state service, the leader key on it, and the fencing token.
 
-The leader is the controller named by `LEADER_KEY`. The key hangs on that controller's lease, so the
-state service deletes it when the lease ends. The revision of the transaction that has written the
-key is the leader's first fencing token. Each write of a leader has the version of the key as its
-condition, so a former leader can write nothing.
+The leader is the controller named by `LEADER_KEY`. The key is attached to that controller's lease,
+so the state service deletes it when the lease ends. The revision of the transaction that wrote the
+key is the leader's first fencing token. Every write of a leader is conditional on the key's
+version, so a former leader cannot write anything.
 """
 
 from __future__ import annotations
@@ -35,30 +35,31 @@
 
 LEADER_KEY = Key("leader")
 CONTROLLER_KEY_PREFIX = "controllers/"
-ALL_JOB_HASHES = (0, 65536)  # the leader holds all jobs
+ALL_JOB_HASHES = (0, 65536)  # one leader is responsible for all jobs
 
-# A lease of T seconds by the state service's clock is taken to last this share of T by ours.
+# Assumed lower bound of a lease's length on this controller's clock, relative to its length on the
+# state service's clock.
 RENEWAL_DRIFT_FACTOR = 0.999
 RENEWAL_MARGIN_S = 0.15
-# A shorter time of keeping sessions alive without the state service is used up by the renewals and
-# reads of ordinary operation.
+# If workers may be kept alive without the state service for less than this, the intervals between
+# lease renewals and reads in normal operation use up all of it.
 MIN_KEEPALIVE_S = 3.0
 
 RENEWALS_PER_LEASE = 5
 RENEWAL_JITTER = (0.9, 1.1)
-RENEWAL_TIMEOUTS_PER_LEASE = 3  # a renewal may take a third of the lease ...
-MIN_RENEWAL_TIMEOUT_S = 0.5  # ... or this, whichever is longer
-MAX_LEASE_AGE_TO_CAMPAIGN = 0.8  # of the lease's length: an older one is renewed first
+RENEWAL_TIMEOUTS_PER_LEASE = 3  # a renewal times out after a third of the lease
+MIN_RENEWAL_TIMEOUT_S = 0.5  # lower bound of that timeout
+MAX_LEASE_AGE_TO_CAMPAIGN = 0.8  # share of the lease's length; an older lease is renewed first
 
 LEADER_WATCH_HOLD_S = 10.0
-FREE_KEY_WATCH_HOLD_S = 1.0  # while nobody leads and this controller may not campaign yet
+FREE_KEY_WATCH_HOLD_S = 1.0  # while there is no leader and this controller may not campaign yet
 MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.2, 0.4
-STEP_DOWN_PAUSE_LEASES = 2  # a controller that steps down does not campaign for so many leases
-RESTARTED_LEADER_PAUSE_S = 1.0  # for so long a restarted leader lets the others campaign
+STEP_DOWN_CAMPAIGN_DELAY_LEASES = 2  # lease lengths without campaigning after stepping down
+RESTARTED_LEADER_PAUSE_S = 1.0  # time in which only the others campaign after a leader's restart
 
 
 class LeaderElection:
-    """Keeps this controller's lease, follows the leader key and campaigns when it is free."""
+    """Renews this controller's lease, follows the leader key and campaigns when it is free."""
 
     def __init__(
         self,
@@ -72,7 +73,7 @@
         """Create an election that does nothing until `keep_lease` and `follow` run.
 
         `on_elected(fencing_token)` is awaited when this controller becomes the leader, `on_lost()`
-        when it no longer is; `clock`: steady, in seconds.
+        when it ceases to be; `clock`: monotonic, in seconds.
         """
         platform = settings.platform
         self.name = ControllerName(platform.label)
@@ -85,13 +86,13 @@
         self.rng = rng
         self.on_elected = on_elected
         self.on_lost = on_lost
-        self.used_nonces: set[str] = set()  # of all campaigns of this process
-        self.nonce = ""  # of the latest campaign, unless its lease has been abandoned
+        self.used_nonces: set[str] = set()  # nonces of all campaigns of this process
+        self.nonce = ""  # of the latest campaign; empty if its lease was abandoned
         self.term = 0
         self.lease: LeaseId | None = None
-        self.renewed_at = Instant(0.0)  # when the latest granted renewal was sent
-        self.fencing_token: FencingToken | None = None  # None: this controller does not lead
-        self.leader: ControllerName | None = None  # as far as known
+        self.renewed_at = Instant(0.0)  # when the latest successful renewal was sent
+        self.fencing_token: FencingToken | None = None  # None: not the leader
+        self.leader: ControllerName | None = None  # None: unknown or none
         self.leader_version = Version(0)  # of the leader key
         self.campaign_not_before = 0.0
 
@@ -104,12 +105,12 @@
                 lease_s=workers.lease_s,
             )
 
-    # ---- what the leader may do --------------------------------------------------------
+    # ---- permissions -------------------------------------------------------------------
 
     def is_leader(self) -> bool:
-        """Whether this controller leads and its lease certainly holds.
+        """Whether this controller leads and its lease is certainly valid.
 
-        Only then may anything be written, or started as far as `may_start` allows it.
+        This is required for any write, and for any task start in addition to `may_start`.
         """
         return (
             self.fencing_token is not None
@@ -121,41 +122,41 @@
     def may_start(self, jobs_read_at: Instant | None) -> bool:
         """Whether a task may be started.
 
-        `jobs_read_at`: all cancellations confirmed until then are known; None: none are.
+        `jobs_read_at`: time until which all confirmed cancellations are known; None: none are.
         """
         return self.is_leader() and self.bounds.may_start(jobs_read_at, Instant(self.clock()))
 
     def may_keep_alive(self) -> bool:
-        """Whether the leadership may go on without the state service.
+        """Whether the leadership may continue without the state service.
 
-        Commands that start nothing may be sent then, and heartbeats be answered as far as
-        `may_answer` allows it.
+        Commands that start nothing may then be sent, and heartbeats may be answered if `may_answer`
+        allows it.
         """
         keepalive_s = max(self.bounds.keepalive_s, self.lease_seconds)
         return self.fencing_token is not None and self.clock() < self.renewed_at + keepalive_s
 
     def may_answer(self, jobs_read_at: Instant | None) -> bool:
-        """Whether a heartbeat may be answered so that the worker's incarnation goes on.
+        """Whether a heartbeat may be answered, which extends the worker's incarnation.
 
-        `jobs_read_at`: as for `may_start`. All answers are subject to this check, also those that
-        another controller forwards.
+        `jobs_read_at`: as for `may_start`. The check also applies to heartbeats that another
+        controller has forwarded.
         """
         if self.fencing_token is None or jobs_read_at is None:
             return False
         if self.bounds.keepalive_s < MIN_KEEPALIVE_S and self.is_leader():
-            return True  # else no incarnation could ever last; the operators were warned
+            return True  # otherwise every incarnation would expire; a warning was logged at start
         return self.bounds.may_answer(jobs_read_at, self.renewed_at, Instant(self.clock()))
 
     def leadership_condition(self) -> tuple[Key, Version]:
         """Return the condition that makes a transaction valid only while this controller leads."""
         return LEADER_KEY, self.leader_version
 
-    # ---- changes of the leadership -----------------------------------------------------
+    # ---- leadership changes ------------------------------------------------------------
 
     async def rotate_token(self) -> FencingToken:
-        """Get a higher fencing token, so that workers refuse late commands under the old one.
+        """Get a higher fencing token, so that workers reject delayed commands with the old one.
 
-        Raises the errors of `StateClient.commit`. To be called while this controller leads.
+        Must be called while this controller leads. Raises the errors of `StateClient.commit`.
         """
         assert self.fencing_token is not None
         self.term += 1
@@ -167,7 +168,7 @@
         return self.fencing_token
 
     async def step_down(self, reason: str) -> None:
-        """Give the leadership up so that another controller can win; does nothing if it is lost.
+        """Give up the leadership so that another controller can win; no-op if it was lost already.
 
         `reason`: for the log.
         """
@@ -181,20 +182,22 @@
                 state_client.StateUnavailableError, state_client.UnknownOutcomeError
             ):
                 await self.store.revoke_lease(lease)
-        self.campaign_not_before = self.clock() + STEP_DOWN_PAUSE_LEASES * self.lease_seconds
+        self.campaign_not_before = (
+            self.clock() + STEP_DOWN_CAMPAIGN_DELAY_LEASES * self.lease_seconds
+        )
 
     async def superseded_by(self, seen_token: FencingToken) -> None:
-        """Give the leadership up if a worker has seen a higher fencing token.
+        """Give up the leadership if a worker has seen a higher fencing token.
 
-        Another controller has been elected then, though the state service has not shown it here.
-        What this controller keeps alive would only be kept from the new leader.
+        It shows that another controller was elected, even if this one has not yet read that from
+        the state service. Tasks kept alive here would only be withheld from the new leader.
         """
         if self.fencing_token is not None and seen_token > self.fencing_token:
             log.warning("leadership_superseded", epoch=self.fencing_token, seen=seen_token)
             await self._lose_leadership()
 
     async def _become_leader(self, version: Version) -> None:
-        """Lead from now on: `version` is that of the leader key, which this controller has."""
+        """Take the leadership. `version`: of the leader key, which this controller has written."""
         self.leader, self.leader_version = self.name, version
         self.fencing_token = FencingToken(version)
         self.store.set_role(leading=True)
@@ -210,7 +213,7 @@
     # ---- the lease ---------------------------------------------------------------------
 
     async def keep_lease(self) -> None:
-        """Renew the lease several times within its length, until cancelled."""
+        """Renew the lease several times per lease length, until cancelled."""
         while True:
             try:
                 await self._renew()
@@ -223,10 +226,10 @@
             )
 
     async def _renew(self) -> None:
-        """Renew the lease, or get one if there is none.
+        """Renew the lease, or request one if there is none.
 
-        Each answer is about the lease of its request only. Meanwhile that lease may have been
-        abandoned and another one granted for a campaign, which has its leader key on the new one.
+        A response applies only to the lease named in its request. That lease may meanwhile have
+        been abandoned, and another one granted for a campaign that attached the leader key to it.
         """
         sent_at = Instant(self.clock())
         lease = self.lease
@@ -249,10 +252,10 @@
             self.renewed_at = max(self.renewed_at, sent_at)
 
     def _abandon_lease(self) -> None:
-        """Stop renewing the lease, and never take a key on it for a win.
+        """Stop renewing the lease, and no longer accept a leader key attached to it as a win.
 
-        Else the leader key could stay for ever though its owner does not lead; or a late read could
-        take it for this controller's when it is deleted already with its lease.
+        Otherwise the leader key could persist although its owner does not lead, or a late read
+        could take it as this controller's after it has been deleted with its lease.
         """
         self.lease = None
         self.nonce = ""
@@ -265,18 +268,18 @@
             try:
                 await self._follow_once()
             except state_client.CompareAndSwapError:
-                continue  # another controller has changed the key: read it at once
+                continue  # another controller has changed the key, so read it immediately
             except (
                 state_client.StateUnavailableError,
                 state_client.UnknownOutcomeError,
                 state_client.RevisionCompactedError,
                 state_client.LeaseExpiredError,
             ) as error:
-                log.debug("leader_not_read", error=error)
+                log.debug("election_step_failed", error=error)
                 await curio.sleep(self.rng.uniform(MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S))
 
     async def _follow_once(self) -> None:
-        """Read the leader key, then campaign or wait until it changes."""
+        """Read the leader key, then campaign or wait for a change of the key."""
         revision = await self._read_leader()
         while True:
             if self.leader is None and self.clock() >= self.campaign_not_before:
@@ -288,7 +291,7 @@
                 return
 
     async def _read_leader(self) -> Revision:
-        """Read the leader key, and act on who leads. Returns the revision of the read."""
+        """Read the leader key and handle its value. Returns the revision of the read."""
         entries, revision = await self.store.list_all(LEADER_KEY)
         entry = next((entry for entry in entries if entry.key == LEADER_KEY), None)
         if entry is None:
@@ -307,22 +310,22 @@
         return revision
 
     async def _claim_own_key(self, nonce: str, version: Version) -> None:
-        """Handle a leader key that a campaign of this process has written."""
+        """Handle a leader key written by a campaign of this process."""
         if self.fencing_token is not None:
             return
         if self.lease is not None and nonce == self.nonce:
             await self._become_leader(version)
         else:
-            # It hangs on a lease that has been abandoned, or its campaign was committed late.
+            # It is attached to an abandoned lease, or its campaign was committed late.
             self.leader, self.leader_version = None, version
 
     async def _delete_key_of_former_process(self, version: Version) -> None:
-        """Handle a leader key that this controller has written before its restart.
+        """Handle a leader key that this controller wrote before its restart.
 
-        The former process's commands have a lower fencing token, and its transactions a condition
-        that fails from now on. The others campaign first: they have received the former process's
-        snapshot, which this one has not; and a controller that crashes and returns over and over,
-        each time within its former lease, would otherwise keep the others from leading.
+        From now on the former process's commands have an outdated fencing token, and the condition
+        of its transactions fails. The other controllers may campaign first: unlike this process,
+        they have the former one's snapshot. Otherwise, a controller that repeatedly crashes and
+        restarts within its former lease would also prevent the others from leading.
         """
         self.campaign_not_before = self.clock() + RESTARTED_LEADER_PAUSE_S
         log.info("restarted_leader_yields", rest_s=RESTARTED_LEADER_PAUSE_S)
@@ -334,7 +337,7 @@
         self.leader, self.leader_version = None, Version(0)
 
     async def _follow_leader(self, leader: ControllerName, version: Version) -> None:
-        """Handle a leader key that another controller has written."""
+        """Handle a leader key written by another controller."""
         if self.fencing_token is not None:
             await self._lose_leadership()
         if self.leader != leader:
@@ -342,10 +345,10 @@
         self.leader, self.leader_version = leader, version
 
     async def _campaign(self) -> None:
-        """Try to write the leader key, on a lease that is recent enough.
+        """Try to write the leader key, attached to a sufficiently recent lease.
 
-        Raises CompareAndSwapError if another controller was faster, and the other errors of
-        `StateClient`.
+        Raises CompareAndSwapError if another controller has written the key first, and the other
+        errors of `StateClient`.
         """
         max_age_s = self.lease_seconds * MAX_LEASE_AGE_TO_CAMPAIGN
         if self.lease is None or self.clock() > self.renewed_at + max_age_s:
@@ -369,7 +372,7 @@
             if self.nonce == nonce:
                 self._abandon_lease()
             return
-        if self.nonce == nonce:  # else the key hangs on a lease that was abandoned meanwhile
+        if self.nonce == nonce:  # otherwise the key's lease has been abandoned meanwhile
             await self._become_leader(Version(revision))
 
     def _controller_record(self) -> wire.ControllerRecord:
--- a/umberward/leader/leader_loop.py
+++ b/umberward/leader/leader_loop.py
@@ -1,8 +1,8 @@
-"""The leader's event loop: applies events to the scheduler, and starts what follows from them.
+"""The leader's event loop: applies events to the scheduler and starts the resulting I/O.
 
-One `LeaderLoop` lives as long as one leadership. The scheduler decides and has no I/O; the tasks of
-the loop (see the other modules of this package) do the I/O and send its results to the loop as the
-messages of `umberward.leader.messages`.
+There is one `LeaderLoop` per leadership. The scheduler makes decisions and has no I/O. The loop's
+tasks, in the other modules of this package, do the I/O and send the results to the loop as messages
+of `umberward.leader.messages`.
 """
 
 from __future__ import annotations
@@ -61,22 +61,23 @@
 from umberward.scheduling.lease_delegation import Delegation
 from umberward.scheduling.scheduler import Scheduler
 
-if TYPE_CHECKING:  # not loaded where graphs are off
+if TYPE_CHECKING:  # not imported at run time if graphs are disabled
     from umberward.graphs.graph_controller import GraphController
 
 log = logger(__name__)
 
 TICK_INTERVAL_S = 0.2
-SUMMARY_INTERVAL_S = 10.0  # how often the state of the fleet is logged
-MIN_PASS_INTERVAL_S = 0.06  # from the beginning of a scheduling pass to that of the next
-# After a pass, heartbeats and other messages have so many times its length for themselves.
-PASS_PAUSE_RATIO = 4.0
-# With thousands of jobs waiting a pass takes long and changes little, so the pause is longer in
-# proportion: for a pass of SLOW_PASS_S or more, by so many times its length.
+SUMMARY_INTERVAL_S = 10.0  # interval between log lines about the state of the fleet
+MIN_PASS_INTERVAL_S = 0.06  # between the starts of two scheduling passes
+# Interval between the starts of two passes, in multiples of the first one's duration. The time left
+# is for heartbeats and other messages.
+PASS_INTERVAL_RATIO = 4.0
+# With thousands of waiting jobs a pass is slow and changes little, so the interval grows by up to
+# this multiple of the pass's duration, in full for a pass of SLOW_PASS_S or longer.
 SLOW_PASS_PAUSE_RATIO = 6.0
 SLOW_PASS_S = 0.1
-IDLE_PASS_INTERVAL_S = 1.0  # from a pass to the next if no event has asked for one
-STORED_SNAPSHOT_AGE_S = 15.0  # assumed, as a stored snapshot does not show its age
+IDLE_PASS_INTERVAL_S = 1.0  # extra time until the next pass if no event requests one
+ASSUMED_SNAPSHOT_AGE_S = 15.0  # an assumption, as a stored snapshot does not record its age
 
 MessageHandler = Callable[[Any, Instant], Awaitable[object]]
 
@@ -94,15 +95,16 @@
         machine_types: dict[MachineTypeName, MachineType],
         fencing_token: FencingToken,
         rng: random.Random,
-        known_final: Callable[[JobId], FinalJobRecord | None],  # see FinalRecordLookup
+        cached_final_record: Callable[[JobId], FinalJobRecord | None],  # see FinalRecordLookup
         peers_receive_heartbeats: Callable[[], Awaitable[bool]],
         revision_before: Callable[[float], Revision | None],  # see StateSync
         peer_snapshot: tuple[FailoverSnapshot, float] | None = None,
     ) -> None:
         """Prepare the leadership that began with `fencing_token`; `serve` runs it.
 
-        `peers_receive_heartbeats`: asks the other controllers whether any worker reaches them.
-        `peer_snapshot`: the former leader's, and its age in seconds, if this controller has it.
+        `peers_receive_heartbeats`: asks the other controllers whether they receive heartbeats from
+        any worker. `peer_snapshot`: the former leader's snapshot, if this controller has it, and
+        its age in seconds.
         """
         super().__init__()
         now = monotonic_now()
@@ -110,20 +112,20 @@
         self.peers_receive_heartbeats = peers_receive_heartbeats
         self.snapshots = [] if peer_snapshot is None else [peer_snapshot]
         self.scheduler = Scheduler(settings, machine_types, fencing_token, now, wall_now, rng)
-        prefix = f"{settings.platform.label}-{fencing_token}"  # of the ids of scale-out requests
+        prefix = f"{settings.platform.label}-{fencing_token}"  # of scale-out request ids
         self.autoscaler = Autoscaler(self.scheduler, prefix, now)
         self.graph_controller = self._create_graph_controller(settings, store)
         context = LeaderContext(election, store, self.scheduler, self, rng)
         self.commands = CommandSender(context, client, self._spawn)
-        self.writer = TransactionWriter(context)
+        self.transaction_writer = TransactionWriter(context)
         self.snapshot_store = SnapshotStore(context, self.autoscaler)
         self.state_sync = self._create_state_sync(context, revision_before)
-        self.final_lookup = FinalRecordLookup(context, known_final)
+        self.final_lookup = FinalRecordLookup(context, cached_final_record)
         self.sweeper = LiveJobSweeper(context)
         self.scaler = MachineScaler(election, cloud, self.scheduler, self.autoscaler)
         self._next_pass_at = 0.0
         self._checking_peers = False
-        self._tasks: curio.TaskGroup | None = None  # while `serve` runs
+        self._tasks: curio.TaskGroup | None = None  # set while `serve` runs
         self._handlers = self._message_handlers()
 
     def _message_handlers(self) -> dict[type, MessageHandler]:
@@ -150,13 +152,13 @@
             self.graph_controller,
             revision_before,
             self._load_stored_snapshots,
-            self._send_effects,
+            self._flush_scheduler_output,
         )
 
     def _create_graph_controller(
         self, settings: Settings, store: StateClient
     ) -> GraphController | None:
-        """The controller of task graphs; None where they are off, so that nothing is imported."""
+        """Create the controller of task graphs; None, without an import, if they are disabled."""
         if not settings.operator.graphs_enabled:
             return None
         from umberward.graphs.graph_controller import GraphController
@@ -178,7 +180,7 @@
             await self._spawn(self.run)
             await self._spawn(self.state_sync.run)
             await self._spawn(self._send_ticks)
-            await self._spawn(self.writer.run)
+            await self._spawn(self.transaction_writer.run)
             await self._spawn(self.scaler.run)
             await self._spawn(self.snapshot_store.run)
             await self._spawn(self.final_lookup.run)
@@ -190,7 +192,7 @@
 
     async def _spawn(self, function: Callable[..., Awaitable[object]], *args: object) -> None:
         """Start a task that ends with `serve`; if it raises, `serve` ends."""
-        assert self._tasks is not None, "serve() runs"
+        assert self._tasks is not None, "serve() is not running"
         await self._tasks.spawn(function, *args)
 
     async def _send_ticks(self) -> None:
@@ -212,15 +214,15 @@
         )
 
     async def _load_stored_snapshots(self) -> None:
-        """Read what a former leader has stored, unless a newer snapshot is at hand."""
+        """Load the snapshot stored by a former leader, unless a newer one is available."""
         if not self.snapshots:
             for snapshot in await self.snapshot_store.load():
-                self.snapshots.append((snapshot, STORED_SNAPSHOT_AGE_S))
+                self.snapshots.append((snapshot, ASSUMED_SNAPSHOT_AGE_S))
 
     # ---- messages ----------------------------------------------------------------------
 
     async def handle(self, message: LeaderMessage) -> object:
-        """Apply the message to the scheduler, run a scheduling pass if due, start the effects."""
+        """Apply the message to the scheduler, run a pass if due and start the resulting I/O."""
         now = monotonic_now()
         self.scheduler.wake(now)
         answer: object = None
@@ -228,11 +230,11 @@
         if handler is not None:
             answer = await handler(message, now)
         elif self.graph_controller is not None:
-            self.graph_controller.handle(message)  # it sends messages of its own to the loop
+            self.graph_controller.handle(message)  # it sends its own message types to the loop
         if self.scheduler.higher_token_seen:
             await self._report_higher_token()
         self._run_due_pass(now)
-        await self._send_effects()
+        await self._flush_scheduler_output()
         return answer
 
     async def _heartbeat_received(
@@ -257,18 +259,18 @@
             listed_ids.add(JobId(entry.key[len(LIVE_JOBS_PREFIX) :]))
             job_records.apply_job_record(self.scheduler, entry.key, entry.data, entry.version)
         for job in [*self.scheduler.jobs.values(), *self.scheduler.waiting_jobs.jobs.values()]:
-            # A job with conditions has no record of its own: it goes with the record they name.
+            # A job with conditions has no own record; it is removed with the record they name.
             if job.id not in listed_ids and not job.conditions:
                 self.scheduler.remove_job(job.id)
         if not self.scheduler.loaded:
-            self._finish_loading(message.recent_final)
-        self._note_jobs_read(message.asked_at)
-
-    def _finish_loading(self, recent_final: list[wire.KeyChange] | None) -> None:
-        """Restore what former leaders knew, and let scheduling begin."""
-        self.scheduler.cancellations_unread = recent_final is None
-        job_records.apply_final_records(self.scheduler, recent_final or ())
-        for snapshot, age_s in self.snapshots:  # aged so when this leadership began
+            self._finish_loading(message.recent_final_records)
+        self._record_jobs_read(message.requested_at)
+
+    def _finish_loading(self, recent_final_records: list[wire.KeyChange] | None) -> None:
+        """Restore the snapshots of former leaders and enable scheduling."""
+        self.scheduler.cancellations_unread = recent_final_records is None
+        job_records.apply_final_records(self.scheduler, recent_final_records or ())
+        for snapshot, age_s in self.snapshots:  # age at the start of this leadership
             now = monotonic_now()
             failover_snapshot.restore_snapshot(
                 snapshot,
@@ -281,12 +283,14 @@
 
     async def _jobs_changed(self, message: JobsChanged, _now: Instant) -> None:
         job_records.apply_changes(self.scheduler, message.changes)
-        self._note_jobs_read(message.asked_at)
+        self._record_jobs_read(message.requested_at)
 
-    def _note_jobs_read(self, asked_at: Instant) -> None:
-        """All cancellations confirmed before `asked_at` are known, if all jobs are loaded."""
-        if self.scheduler.loaded:
-            self.scheduler.jobs_read_at = max(asked_at, self.scheduler.jobs_read_at or asked_at)
+    def _record_jobs_read(self, requested_at: Instant) -> None:
+        """Record that all cancellations confirmed before `requested_at` are known."""
+        if self.scheduler.loaded:  # otherwise some jobs are not known yet
+            self.scheduler.jobs_read_at = max(
+                requested_at, self.scheduler.jobs_read_at or requested_at
+            )
 
     async def _delegation_requested(
         self, message: DelegationRequested, now: Instant
@@ -296,8 +300,8 @@
         return self.scheduler.delegate(message.delegate, message.last_sequence, message.unused, now)
 
     async def _jobs_cancelled_by_peer(self, message: JobsCancelledByPeer, _now: Instant) -> None:
-        # The jobs' tasks are stopped at once. `jobs_read_at` stays: other cancellations may not
-        # have been announced.
+        # Stop the jobs' tasks immediately. `jobs_read_at` is unchanged, as other cancellations may
+        # not have been announced.
         for job_id in message.job_ids:
             if self.scheduler.is_live(job_id):
                 log.info("job_cancelled_by_peer", job=job_id)
@@ -315,17 +319,17 @@
         job_records.apply_unknown_job(self.scheduler, message.job_id, message.found, now)
 
     async def _transaction_completed(self, _message: TransactionCompleted, _now: Instant) -> None:
-        """Nothing to apply: the message makes the loop run a due pass and start the effects."""
+        """Apply nothing: the message only triggers a due pass and the resulting I/O."""
 
     async def _timer_tick(self, _message: TimerTick, now: Instant) -> None:
         scheduler = self.scheduler
         scheduler.tick(now)
-        # These tasks have no owner, as they may outlive the loop. Leadership may be lost in their
-        # course, upon which the controller cancels `serve` and with it every task of the loop; they
-        # must go on then, to revoke the lease for example. Each ends by itself, after a few
-        # requests with timeouts.
+        # The tasks spawned here are not owned by the loop, as they must outlive it: when one gives
+        # up the leadership, the controller cancels `serve` with all tasks of the loop, but for
+        # example the lease must still be revoked. Each task ends after a few requests with
+        # timeouts.
         if scheduler.is_isolated(now) and self.election.is_leader():
-            # The state service answers and the workers do not: another controller may reach them.
+            # The state service responds but workers do not; another controller may reach them.
             await curio.spawn(self.election.step_down, "hardly any worker is heard", daemon=True)
         elif (
             scheduler.heard_no_machine(now)
@@ -333,17 +337,17 @@
             and not self._checking_peers
         ):
             self._checking_peers = True
-            await curio.spawn(self._yield_to_reachable_peer, daemon=True)
+            await curio.spawn(self._step_down_if_peers_receive_heartbeats, daemon=True)
         if scheduler.token_rotation.wanted and self.election.is_leader():
             scheduler.token_rotation.started()
             await curio.spawn(self._rotate_token, daemon=True)
 
-    # ---- what follows from a message ---------------------------------------------------
+    # ---- follow-up actions -------------------------------------------------------------
 
     async def _report_higher_token(self) -> None:
-        """Tell the election that a worker has seen a higher fencing token than this leader's."""
+        """Report to the election that a worker has seen a higher fencing token."""
         seen, self.scheduler.higher_token_seen = self.scheduler.higher_token_seen, FencingToken(0)
-        # Without an owner, for the reason given in `_timer_tick`: it may end the loop itself.
+        # Not owned by the loop, as it may end the loop; see `_timer_tick`.
         await curio.spawn(self.election.superseded_by, seen, daemon=True)
 
     def _run_due_pass(self, now: Instant) -> None:
@@ -353,16 +357,16 @@
             self.scheduler.run_pass(now)
             self._next_pass_at = now + pass_pause(monotonic_now() - now)
 
-    async def _send_effects(self) -> None:
-        """Start sending the scheduler's outbox, and writing what it has to write."""
-        # Checked here, as most heartbeats leave nothing to do and a call to no avail costs time.
+    async def _flush_scheduler_output(self) -> None:
+        """Start sending the scheduler's outbox and committing its pending writes."""
+        # Checked here because most heartbeats leave nothing to do, and a needless call costs time.
         if self.scheduler.outbox:
             await self.commands.send_outbox()
         if self.scheduler.writer.has_work(monotonic_now()):
-            await self.writer.request_write()
+            await self.transaction_writer.request_write()
 
-    async def _yield_to_reachable_peer(self) -> None:
-        """Step down if workers reach another controller: none has reached this one."""
+    async def _step_down_if_peers_receive_heartbeats(self) -> None:
+        """Step down if another controller receives heartbeats; this one receives none."""
         try:
             if await self.peers_receive_heartbeats() and self.election.is_leader():
                 await self.election.step_down("others hear workers and we do not")
@@ -370,7 +374,7 @@
             self._checking_peers = False
 
     async def _rotate_token(self) -> None:
-        """Get a higher fencing token, and let the scheduler use it."""
+        """Get a higher fencing token and pass it to the scheduler."""
         try:
             fencing_token = await self.election.rotate_token()
         except (
@@ -386,6 +390,6 @@
 
 
 def pass_pause(pass_s: float) -> float:
-    """Seconds from the beginning of a scheduling pass, which took `pass_s`, to the next one."""
+    """Seconds between the starts of two scheduling passes, if the first one took `pass_s`."""
     slow_pass_ratio = SLOW_PASS_PAUSE_RATIO * min(1.0, pass_s / SLOW_PASS_S)
-    return max(MIN_PASS_INTERVAL_S, (PASS_PAUSE_RATIO + slow_pass_ratio) * pass_s)
+    return max(MIN_PASS_INTERVAL_S, (PASS_INTERVAL_RATIO + slow_pass_ratio) * pass_s)
--- a/umberward/leader/live_job_sweeper.py
+++ b/umberward/leader/live_job_sweeper.py
@@ -1,7 +1,7 @@
-"""Compares the stored live jobs with those that the scheduler knows, a page at a time.
+"""Compares the stored live jobs with those known to the scheduler, one page at a time.
 
-The watch of the jobs keeps the scheduler complete. The sweep is a second line of defence: an
-accepted job must not stay live in the state service while no leader knows it, whatever has failed.
+Normally the watch of the jobs keeps the scheduler up to date. The sweep is a safety net: whatever
+has failed, an accepted job must not stay live in the state service while no leader knows it.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 log = logger(__name__)
 
-SWEEP_INTERVAL_S = 2.0  # from one page to the next
+SWEEP_INTERVAL_S = 2.0  # between two pages
 SWEEP_PAGE_SIZE = 50  # jobs
 
 
 class LiveJobSweeper:
-    """Reads all live jobs over and over, and reports those that the scheduler does not know."""
+    """Repeatedly reads all live jobs and reports those unknown to the scheduler."""
 
     def __init__(self, context: LeaderContext) -> None:
-        """Create a sweeper that begins with the first live job."""
+        """Create a sweeper that starts with the first live job."""
         self.context = context
-        self._last_key = ""  # of the page before; empty: begin anew
+        self._last_key = ""  # of the previous page; empty: start over
 
     async def run(self) -> None:
         """Sweep until cancelled."""
@@ -39,7 +39,7 @@
             try:
                 await self._sweep_page()
             except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
-                log.debug("live_jobs_not_swept", error=error)
+                log.debug("live_job_sweep_failed", error=error)
 
     async def _sweep_page(self) -> None:
         store, mailbox = self.context.store, self.context.mailbox
@@ -48,7 +48,7 @@
         )
         self._last_key = page.entries[-1].key if page.more and page.entries else ""
         for job_id in await mailbox.ask(LiveJobsPageRead(page.entries)) or ():
-            # The page may be out of date by now.
+            # The page may be outdated by now, so read the record again.
             found = await store.get(Key(LIVE_JOBS_PREFIX + job_id))
             if found is not None:
                 await mailbox.tell(UnknownJobRead(job_id, found))
--- a/umberward/leader/machine_scaler.py
+++ b/umberward/leader/machine_scaler.py
@@ -1,4 +1,4 @@
-"""Carries out the autoscaler's decisions at the cloud, as long as this controller leads."""
+"""Executes the autoscaler's decisions through the cloud API while this controller leads."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 log = logger(__name__)
 
-SCALING_INTERVAL_S = 0.3  # from one decision to the next, or longer:
-DECISION_PAUSE_RATIO = 10.0  # so many times as long as the last decision took
+SCALING_INTERVAL_S = 0.3  # minimum pause between two rounds of decisions
+DECISION_PAUSE_RATIO = 10.0  # minimum pause, in multiples of the last round's computing time
 MACHINE_TYPES_REFRESH_S = 30.0
 MACHINE_LIST_INTERVAL_S = 8.0
-FAILURE_PAUSE_S = 0.5  # after a request to the cloud that failed
+RETRY_DELAY_S = 0.5  # after a failed request to the cloud
 
 
 class MachineScaler:
     """Rents and returns machines, and reads the cloud's lists of machines and machine types.
 
-    The scheduler and the autoscaler are called directly and not by messages to the leader loop:
-    each decision must know the result of the one before it.
+    It calls the scheduler and the autoscaler directly, not through messages to the leader loop,
+    because each decision depends on the result of the previous one.
     """
 
     def __init__(
@@ -43,18 +43,18 @@
         self.cloud = cloud
         self.scheduler = scheduler
         self.autoscaler = autoscaler
-        self.decision_s = 0.0  # computing time of the latest decisions
+        self.decision_time_s = 0.0  # computing time of the latest round of decisions
         self._machines_listed_at = Instant(0.0)
         self._machine_types_read_at = Instant(0.0)
 
     async def run(self) -> None:
         """Scale in and out, until cancelled."""
-        # The controller itself reads the machine types when it starts.
+        # The controller has already read the machine types at its start.
         self._machine_types_read_at = monotonic_now()
         self._machines_listed_at = Instant(0.0)
         while True:
-            await curio.sleep(max(SCALING_INTERVAL_S, DECISION_PAUSE_RATIO * self.decision_s))
-            self.decision_s = 0.0
+            await curio.sleep(max(SCALING_INTERVAL_S, DECISION_PAUSE_RATIO * self.decision_time_s))
+            self.decision_time_s = 0.0
             if not self.election.is_leader():
                 continue
             try:
@@ -62,17 +62,17 @@
                 await self._scale_out()
                 await self._read_lists()
             except CloudUnavailableError as error:
-                log.debug("cloud_failed", error=error)
-                await curio.sleep(FAILURE_PAUSE_S)
+                log.debug("cloud_request_failed", error=error)
+                await curio.sleep(RETRY_DELAY_S)
 
     # ---- scaling in --------------------------------------------------------------------
 
     async def _scale_in(self) -> None:
-        """Drain machines that are not needed or lost, and delete those that are drained."""
+        """Drain machines that are idle or unreachable, and delete those that are drained."""
         now = monotonic_now()
         idle = self.autoscaler.machines_to_return(now)
         lost = self.autoscaler.unreachable_machines_to_return(now)
-        self.decision_s += monotonic_now() - now
+        self.decision_time_s += monotonic_now() - now
         for machine in idle + lost:
             self._drain(machine)
         machine_ids = self.autoscaler.machines_to_delete(now)[: wire.MAX_DELETIONS_PER_REQUEST]
@@ -101,7 +101,7 @@
     async def _scale_out(self) -> None:
         now = monotonic_now()
         requests = self.autoscaler.scale_out_requests(now)
-        self.decision_s += monotonic_now() - now
+        self.decision_time_s += monotonic_now() - now
         for request in requests:
             log.info(
                 "machine_requested",
@@ -112,7 +112,7 @@
             await self._rent(request)
 
     async def _rent(self, request: ScaleOutRequest) -> None:
-        """Send the request until its result is known, as long as this controller leads.
+        """Send the request until its result is known, while this controller leads.
 
         Raises CloudUnavailableError.
         """
@@ -124,17 +124,17 @@
                 self.autoscaler.no_capacity(request.offer, monotonic_now())
                 return
             except NoResponseError:
-                # It may have been carried out. Sent again with the same id it rents nothing twice,
-                # and its answer names the machines.
-                await curio.sleep(FAILURE_PAUSE_S)
+                # The request may have been executed. A retry with the same id rents nothing twice,
+                # and its response names the machines.
+                await curio.sleep(RETRY_DELAY_S)
             else:
                 self.autoscaler.machines_created(request, machine_ids, monotonic_now())
                 return
 
-    # ---- the cloud's lists -------------------------------------------------------------
+    # ---- lists of the cloud ------------------------------------------------------------
 
     async def _read_lists(self) -> None:
-        """Read the machines and the machine types, each if it is due."""
+        """Refresh the lists of machines and of machine types if they are due."""
         if monotonic_now() - self._machines_listed_at > MACHINE_LIST_INTERVAL_S:
             self._machines_listed_at = monotonic_now()
             await self._reconcile_machine_list()
@@ -147,7 +147,7 @@
         machines = await self.cloud.list_machines()
         failed_ids = self.autoscaler.reconcile_machine_list(machines, monotonic_now())
         if failed_ids:
-            # A failed machine runs nothing any more; it stays in the list until it is deleted.
+            # A failed machine runs no tasks, but stays in the cloud's list until it is deleted.
             log.info("machines_failed", machines=" ".join(failed_ids))
             self._machines_removed(failed_ids)
             await self.cloud.terminate(
--- a/umberward/leader/messages.py
+++ b/umberward/leader/messages.py
@@ -1,7 +1,7 @@
-"""The messages that the leader loop handles.
+"""Messages handled by the leader loop.
 
-They are sent by the controller that the loop runs in, and by the loop's own tasks. Messages derived
-from `Request` have an answer, of the type given there; `Actor.ask` returns None in its place if the
+Their senders are the loop's controller and the loop's own tasks. Messages derived from `Request`
+have a response, whose type is the parameter of `Request`; `Actor.ask` returns None instead if the
 loop has ended.
 """
 
@@ -21,21 +21,21 @@
 
 
 class HeartbeatReceived(Request[list[TaskCommand] | None], frozen=True):
-    """A worker's heartbeat has arrived, here or at a controller that has forwarded it.
+    """A worker's heartbeat was received here or forwarded by another controller.
 
-    Answered with the commands for the worker, or None if the heartbeat must not be answered.
+    The response: the commands for the worker, or None if the heartbeat must not be answered.
     """
 
     header: wire.HeartbeatHeader
-    body: bytes  # the whole heartbeat, as received
+    body: bytes  # the complete encoded heartbeat
 
 
 class CommandCompleted(msgspec.Struct, frozen=True):
-    """A direct command was answered, was refused, timed out or could not be sent."""
+    """A direct command was answered or rejected, timed out or could not be sent."""
 
     command: DirectCommand
     heartbeat: Heartbeat | None  # the worker's answer, if there was a valid one
-    outcome_unknown: bool  # whether the worker may have executed it, or may still do so
+    outcome_unknown: bool  # whether the worker may have executed it or may yet do so
 
 
 class ProbeCompleted(msgspec.Struct, frozen=True):
@@ -46,71 +46,71 @@
 
 
 class JobsListed(Request[None], frozen=True):
-    """All live jobs were read. Answered with None once they are loaded."""
+    """All live jobs were read. Answered with None once they are loaded into the scheduler."""
 
     entries: list[KeyValue]
-    asked_at: Instant  # the entries show the state service at this moment or later
-    # Final records written shortly before, for a leader that has not loaded the jobs before; None:
+    requested_at: Instant  # the entries include all changes before this time
+    # Recently written final records, for a leader that loads the jobs for the first time; None:
     # they could not be read.
-    recent_final: list[KeyChange] | None
+    recent_final_records: list[KeyChange] | None
 
 
 class JobsChanged(msgspec.Struct, frozen=True):
-    """The watch of the jobs has returned."""
+    """The watch of the jobs returned changes, or none within its time limit."""
 
     changes: list[KeyChange]
-    asked_at: Instant  # all changes until this moment are there, and maybe later ones
+    requested_at: Instant  # the changes include all up to this time, and possibly later ones
 
 
 class DelegationRequested(Request[Delegation | None], frozen=True):
-    """A controller asks which machines of its zone it may answer if the zone is cut off.
+    """A controller requests permission to answer machines of its zone if the zone is cut off.
 
     Answered with None if no delegation can be given.
     """
 
     delegate: ControllerName
-    last_sequence: int  # of the last delegation that has reached the delegate; 0: of none
-    unused: bool  # whether it has used no delegation since it asked for that one
+    last_sequence: int  # of the last delegation that the delegate has received; 0: none
+    unused: bool  # whether it has used no delegation since requesting that one
 
 
 class JobsCancelledByPeer(msgspec.Struct, frozen=True):
     """Another controller has confirmed cancellations to its users.
 
-    The watch of the jobs may show them only later.
+    The watch of the jobs may report them later.
     """
 
     job_ids: list[JobId]
 
 
 class JobEnded(msgspec.Struct, frozen=True):
-    """The final record of a job that others depend on was looked up."""
+    """The final record of a job that other jobs depend on was found by a lookup."""
 
     job_id: JobId
     data: object  # the stored record, not validated yet
 
 
 class LiveJobsPageRead(Request[list[JobId]], frozen=True):
-    """A page of the live jobs was read, to compare it with the scheduler's jobs.
+    """A page of the live jobs was read for comparison with the scheduler's jobs.
 
-    Answered with the ids of those jobs that the scheduler does not know.
+    Answered with the ids of the jobs that the scheduler does not know.
     """
 
     entries: list[KeyValue]
 
 
 class UnknownJobRead(msgspec.Struct, frozen=True):
-    """The record of a live job that the scheduler does not know was read once more."""
+    """The record of a live job unknown to the scheduler was read again."""
 
     job_id: JobId
     found: VersionedValue
 
 
 class TransactionCompleted(msgspec.Struct, frozen=True):
-    """A transaction was committed or has failed; the scheduler has been told already."""
+    """A transaction was committed or failed; the scheduler has already been notified."""
 
 
 class TimerTick(Request[None], frozen=True):
-    """Sent a few times a second. Answered with None once it is handled."""
+    """A periodic tick, several per second. Answered with None once it is handled."""
 
 
 LeaderMessage: TypeAlias = (
--- a/umberward/leader/snapshot_store.py
+++ b/umberward/leader/snapshot_store.py
@@ -1,4 +1,4 @@
-"""Stores failover snapshots in the state service, for the case that all controllers end at once."""
+"""Stores failover snapshots in the state service, in case all controllers fail at once."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 
 log = logger(__name__)
 
-STORE_SNAPSHOT_INTERVAL_S = 3.0  # from one part to the next
-TOKEN_FIELD = "epoch"  # of a stored snapshot, by its name there
+STORE_SNAPSHOT_INTERVAL_S = 3.0  # between two parts
+TOKEN_FIELD = "epoch"  # the fencing token's field in a stored snapshot
 
 
 class SnapshotStore:
-    """Reads and writes the stored snapshot, which consists of parts with a key each."""
+    """Reads and writes the stored snapshot, which is split into parts with one key each."""
 
     def __init__(self, context: LeaderContext, autoscaler: Autoscaler) -> None:
-        """Create a store that knows nothing of what is stored already."""
+        """Create a store that does not yet know what is stored."""
         self.context = context
         self.autoscaler = autoscaler
-        # What this leader has stored under each key, but for the fencing token: a part that differs
-        # by that alone is not worth a write.
+        # What this leader has stored under each key, without the fencing token: a change of the
+        # token alone is not worth a write.
         self._stored: dict[Key, dict[str, object]] = {}
         self._part_number = 0
 
     async def load(self) -> list[FailoverSnapshot]:
-        """Read the parts that a former leader has stored. Malformed parts are left out.
+        """Read the parts stored by former leaders, and skip malformed ones.
 
         Raises StateUnavailableError or UnknownOutcomeError.
         """
@@ -48,7 +48,7 @@
         return snapshots
 
     async def run(self) -> None:
-        """Store one part after the other if it has changed, until cancelled."""
+        """Store changed parts, one per interval in turn, until cancelled."""
         while True:
             await curio.sleep(STORE_SNAPSHOT_INTERVAL_S)
             if self.context.is_loaded_leader():
@@ -69,7 +69,7 @@
                 [self.context.election.leadership_condition()],
                 [transactions.put(key, part)],
                 priority=transactions.BACKGROUND,
-                patience=0.0,  # seconds: all other writes go first
+                patience=0.0,  # do not wait for the rate budget: all other writes go first
             )
         except (
             state_client.StateUnavailableError,
@@ -77,7 +77,7 @@
             state_client.CompareAndSwapError,
             state_client.LeaseExpiredError,
         ) as error:
-            log.debug("snapshot_not_available", error=error)
+            log.debug("snapshot_not_stored", error=error)
         else:
             self._stored[key] = without_token
 
--- a/umberward/leader/state_sync.py
+++ b/umberward/leader/state_sync.py
@@ -1,4 +1,4 @@
-"""Loads blocks, graphs and jobs from the state service, then follows the changes of the jobs."""
+"""Loads machine blocks, graphs and jobs from the state service and follows changes of the jobs."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
     LIVE_JOBS_PREFIX,
 )
 
-if TYPE_CHECKING:  # not loaded where graphs are off
+if TYPE_CHECKING:  # not imported at run time if graphs are disabled
     from umberward.graphs.graph_controller import GraphController
 
 log = logger(__name__)
 
-# The scheduler's copy of the jobs becomes so old while nothing changes; no task may be started by
-# a copy that is much older.
+# Without changes the scheduler's copy of the jobs becomes this old between two watch responses. No
+# task may be started on the basis of a copy that is much older.
 WATCH_HOLD_S = 0.5
 MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.15, 0.3
 
 
 class StateSync:
-    """Keeps the scheduler's jobs in step with the state service."""
+    """Keeps the scheduler's jobs synchronized with the state service."""
 
     def __init__(
         self,
@@ -42,24 +42,24 @@
         graph_controller: GraphController | None,
         revision_before: Callable[[float], Revision | None],
         load_snapshots: Callable[[], Awaitable[None]],
-        send_effects: Callable[[], Awaitable[None]],
+        flush_scheduler_output: Callable[[], Awaitable[None]],
     ) -> None:
         """Prepare to load, for one leadership.
 
-        `graph_controller`: None where graphs are off. `revision_before(instant)`: a revision below
-        that of everything that was committed after this instant, or None if there is no such note.
-        `load_snapshots`: reads what a former leader has stored. `send_effects`: carries out what
-        the scheduler wants to be sent and written.
+        `graph_controller`: None if graphs are disabled. `revision_before(instant)`: a revision
+        lower than that of every commit after `instant`, or None if none is known.
+        `load_snapshots`: loads the snapshots stored by former leaders. `flush_scheduler_output`:
+        starts sending the scheduler's outbox and committing its pending writes.
         """
         self.context = context
         self.graph_controller = graph_controller
         self.revision_before = revision_before
         self.load_snapshots = load_snapshots
-        self.send_effects = send_effects
+        self.flush_scheduler_output = flush_scheduler_output
 
     async def run(self) -> None:
         """Load everything and follow the jobs, until cancelled."""
-        revision: Revision | None = None  # the changes until here have been handled; None: list
+        revision: Revision | None = None  # all changes up to it are handled; None: list again
         while True:
             try:
                 if revision is None:
@@ -73,21 +73,21 @@
                 await curio.sleep(self.context.rng.uniform(MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S))
 
     async def _load_machines_and_graphs(self) -> None:
-        """Read the blocks, the snapshots and the graphs, unless the jobs were loaded already."""
+        """Read the blocks, the snapshots and the graphs, unless the jobs are already loaded."""
         if self.context.scheduler.loaded:
             return
         await self._load_blocks()
-        await self.send_effects()
+        await self.flush_scheduler_output()
         await self.load_snapshots()
         if self.graph_controller is not None:
-            # Before the jobs: tasks of a graph that is not known then would be stopped.
+            # Before the jobs, as tasks of unknown graphs are stopped when the jobs are loaded.
             await self.graph_controller.load()
 
     async def _load_blocks(self) -> None:
-        """Give the stored machines to the scheduler.
+        """Load the stored machines into the scheduler.
 
-        This is done directly and not by messages: no scheduling pass is due before the jobs are
-        loaded, and the caller sends the probes that follow.
+        This calls the scheduler directly, without a message to the leader loop: no scheduling pass
+        is due before the jobs are loaded, and the caller sends the resulting probes.
         """
         entries, _ = await self.context.store.list_all(BLOCKS_PREFIX)
         for entry in entries:
@@ -98,28 +98,28 @@
             )
 
     async def _list_jobs(self) -> Revision:
-        """Read all live jobs and hand them to the leader loop; returns their revision."""
-        asked_at = monotonic_now()
+        """Read all live jobs and send them to the leader loop; returns their revision."""
+        requested_at = monotonic_now()
         entries, revision = await self.context.store.list_all(LIVE_JOBS_PREFIX)
-        recent_final = await self._recent_final_records(revision)
-        await self.context.mailbox.ask(JobsListed(entries, asked_at, recent_final))
-        # Returned only now: if any of this fails, all of it is done again.
+        recent_final_records = await self._recent_final_records(revision)
+        await self.context.mailbox.ask(JobsListed(entries, requested_at, recent_final_records))
+        # Returned only after the message is handled: if any step fails, all are repeated.
         return revision
 
     async def _watch_jobs(self, revision: Revision) -> Revision:
-        """Hand the changes after `revision` to the leader loop; returns the revision reached."""
-        asked_at = monotonic_now()
+        """Send the changes after `revision` to the leader loop; returns the new revision."""
+        requested_at = monotonic_now()
         changes, revision = await self.context.store.watch(JOBS_PREFIX, revision, WATCH_HOLD_S)
-        await self.context.mailbox.tell(JobsChanged(changes, asked_at))
+        await self.context.mailbox.tell(JobsChanged(changes, requested_at))
         return revision
 
-    async def _recent_final_records(self, listed: Revision) -> list[wire.KeyChange] | None:
-        """The final records of jobs whose tasks may still be on some machine.
+    async def _recent_final_records(self, listed_revision: Revision) -> list[wire.KeyChange] | None:
+        """Read the final records of jobs whose tasks may still be on a machine.
 
-        Such tasks count against their team's limits, and a new leader that reads live records only
-        does not know of them. They are read from the revision noted for the moment before which
-        none of them can have ended. Without such a note the read starts as many revisions below
-        `listed` as can have been written since that moment.
+        Such tasks count against their team's limits, but a new leader that reads only live records
+        does not know them. No such job can have ended more than `takeover_s` ago, so the read
+        starts at a revision known from before that time. If none is known, it starts as many
+        revisions below `listed_revision` as can have been written since.
 
         Returns None if the state service no longer keeps these changes.
         """
@@ -131,7 +131,7 @@
         since = self.revision_before(monotonic_now() - takeover_s)
         if since is None:
             max_changes = math.ceil(takeover_s * store.max_changes_per_s)
-            since = Revision(max(0, listed - max_changes))
+            since = Revision(max(0, listed_revision - max_changes))
         try:
             changes, _ = await store.watch(FINAL_JOBS_PREFIX, since, 0.0)
         except state_client.RevisionCompactedError:
--- a/umberward/leader/transaction_writer.py
+++ b/umberward/leader/transaction_writer.py
@@ -15,21 +15,21 @@
 
 log = logger(__name__)
 
-MAX_WAIT_S = 0.5  # how often it is looked for due writes without a request
-# A write that was refused for what it contains would be refused again.
-REFUSED_WRITE_PAUSE_S = 2.0
+POLL_INTERVAL_S = 0.5  # between two checks for due writes if `request_write` is not called
+# A write rejected for its content would be rejected again, so its retry is delayed longer.
+REJECTED_WRITE_RETRY_DELAY_S = 2.0
 MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.05, 0.15
-# How long a transaction may wait for the write budget. What is not urgent does not wait there:
-# urgent writes may come meanwhile.
-URGENT_PATIENCE_S = 2.0
-ORDINARY_PATIENCE_S = 0.0
+# How long a transaction may wait for the write budget. Less urgent ones do not wait, as they would
+# delay urgent writes that become due meanwhile.
+URGENT_BUDGET_WAIT_S = 2.0
+NON_URGENT_BUDGET_WAIT_S = 0.0
 
 
 class TransactionWriter:
     """Commits one transaction at a time, each on the condition that this controller leads.
 
-    The scheduler is told of the results directly and not by messages: it must know them before it
-    composes the next transaction.
+    The scheduler is notified of results directly, not through messages to the leader loop, as it
+    must know them before it creates the next transaction.
     """
 
     def __init__(self, context: LeaderContext) -> None:
@@ -38,13 +38,13 @@
         self._requested = curio.Event()
 
     async def request_write(self) -> None:
-        """Wake the writer: the scheduler has something to write."""
+        """Wake up the writer, as the scheduler has something to write."""
         await self._requested.set()
 
     async def run(self) -> None:
-        """Write whatever is due, until cancelled."""
+        """Commit due transactions until cancelled."""
         while True:
-            await curio.ignore_after(MAX_WAIT_S, self._requested.wait)
+            await curio.ignore_after(POLL_INTERVAL_S, self._requested.wait)
             self._requested.clear()
             while self.context.election.is_leader():
                 transaction = self.context.scheduler.writer.next_transaction(monotonic_now())
@@ -57,7 +57,7 @@
                 await self.context.mailbox.tell(TransactionCompleted())
 
     async def _commit(self, transaction: Transaction) -> bool:
-        """Commit the transaction; returns whether it is known to be committed."""
+        """Commit the transaction; returns whether it was certainly committed."""
         conditions = [self.context.election.leadership_condition(), *transaction.conditions]
         urgent = transaction.priority == transactions.URGENT
         try:
@@ -65,10 +65,10 @@
                 conditions,
                 transaction.writes,
                 priority=transaction.priority,
-                patience=URGENT_PATIENCE_S if urgent else ORDINARY_PATIENCE_S,
+                patience=URGENT_BUDGET_WAIT_S if urgent else NON_URGENT_BUDGET_WAIT_S,
             )
         except state_client.ValueTooLargeError:
-            await curio.sleep(REFUSED_WRITE_PAUSE_S)
+            await curio.sleep(REJECTED_WRITE_RETRY_DELAY_S)
             return False
         except state_client.StateUnavailableError as error:
             log.debug("commit_failed", error=error)
@@ -86,7 +86,7 @@
         return True
 
     async def _reconcile(self, transaction: Transaction) -> None:
-        """Read each key of the transaction again: its value decides, whoever has written it."""
+        """Read each key of the transaction again and adopt its value, whoever wrote it."""
         for key, _ in transaction.conditions:
             if not self.context.election.is_leader():
                 return
