--- a/umberward/__main__.py
+++ b/umberward/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m umberward``: the command line."""
+"""Command line entry point: ``python -m umberward``."""
 
 from umberward.cli.main import main
 
--- a/umberward/control/__init__.py
+++ b/umberward/control/__init__.py
@@ -1,1 +1,1 @@
-"""The actors of one controller, which carry the decisions out."""
+"""The parts of a controller process: its HTTP APIs, its caches and its exchange with peers."""
--- a/umberward/control/absent_jobs.py
+++ b/umberward/control/absent_jobs.py
@@ -1,4 +1,4 @@
-"""Remembers job ids that no controller has accepted, so that polls for them cost no request."""
+"""A negative cache: job ids that no controller has accepted, so that polling them is free."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 @dataclass(eq=False)
 class AbsenceLookup:
-    """One lookup of a job in the state service. Until it is confirmed, nothing is known."""
+    """A lookup of a job in the state service; it says nothing until it is confirmed."""
 
     confirmed_absent: bool = False
 
 
 class AbsentJobs:
-    """The latest lookups that found no job, or are under way.
+    """The latest lookups that are in progress or have found no job.
 
-    A submission shows as a change, and whoever applies the change discards the id. As a lookup is
-    registered before its request is sent, a submission in between discards it as well, and the
+    Whoever applies a change that shows a submission discards the job's id. A lookup is registered
+    before its request is sent, so a submission during the lookup discards it as well, and the
     lookup can no longer be confirmed.
     """
 
     def __init__(self, capacity: int) -> None:
-        """Create an empty memory for at most `capacity` ids; the oldest are dropped first."""
+        """Create an empty cache of at most `capacity` ids; the oldest are evicted first."""
         self.capacity = capacity
         self._lookups: OrderedDict[JobId, AbsenceLookup] = OrderedDict()
 
@@ -33,7 +33,7 @@
         return job_id in self._lookups
 
     def begin(self, job_id: JobId) -> AbsenceLookup:
-        """Register a lookup that is about to start, in place of any other of the same job."""
+        """Register a lookup that is about to start, replacing any other of the same job."""
         lookup = AbsenceLookup()
         self._lookups[job_id] = lookup
         while len(self._lookups) > self.capacity:
@@ -41,19 +41,19 @@
         return lookup
 
     def confirm(self, job_id: JobId, lookup: AbsenceLookup) -> None:
-        """Note that the lookup has found no job, unless it was discarded or replaced meanwhile."""
+        """Record that the lookup found no job, unless it has been discarded or replaced."""
         if self._lookups.get(job_id) is lookup:
             lookup.confirmed_absent = True
 
     def is_absent(self, job_id: JobId) -> bool:
-        """Whether a finished lookup has found that no controller had accepted the job."""
+        """Whether a confirmed lookup has found that no controller has accepted the job."""
         lookup = self._lookups.get(job_id)
         return lookup is not None and lookup.confirmed_absent
 
     def discard(self, job_id: JobId) -> None:
-        """Forget the job: it has been accepted, or its lookup has failed."""
+        """Remove the job: it has been accepted, or its lookup has failed."""
         self._lookups.pop(job_id, None)
 
     def clear(self) -> None:
-        """Forget all jobs."""
+        """Remove all jobs."""
         self._lookups.clear()
--- a/umberward/control/cancellation_announcer.py
+++ b/umberward/control/cancellation_announcer.py
@@ -1,7 +1,8 @@
 """Announces confirmed cancellations to the other controllers, and receives theirs.
 
-A controller that still runs such a job's tasks without the state service may then stop them earlier
-than its own time limit would. Nothing relies on these messages, so none is repeated.
+A controller that has lost contact with the state service and still runs tasks of such a job can
+then stop them before its own time limit does. Nothing relies on these messages, so they are never
+retried.
 """
 
 from __future__ import annotations
@@ -26,12 +27,12 @@
 
 ANNOUNCE_INTERVAL_S = 0.1
 MAX_JOBS_PER_MESSAGE = 500
-MAX_LOGGED_REJECTIONS = 500  # kinds of malformed messages that are logged, each once
-NOT_ACCEPTABLE = "not the ids of jobs, or not from another controller"
+MAX_LOGGED_REJECTIONS = 500  # distinct reasons, each of which is logged once
+INVALID_ANNOUNCEMENT = "a job id is invalid, or the sender is not a known peer"
 
 
 class CancellationAnnouncer:
-    """Collects cancellations and sends them to all peers, once to each."""
+    """Collects cancellations and sends them to each peer once."""
 
     def __init__(
         self,
@@ -48,15 +49,15 @@
         self.addresses = addresses
         self.client = client
         self.on_cancelled = on_cancelled
-        self.unannounced: dict[JobId, None] = {}  # a set in the order of the cancellations
+        self.unannounced: dict[JobId, None] = {}  # an ordered set: oldest cancellations first
         self.logged_rejections: set[str] = set()
 
     def announce(self, job_id: JobId) -> None:
-        """Announce with the next message that the job's cancellation was confirmed to its user."""
+        """Queue a job whose cancellation was confirmed to its user for the next message."""
         self.unannounced[job_id] = None
 
     async def run(self) -> None:
-        """Send what was collected, until cancelled."""
+        """Send the queued cancellations periodically, until cancelled."""
         async with TaskScope() as scope:
             while True:
                 await curio.sleep(ANNOUNCE_INTERVAL_S)
@@ -80,7 +81,7 @@
             log.debug("cancellations_not_announced", error=error)
 
     async def receive(self, body: bytes) -> Response:
-        """Answer a peer's announcement: 200, or 400 if it is not acceptable."""
+        """Handle a peer's announcement: respond 200, or 400 if it is invalid."""
         try:
             job_ids = self._decode(body)
         except InvalidPeerMessageError as error:
@@ -93,7 +94,7 @@
         message = peer_messages.decode(body, CancelledJobs)
         job_ids = [job_id for job_id in map(parse_job_id, message.cancelled) if job_id is not None]
         if len(job_ids) < len(message.cancelled) or message.sender not in self.addresses:
-            raise InvalidPeerMessageError(NOT_ACCEPTABLE)
+            raise InvalidPeerMessageError(INVALID_ANNOUNCEMENT)
         return job_ids
 
     def _log_rejection(self, reason: str) -> None:
--- a/umberward/control/controller.py
+++ b/umberward/control/controller.py
@@ -1,4 +1,4 @@
-"""One controller process: wires its parts together, runs them and starts or stops leading."""
+"""A controller process: creates and runs its parts, and starts or stops leadership."""
 
 from __future__ import annotations
 
@@ -49,36 +49,36 @@
 
 log = logger(__name__)
 
-# Sockets that workers, users and direct commands to workers do not share.
+# Sockets set aside from those shared by workers, users and direct commands to workers.
 UPSTREAM_SOCKETS = 24
 PEER_SOCKETS = 64
-SPARE_SOCKETS = 16  # listeners, the event loop's own, and those being closed
+RESERVED_SOCKETS = 16  # for listeners, the event loop and sockets that are being closed
 MIN_SHARED_SOCKETS = 48
 MIN_CLIENT_SOCKETS = 16
-CLIENT_SOCKET_DIVISOR = 3  # the client may take one in so many of the process's sockets
+CLIENT_SOCKET_DIVISOR = 3  # the client may use this fraction (1/3) of the process's sockets
 RESTART_PAUSE_S = 0.5
 
 
 class Controller:
-    """Owns the parts of one controller and its time as the leader."""
+    """Owns the parts of a controller and, while it leads, the leader's event loop."""
 
     def __init__(self, settings: Settings, clock: Callable[[], float] = time.monotonic) -> None:
-        """Create all parts without starting any; `clock` is a steady clock, in seconds."""
+        """Create all parts without starting any; `clock` is a monotonic clock, in seconds."""
         self.settings = settings
         self.clock = clock
         self.rng = random.Random()
         cluster = settings.platform.cluster
         shared_sockets = _shared_sockets(cluster.machine_limits.sockets)
         self.client = Client(shared_sockets)
-        # A client of its own: many workers must not cut the controller off from the state service
-        # and the cloud.
+        # A separate client: connections to many workers must not use up the sockets needed for the
+        # state service and the cloud.
         self.upstream = Client(UPSTREAM_SOCKETS)
         self.store = StateClient(settings.state, cluster.state, cluster.size, self.upstream)
         self.cloud = CloudClient(settings.cloud, cluster.cloud.rps, self.upstream)
         self.machine_types: dict[MachineTypeName, MachineType] = {}
         self.leader_loop: LeaderLoop | None = None
         self.leader_task: curio.Task | None = None
-        self.leader_tasks = TaskScope()  # owns the leader's task, also one that still ends
+        self.leader_tasks = TaskScope()  # owns the leader's task until it has ended
         self.job_states = JobStateCache(settings, self.store, clock)
         self.election = LeaderElection(
             settings, self.store, self.rng, self._start_leading, self._stop_leading, clock
@@ -123,7 +123,7 @@
     def _create_graph_api(self) -> GraphApi | None:
         if not self.settings.operator.graphs_enabled:
             return None
-        # Imported only here: without task graphs their modules are not loaded.
+        # Imported here so that the modules are loaded only if task graphs are enabled.
         from umberward.graphs.graph_api import GraphApi
 
         return GraphApi(self.settings, self.store, self.machine_types, _wall_clock, self.rng)
@@ -141,7 +141,7 @@
             self.peers.delegation.run,
             self.peers.cancellations.run,
         ]
-        # The scope outlives the group, where the election runs that starts the leader's task.
+        # The scope must outlive the group: the election in the group spawns the leader's task.
         async with self.leader_tasks, curio.TaskGroup() as group:
             for part in parts:
                 await group.spawn(_restart_on_failure, part)
@@ -149,7 +149,7 @@
     # ---- leadership --------------------------------------------------------------------
 
     async def _start_leading(self, fencing_token: FencingToken) -> None:
-        """Start the leader's event loop; called when this controller has won the election."""
+        """Start the leader's event loop; called when this controller wins the election."""
         await self._stop_leading()
         self.leader_loop = LeaderLoop(
             self.settings,
@@ -170,18 +170,18 @@
         )
 
     async def _stop_leading(self) -> None:
-        """Stop the leader's event loop, if there is one, without waiting for its end."""
+        """Cancel the leader's event loop, if it is running, without waiting for it to end."""
         if self.leader_task is None:
             return
         log.info("leadership_lost")
         snapshot = self._take_snapshot()
         if snapshot is not None:
-            self.peers.snapshots.keep(snapshot)  # this controller may lead again
+            self.peers.snapshots.keep(snapshot)  # this controller may be elected again
         task, self.leader_task, self.leader_loop = self.leader_task, None, None
         await task.cancel(blocking=False)
 
     def _take_snapshot(self) -> FailoverSnapshot | None:
-        """What a later leader should know; None unless this controller leads and has loaded."""
+        """The snapshot for a later leader; None unless this controller leads and has loaded."""
         leader_loop = self.leader_loop
         if leader_loop is None or not leader_loop.scheduler.loaded:
             return None
@@ -192,16 +192,16 @@
     def apply_heartbeat(
         self, header: wire.HeartbeatHeader, body: bytes
     ) -> Awaitable[list[wire.TaskCommand] | None]:
-        """Give a worker's heartbeat to the leader's event loop, which must exist.
+        """Pass a worker's heartbeat to the leader's event loop, which must exist.
 
-        Returns the commands for the worker, or None if leadership ends before they are known. This
-        is no coroutine of its own, because each heartbeat would pay for one more.
+        Returns the commands for the worker, or None if leadership ends before they are known. Not a
+        coroutine function, to avoid the cost of an additional coroutine per heartbeat.
         """
         assert self.leader_loop is not None
         return self.leader_loop.ask(HeartbeatReceived(header, body))
 
     async def _delegate(self, request: DelegationRequest) -> Delegation | None:
-        """The machines that a peer may answer in a partition; None if this controller can't say."""
+        """The delegation for a peer: machines it may answer in a partition; None if not leading."""
         if self.leader_loop is None:
             return None
         message = DelegationRequested(*request)
@@ -209,7 +209,7 @@
         return delegation
 
     async def _cancel_jobs(self, job_ids: list[JobId]) -> None:
-        """Pass jobs that a peer has confirmed as cancelled to the leader's event loop."""
+        """Tell the leader's event loop, if any, of cancellations that a peer has confirmed."""
         if self.leader_loop is not None:
             await self.leader_loop.tell(JobsCancelledByPeer(job_ids))
 
@@ -223,12 +223,12 @@
 
 
 def _shared_sockets(process_limit: int) -> SocketBudget:
-    """Sockets that the public server and the client to workers and peers share.
+    """The sockets shared by the public server and the client for workers and peers.
 
-    Each worker keeps a connection, and each user; the rest is for connections that the controller
-    opens itself.
+    Each worker and each user holds a connection; the rest is for connections that the controller
+    opens.
     """
-    available = process_limit - UPSTREAM_SOCKETS - PEER_SOCKETS - SPARE_SOCKETS
+    available = process_limit - UPSTREAM_SOCKETS - PEER_SOCKETS - RESERVED_SOCKETS
     return SocketBudget(
         max(MIN_SHARED_SOCKETS, available),
         max(MIN_CLIENT_SOCKETS, process_limit // CLIENT_SOCKET_DIVISOR),
@@ -240,7 +240,7 @@
 
 
 async def _restart_on_failure(part: Callable[[], Awaitable[None]]) -> None:
-    """Run a part of the controller for ever: if it ends, a fault is logged and it starts again."""
+    """Run a part of the controller forever: restart it when it ends, and log its exceptions."""
     while True:
         try:
             await part()
--- a/umberward/control/errors.py
+++ b/umberward/control/errors.py
@@ -1,7 +1,7 @@
-"""The base of the errors that a controller's own parts raise."""
+"""Base class of the errors raised by a controller's parts."""
 
 from __future__ import annotations
 
 
 class ControllerError(Exception):
-    """A request, record or message that a controller can't accept."""
+    """A controller can't accept a request, record or message."""
--- a/umberward/control/heartbeat_api.py
+++ b/umberward/control/heartbeat_api.py
@@ -1,8 +1,7 @@
-"""Answers the heartbeats of workers, at whichever controller they arrive.
+"""Answers the heartbeats of workers, at every controller.
 
-PROTOCOL, "Workers -> controller nodes", defines the request. A controller that does not lead
-redirects the worker to the leader, or forwards the heartbeat to a leader that the worker cannot
-reach.
+PROTOCOL, "Workers -> controller nodes", defines the request. A controller that is not the leader
+redirects the worker to the leader, or forwards the heartbeat if the worker can't reach the leader.
 """
 
 from __future__ import annotations
@@ -23,11 +22,11 @@
 
 
 class LocalLeader(Protocol):
-    """This controller's own leadership, as far as heartbeats need it."""
+    """What heartbeats need of this controller when it is the leader."""
 
     @property
     def leader_loop(self) -> LeaderLoop | None:
-        """The leader's event loop; None while this controller does not lead."""
+        """The leader's event loop; None while this controller is not the leader."""
 
     def apply_heartbeat(
         self, header: wire.HeartbeatHeader, body: bytes
@@ -38,20 +37,20 @@
 class HeartbeatResponse(
     msgspec.Struct, rename={"fencing_token": "epoch", "commands": "orders"}, frozen=True
 ):
-    """Body of an answer that keeps the worker's session alive."""
+    """Body of a response that keeps the worker's session alive."""
 
     fencing_token: int
     commands: list[wire.TaskCommand]
 
 
 class RedirectResponse(msgspec.Struct, rename={"leader": "steward"}, frozen=True):
-    """Body of an answer that sends the worker to the leader."""
+    """Body of a response that redirects the worker to the leader."""
 
     leader: ControllerName
 
 
 class HeartbeatApi:
-    """Serves heartbeats that workers send and those that other controllers forward."""
+    """Serves heartbeats sent by workers or forwarded by other controllers."""
 
     def __init__(
         self,
@@ -64,7 +63,7 @@
         """Create the handler of one controller.
 
         `name_connection` tells the HTTP server which machine is at the other end of a connection.
-        `clock` is the steady clock, in seconds.
+        `clock` is a monotonic clock, in seconds.
         """
         self.local_leader = local_leader
         self.election = election
@@ -72,19 +71,19 @@
         self.name_connection = name_connection
         self.clock = clock
         self.forwarding = HeartbeatForwarding()
-        self.duplicates = DuplicateFilter()
+        self.duplicate_filter = DuplicateFilter()
 
     async def serve(self, request: Request) -> Response:
-        """Answer a heartbeat that its worker has sent to this controller."""
+        """Answer a heartbeat that a worker has sent to this controller."""
         try:
             header = wire.decode_heartbeat_header(request.body)
         except wire.MalformedMessageError as error:
             return error_response(400, str(error))
         machine_id = MachineId(header.machine_id)
-        is_new = self.duplicates.is_new(machine_id, header.incarnation, header.sequence)
+        is_new = self.duplicate_filter.is_new(machine_id, header.incarnation, header.sequence)
         if is_new:
-            # A late copy shows neither where the worker is connected nor that it sends heartbeats
-            # to this controller.
+            # A delayed duplicate does not show that the worker is connected here or currently sends
+            # its heartbeats to this controller.
             if request.origin is not None:
                 await self.name_connection(request.origin, header.machine_id)
             self.peers.contacts.note_heartbeat()
@@ -94,25 +93,25 @@
         if self.local_leader.leader_loop is None and self.peers.delegation.may_answer_worker(
             machine_id, header.fencing_token
         ):
-            # The leader and the state service are out of reach: the zone is partitioned, or worse.
-            return _keep_session(header.fencing_token, [])
+            # The leader and the state service are unreachable: a partition of the zone, or worse.
+            return _session_response(header.fencing_token, [])
         leader = self.peers.contacts.leader_for(header.fencing_token) if is_new else None
         if leader is None:
-            return _no_leader()
+            return _no_leader_response()
         return await self._forward_or_redirect(machine_id, leader, request.body)
 
     async def serve_forwarded(self, body: bytes) -> Response:
-        """Answer a heartbeat that another controller has forwarded to this one."""
+        """Answer a heartbeat that another controller has forwarded."""
         try:
             header = wire.decode_heartbeat_header(body)
         except wire.MalformedMessageError as error:
             return error_response(400, str(error))
-        return await self._answer_as_leader(header, body) or _no_leader()
+        return await self._answer_as_leader(header, body) or _no_leader_response()
 
     async def _forward_or_redirect(
         self, machine_id: MachineId, leader: ControllerName, body: bytes
     ) -> Response:
-        """The leader's own answer for a worker that cannot reach it, else a redirect."""
+        """The leader's response if the worker can't reach the leader itself, else a redirect."""
         now = Instant(self.clock())
         if self.forwarding.should_forward(machine_id, leader, now):
             response = await self.peers.forwarder.forward(leader, body)
@@ -122,7 +121,7 @@
         return Response(421, wire.encode(RedirectResponse(leader)))
 
     async def _answer_as_leader(self, header: wire.HeartbeatHeader, body: bytes) -> Response | None:
-        """The answer of a controller that leads, or led and may keep sessions alive; else None."""
+        """The response as the leader, or as a former one that may keep sessions alive, or None."""
         leader_loop = self.local_leader.leader_loop
         if leader_loop is None:
             return None
@@ -130,23 +129,23 @@
         if not self.election.may_answer(scheduler.jobs_read_at):
             return None
         commands = await self.local_leader.apply_heartbeat(header, body)
-        # Leadership may have ended while the heartbeat waited for its turn.
+        # Leadership may have ended while the heartbeat was queued.
         if commands is None or not self.election.may_answer(scheduler.jobs_read_at):
             return None
         if not self.election.is_leader():
             if not scheduler.may_keep_session(MachineId(header.machine_id)):
                 return None
-            # Without a valid lease nothing may be started; what runs already goes on.
+            # Without a valid lease no task may be started; running tasks continue.
             commands = [command for command in commands if command.verb == wire.KILL]
         elif not self.election.may_start(scheduler.jobs_read_at):
             commands = [command for command in commands if command.verb != wire.START]
-        return _keep_session(scheduler.fencing_token, commands)
+        return _session_response(scheduler.fencing_token, commands)
 
 
-def _keep_session(fencing_token: int, commands: list[wire.TaskCommand]) -> Response:
+def _session_response(fencing_token: int, commands: list[wire.TaskCommand]) -> Response:
     return Response(200, wire.encode(HeartbeatResponse(fencing_token, commands)))
 
 
-def _no_leader() -> Response:
-    """Tells the worker to try another controller."""
+def _no_leader_response() -> Response:
+    """Tell the worker to try another controller."""
     return Response(421, wire.encode({}))
--- a/umberward/control/heartbeat_forwarder.py
+++ b/umberward/control/heartbeat_forwarder.py
@@ -1,4 +1,4 @@
-"""Sends workers' heartbeats on to a leader that the workers can't reach themselves."""
+"""Forwards heartbeats of workers to a leader that they can't reach directly."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 log = logger(__name__)
 
-FORWARD_TIMEOUT_S = 1.5  # the worker waits 4 s for the answer
-RETRY_PAUSE_S = 2.0  # none is forwarded this long after one that was not answered
+FORWARD_TIMEOUT_S = 1.5  # the worker waits 4 s for its response
+RETRY_PAUSE_S = 2.0  # nothing is forwarded for this long after a failed forward
 MAX_IN_FLIGHT = 16
 
 
 class HeartbeatForwarder:
-    """Limits how many heartbeats are on their way to the leader."""
+    """Forwards heartbeats and limits how many are in flight."""
 
     def __init__(
         self, addresses: Mapping[str, Address], client: Client, clock: Callable[[], float]
     ) -> None:
-        """Create a forwarder to the peers at `addresses`; `clock` is steady, in seconds."""
+        """Create a forwarder to the peers at `addresses`; `clock` is monotonic, in seconds."""
         self.addresses = addresses
         self.client = client
         self.clock = clock
@@ -34,9 +34,9 @@
         self.retry_not_before = -math.inf
 
     async def forward(self, leader: ControllerName, body: bytes) -> Response | None:
-        """The leader's answer to a heartbeat; None if it was not reached or does not lead."""
+        """The leader's response to a heartbeat; None if it is unreachable or does not lead."""
         address = self.addresses.get(leader)
-        # A leader that has failed must not delay all the workers that still turn to it.
+        # A failed leader must not delay the responses to all workers that are still sent to it.
         if address is None or self.slots.locked() or self.clock() < self.retry_not_before:
             return None
         async with self.slots:
--- a/umberward/control/job_admission.py
+++ b/umberward/control/job_admission.py
@@ -1,4 +1,4 @@
-"""Whether a submitted job can be accepted, as far as this can be judged without any request."""
+"""Checks of submitted jobs that need no request to other services."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 from umberward.scheduling.quota import Quota
 
 BYTES_PER_KB = 1024
-COMPLETIONS_RESERVE_BYTES = 512  # of a record are left for what is stored once the job runs
-RECORD_SPARE_BYTES = 64
-SUBMITTED_AT_DIGITS = 3  # decimal places of the second in which a job was submitted
+COMPLETIONS_RESERVE_BYTES = 512  # reserved in each record for a running job's completions
+RECORD_SPARE_BYTES = 64  # left unused in each record
+SUBMITTED_AT_DIGITS = 3  # decimal places of the submission time in seconds
 
 
 class JobRejectedError(ControllerError):
@@ -34,7 +34,7 @@
 
 
 class UnknownTeamError(JobRejectedError):
-    """The settings have no such team."""
+    """The job's team is not in the settings."""
 
     def __init__(self, team: str) -> None:
         """Name the team that the job belongs to."""
@@ -42,7 +42,7 @@
 
 
 class NoFittingMachineTypeError(JobRejectedError):
-    """One task needs more than any machine type offers that the job allows."""
+    """A single task does not fit any machine type that the job allows."""
 
     def __init__(self) -> None:
         """Create the error."""
@@ -50,7 +50,7 @@
 
 
 class QuotaExceededError(JobRejectedError):
-    """The tasks that must run at once need more than the team may ever use."""
+    """The tasks that must run at the same time need more than the team's limit."""
 
     def __init__(self) -> None:
         """Create the error."""
@@ -66,7 +66,7 @@
 
 
 class UnknownDependencyError(JobRejectedError):
-    """The job depends on one that no controller has accepted."""
+    """The job depends on a job that no controller has accepted."""
 
     def __init__(self, dependency: JobId) -> None:
         """Name the dependency."""
@@ -82,11 +82,11 @@
 
 
 class InvalidSubmissionError(wire.MalformedMessageError):
-    """The body decodes but is no valid submission."""
+    """The body can be decoded but is not a valid submission."""
 
 
 class Submission(NamedTuple):
-    """A decoded submission: the record to store, and the jobs that it names as dependencies."""
+    """A decoded submission: the record to store and the dependencies of the job."""
 
     job_id: JobId
     record: JobRecord
@@ -99,10 +99,10 @@
 
 
 class DependencyOutcome(NamedTuple):
-    """What the states of a job's dependencies mean for it.
+    """What the states of a job's dependencies mean for the job.
 
-    `unfinished` are those that it still waits for. `cancelled` is the first cancelled one; with it
-    the job is cancelled as well.
+    `unfinished` lists the dependencies that it still waits for. `cancelled` is the first cancelled
+    dependency: if there is one, the job is cancelled as well.
     """
 
     unfinished: list[JobId]
@@ -118,7 +118,7 @@
         machine_types: Mapping[MachineTypeName, MachineType],
         wall_clock: Callable[[], WallTime],
     ) -> None:
-        """Create the checks; `machine_types` may be filled later."""
+        """Create the checks; `machine_types` may be filled in later."""
         cluster = settings.platform.cluster
         self.machine_types = machine_types
         self.wall_clock = wall_clock
@@ -127,7 +127,7 @@
         self.graphs_enabled = settings.operator.graphs_enabled
 
     def decode(self, body: bytes) -> Submission:
-        """Decode a request's body. Raises MalformedMessageError with the reason for a 400."""
+        """Decode a request body. Raises MalformedMessageError with the reason for a 400."""
         spec = wire.decode_job_spec(body)
         job_id = parse_job_id(spec.job_id)
         if job_id is None:
@@ -143,8 +143,8 @@
         dependencies = list(dict.fromkeys(map(JobId, spec.dependencies or ())))
         spec.dependencies = None
         record = JobRecord(spec, round(self.wall_clock(), SUBMITTED_AT_DIGITS))
-        # Completed tasks are recorded beside the description; the dependencies only until the job
-        # starts, so their space is free again by then.
+        # The record of a running job needs space for completed tasks. Dependencies are stored only
+        # until the job starts, so they may use that space.
         if wire.json_size(record) > self.max_record_bytes - COMPLETIONS_RESERVE_BYTES:
             reason = "the description is too long"
             raise InvalidSubmissionError(reason)
@@ -160,9 +160,11 @@
         if team not in self.quota.teams:
             raise UnknownTeamError(spec.team)
         need = Resources(spec.cores, spec.accelerators, spec.mem_gb)
-        if not any(need.fits(offer.capacity) for offer in self._allowed_machine_types(spec)):
+        if not any(
+            need.fits(machine_type.capacity) for machine_type in self._allowed_machine_types(spec)
+        ):
             raise NoFittingMachineTypeError
-        # An array may run task after task; gangs and services need all tasks at once.
+        # The tasks of an array may run one at a time; gangs and services need all at once.
         tasks_at_once = 1 if spec.kind == wire.ARRAY else spec.task_count
         if self.quota.exceeds_limit(team, need, tasks_at_once):
             raise QuotaExceededError
@@ -183,10 +185,10 @@
 def resolve_dependencies(
     states: Mapping[JobId, LiveJobState | FinalJobRecord | None],
 ) -> DependencyOutcome:
-    """Judge the states of a job's dependencies, in the order in which the job names them.
+    """Evaluate the states of a job's dependencies, in the order given by the job.
 
-    None is the state of a job that no controller has accepted. Raises JobRejectedError for a
-    dependency that may not be named.
+    A state is None if no controller has accepted the job. Raises JobRejectedError for a dependency
+    that is not allowed.
     """
     unfinished = []
     cancelled: JobId | None = None
@@ -203,8 +205,8 @@
     return DependencyOutcome(unfinished, cancelled)
 
 
-def job_id_in(body: bytes) -> JobId | None:
-    """The job id in a submission that is otherwise malformed; None if there is no valid one."""
+def extract_job_id(body: bytes) -> JobId | None:
+    """The job id in a malformed submission; None if there is no valid one."""
     try:
         data = msgspec.msgpack.decode(body)
     except (msgspec.DecodeError, RecursionError, ValueError):
--- a/umberward/control/job_api.py
+++ b/umberward/control/job_api.py
@@ -1,7 +1,7 @@
-"""What users request of any controller: to submit, poll or cancel a job.
+"""The requests of users for single jobs, at every controller: submit, poll and cancel.
 
-Each answer is at least as recent as its request: it is given from records that never change, or
-from what the state service contained after the request arrived.
+No response is older than its request: it comes from records that never change, or from a read of
+the state service after the request arrived.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     JobRejectedError,
     SelfDependencyError,
     Submission,
-    job_id_in,
+    extract_job_id,
     resolve_dependencies,
 )
 from umberward.control.job_responses import (
@@ -45,25 +45,25 @@
 
 log = logger(__name__)
 
-SUBMIT_BUDGET_WAIT_S = 0.4  # how long a submission may wait for the state service's rate budget
+SUBMIT_BUDGET_WAIT_S = 0.4  # longest wait of a submission for the rate budget of the writes
 MAX_SUBMIT_ATTEMPTS = 2
 MAX_CANCEL_ATTEMPTS = 4
 RETRY_AFTER_S = 1.0
 OUTAGE_RETRY_AFTER_S = 2.0
-STATE_UNREACHABLE = "the state service is out of our reach"
+STATE_UNREACHABLE = "the state service is unreachable"
 NO_RECORD = Version(0)  # the version of a key that does not exist
 
 
 class JobChangedError(ControllerError):
-    """The job's record changed, or may have changed, between its reading and the write."""
+    """The job's record changed, or may have changed, between the read and the write."""
 
 
 @dataclass(frozen=True)
 class JobApiHooks:
-    """How the job API is connected with other parts of the controller.
+    """Connections of the job API to other parts of the controller.
 
-    `state_reachable`: whether the state service can be reached at all; if not, each request that
-    needs it is refused at once. `on_cancelled` is called with each job whose cancellation is
+    `state_reachable` returns whether the state service can be reached; if not, requests that need
+    it are rejected immediately. `on_cancelled` is called with each job whose cancellation is
     confirmed to a user.
     """
 
@@ -75,7 +75,7 @@
 
 
 class JobApi:
-    """Serves the job requests of users at one controller."""
+    """Serves job requests of users."""
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         wall_clock: Callable[[], WallTime],
         hooks: JobApiHooks = NO_HOOKS,
     ) -> None:
-        """Create the API; `machine_types` may be filled later, until then submissions must wait."""
+        """Create the API; submissions get a 503 until `machine_types` has been filled in."""
         self.store = store
         self.job_states = job_states
         self.machine_types = machine_types
@@ -96,37 +96,37 @@
     # ---- submit ------------------------------------------------------------------------
 
     async def submit(self, body: bytes) -> Response:
-        """Accept the job in a MessagePack body, or repeat the state of a job already accepted.
+        """Accept the job in a MessagePack body, or return the state of a job accepted before.
 
-        Responds 201 for an accepted job, 200 for a repeated one, 400 or 422 with a reason for one
-        that is malformed or can never run, and 429 or 503 if the user should try again later.
+        Responds 201 for a newly accepted job, 200 for one accepted before, 400 or 422 with a reason
+        for one that is malformed or can never run, and 429 or 503 if the user should retry later.
         """
         try:
             return await self._submit(body)
         except state_client.RateBudgetError as error:
-            log.info("submission_not_taken", error="our part of the writes is used up")
-            return _rate_limited(error)
+            log.info("submission_not_accepted", error="this controller's write rate is used up")
+            return _rate_limited_response(error)
         except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
-            log.info("submission_not_taken", error=error)
+            log.info("submission_not_accepted", error=error)
             return Response(503, retry_after=OUTAGE_RETRY_AFTER_S)
 
     async def _submit(self, body: bytes) -> Response:
         try:
             submission = self.admission.decode(body)
         except wire.MalformedMessageError as error:
-            # The repeat of an accepted job gets its state, whatever its body says.
-            known = await self._known_response(job_id_in(body))
+            # A repeated submission of an accepted job gets its state, whatever the body contains.
+            known = await self._known_response(extract_job_id(body))
             return known or rejection_response(400, str(error))
         final = self.job_states.finals.get(submission.job_id)
         if final is not None:
             return final_response(submission.job_id, final)
-        self._require_state()
+        self._require_state_service()
         if not self.machine_types:
-            return _try_again()
+            return _retry_later_response()
         try:
             self.admission.check_feasible(submission.spec)
             if submission.job_id in submission.dependencies:
-                raise SelfDependencyError  # answered like an infeasible job
+                raise SelfDependencyError  # rejected like an infeasible job
         except JobRejectedError as error:
             known = await self._known_response(submission.job_id)
             return known or rejection_response(422, str(error))
@@ -135,12 +135,12 @@
         return await self._store_submission(submission.job_id, submission.record)
 
     async def _submit_dependent(self, submission: Submission) -> Response:
-        """Submit a job with dependencies, all of which must have been accepted before."""
+        """Submit a job with dependencies, all of which must already have been accepted."""
         job_id, record, dependencies = submission
         states = await self.job_states.states([job_id, *dependencies])
         if states.pop(job_id) is not None:
-            # Accepted before: it gets its state, whatever became of its dependencies.
-            return await self._known_response(job_id) or _try_again()
+            # Accepted before: return its state, whatever the states of its dependencies are.
+            return await self._known_response(job_id) or _retry_later_response()
         try:
             outcome = resolve_dependencies(states)
         except JobRejectedError as error:
@@ -154,7 +154,7 @@
     async def _store_submission(
         self, job_id: JobId, record: JobRecord | FinalJobRecord
     ) -> Response:
-        """Store the first record of a job, unless it has one already."""
+        """Store the first record of a job unless it already has one."""
         key = final_key(job_id) if isinstance(record, FinalJobRecord) else live_key(job_id)
         conditions = [(live_key(job_id), NO_RECORD), (final_key(job_id), NO_RECORD)]
         writes = [transactions.put(key, record)]
@@ -162,18 +162,18 @@
             try:
                 await self.store.commit(conditions, writes, patience=SUBMIT_BUDGET_WAIT_S)
             except (state_client.CompareAndSwapError, state_client.UnknownOutcomeError):
-                # Accepted before, or the outcome is unknown: what can be read decides.
+                # Accepted before, or the outcome is unknown: read the stored state to find out.
                 known = await self._known_response(job_id)
                 if known is not None:
                     return known
             except state_client.RateBudgetError:
-                raise  # the response names its wait
+                raise  # `submit` responds with the time to wait
             except state_client.StateUnavailableError:
                 if attempt == MAX_SUBMIT_ATTEMPTS:
                     raise
             else:
                 return self._accepted_response(job_id, record)
-        return _try_again()
+        return _retry_later_response()
 
     def _accepted_response(self, job_id: JobId, record: JobRecord | FinalJobRecord) -> Response:
         log.debug("accepted", job=job_id)
@@ -191,21 +191,21 @@
             final = self.job_states.finals.get(job_id)
             if final is not None:
                 return final_response(job_id, final)
-            self._require_state()
+            self._require_state_service()
             return await self._known_response(job_id, urgent=False) or Response(404)
         except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
             log.debug("poll_not_answered", job=job_id, error=error)
-            return _try_again()
+            return _retry_later_response()
 
     # ---- cancel ------------------------------------------------------------------------
 
     async def cancel(self, job_id: JobId) -> Response:
-        """Cancel a job that has not ended, and respond with its state.
+        """Cancel a job unless it has ended, and respond with its state.
 
-        Responds 404 if no controller has accepted the job, 429 or 503 if it is not cancelled yet.
+        Responds 404 if no controller has accepted the job, and 429 or 503 if the user should retry.
         """
         try:
-            self._require_state()
+            self._require_state_service()
             for _ in range(MAX_CANCEL_ATTEMPTS):
                 try:
                     response = await self._try_cancel(job_id)
@@ -214,16 +214,17 @@
                 self._report_cancellation(job_id)
                 return response
         except state_client.RateBudgetError as error:
-            return _rate_limited(error)
+            return _rate_limited_response(error)
         except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
-            log.info("cancellation_not_taken", job=job_id, error=error)
-        return _try_again()
+            log.info("cancellation_not_accepted", job=job_id, error=error)
+        return _retry_later_response()
 
     async def _try_cancel(self, job_id: JobId) -> Response:
-        """Cancel the job as it is stored now. Raises JobChangedError to be tried again."""
+        """Try once to cancel the job. Raises JobChangedError if this should be retried."""
         live = await self.store.get(live_key(job_id))
         if live is None:
-            # One transaction replaces the live record by the final one: a known job has ended.
+            # A single transaction replaces the live record by the final one, so an accepted job
+            # without a live record has ended.
             state = await self.job_states.state(job_id, urgent=True)
             if state is None:
                 return Response(404)
@@ -246,14 +247,14 @@
         return final_response(job_id, final)
 
     def _report_cancellation(self, job_id: JobId) -> None:
-        """Report a cancellation that is confirmed to the user, also one that was only read."""
+        """Log and announce a confirmed cancellation, including one that was made earlier."""
         final = self.job_states.finals.get(job_id)
         if final is not None and final.phase == CANCELLED:
             log.info("cancelled_by_user", job=job_id)
             self.hooks.on_cancelled(job_id)
 
     def _cancelled_record(self, job_id: JobId, stored: object) -> FinalJobRecord:
-        """The final record of a job with this live record, which is cancelled now."""
+        """The final record that cancels a job with this live record."""
         try:
             record = wire.convert(stored, JobRecord)
             done_count = done_task_count(record)
@@ -264,10 +265,10 @@
         return FinalJobRecord(CANCELLED, done_count, remaining=remaining)
 
     def _remaining_tasks(self, record: JobRecord, done_count: int) -> RemainingTasks | None:
-        """The tasks that may still run, which count against the limit of their team.
+        """The tasks that may still be running and count towards their team's limit.
 
-        A leader that never reads the live record needs them. None if there are none, or the team
-        has no limit.
+        They are stored for a leader that has never read the live record. None if there are none or
+        the team has no limit.
         """
         spec = record.spec
         has_limit = self.admission.quota.has_limit(TeamName(spec.team))
@@ -285,17 +286,17 @@
 
     # ---- states ------------------------------------------------------------------------
 
-    def _require_state(self) -> None:
-        """Raise StateUnavailableError at once while the state service is known to be away."""
+    def _require_state_service(self) -> None:
+        """Raise StateUnavailableError if the state service is known to be unreachable."""
         if not self.hooks.state_reachable():
             raise state_client.StateUnavailableError(STATE_UNREACHABLE)
 
     async def _known_response(
         self, job_id: JobId | None, *, urgent: bool = True
     ) -> Response | None:
-        """The state of an accepted job; None if no controller has accepted it, or there is no id.
+        """The state of an accepted job; None without an id or if no controller has accepted it.
 
-        A response that is not urgent may wait to be read together with others.
+        A lookup that is not urgent may be delayed to share a read with others.
         """
         if job_id is None:
             return None
@@ -318,10 +319,10 @@
         )
 
 
-def _try_again() -> Response:
+def _retry_later_response() -> Response:
     return Response(503, retry_after=RETRY_AFTER_S)
 
 
-def _rate_limited(error: state_client.RateBudgetError) -> Response:
-    """Ask the user to wait until this controller's share of the write rate allows the request."""
+def _rate_limited_response(error: state_client.RateBudgetError) -> Response:
+    """Tell the user to retry when this controller's share of the write rate allows it."""
     return Response(429, retry_after=max(RETRY_AFTER_S, error.wait_s))
--- a/umberward/control/job_responses.py
+++ b/umberward/control/job_responses.py
@@ -1,4 +1,4 @@
-"""HTTP responses about one job, to its user."""
+"""HTTP responses to users about a single job."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
         "cancelled_by": "because",
     },
 ):
-    """Body of each answer about a job's state.
+    """Body of each response with a job's state.
 
-    `dependencies` lists the jobs it still waits for; `cancelled_by` is the job that it depended on
-    and that was cancelled. Both are left out if there is none.
+    `dependencies` lists the jobs that it still waits for; `cancelled_by` is the dependency whose
+    cancellation cancelled the job. Both are omitted if there is none.
     """
 
     job_id: JobId
@@ -41,12 +41,12 @@
 
 
 def state_response(state: JobStateResponse, status: int = 200) -> Response:
-    """The state of a job, with the HTTP status."""
+    """A response with the state of a job."""
     return Response(status, wire.encode(state))
 
 
 def final_response(job_id: JobId, final: FinalJobRecord, status: int = 200) -> Response:
-    """The state of a job that has ended, with the HTTP status."""
+    """A response with the state of a job that has ended."""
     state = JobStateResponse(
         job_id=job_id,
         phase=final.phase,
@@ -57,6 +57,6 @@
 
 
 def rejection_response(status: int, reason: str) -> Response:
-    """Tell the user why a submission is rejected, and log the reason."""
+    """A response that rejects a submission; the reason is logged as well."""
     log.info("submission_refused", status=status, error=reason)
     return error_response(status, reason)
--- a/umberward/control/job_state_cache.py
+++ b/umberward/control/job_state_cache.py
@@ -1,8 +1,8 @@
-"""A controller's copy of all job states, refreshed on demand for all requests that wait.
+"""A controller's cache of all job states, refreshed on demand for batches of requests.
 
-A poll must see whatever any controller has returned to a user before. Reading the state service for
-each poll would cost requests in proportion to the jobs. Therefore all polls that wait share one
-request, sent after they arrived, which reads the changes since the previous one.
+A poll must reflect everything that any controller has returned to a user before. Reading the state
+service for each poll would cost requests in proportion to the number of jobs. All waiting polls
+therefore share one request, sent after they arrived, for the changes since the previous one.
 """
 
 from __future__ import annotations
@@ -38,38 +38,38 @@
 
 log = logger(__name__)
 
-REQUEST_SHARE = 0.2  # of the state service's request rate, for the caches of all controllers
-MAX_ANSWER_S = 1.2  # users wait 2 s for the answer to a poll
-# What was read longer ago is read again: the process was paused, or a request was delayed.
+REFRESH_RATE_SHARE = 0.2  # of the state service's request rate, for refreshes by all controllers
+MAX_ANSWER_TIME_S = 1.2  # users wait 2 s for the response to a poll
+# An older refresh is repeated: the process was paused, or its request was delayed.
 MAX_STALENESS_S = 0.4
-# Polls that arrive meanwhile are answered together; their users wait 2 s. Submissions do not wait.
+# Polls arriving within this time share a refresh; users wait 2 s. Submissions do not wait.
 BATCH_WINDOW_S = 0.15
-# A cache without polls is refreshed this often, because the state service drops old changes.
+# Refresh interval without polls, needed because the state service discards old changes.
 IDLE_REFRESH_S = 10.0
-# The changes make up for all that a listing may have missed, unless it is older than this.
+# Up to this age, the changes after a listing complete what the listing may have missed.
 RECENT_LISTING_S = 5.0
-NO_HOLD_S = 0.0  # the state service answers at once, also if nothing has changed
-STALE_ANSWER = "what was read is out of date"
+NO_HOLD_S = 0.0  # the state service responds immediately, even without changes
+STALE_ANSWER = "the job state that was read is out of date"
 
 
 class LiveJobState(NamedTuple):
-    """What users may know of a job that has not ended."""
+    """The state of an unfinished job, as far as it is shown to users."""
 
-    placed_below: int  # tasks with lower numbers have been placed
+    placed_below: int  # tasks with lower numbers may have been placed
     done_count: int
     service: bool
-    has_dependencies: bool  # it was accepted to wait for other jobs
+    has_dependencies: bool  # the stored record names dependencies
 
 
 JobState = LiveJobState | FinalJobRecord
 
 
 class RefreshRequested(NamedTuple):
-    """Asks for everything that stood in the state service when this message was sent."""
+    """Requests a refresh that includes everything stored before this message was sent."""
 
 
 class JobStateCache:
-    """An actor that answers all waiting requests after one refresh.
+    """An actor that answers all waiting requests after a single refresh.
 
     `live` and `finals` hold the states by job id. `read_at` is when the latest refresh was sent and
     `listed_at` when all live jobs were last listed, both by `clock`.
@@ -78,16 +78,16 @@
     def __init__(
         self, settings: Settings, store: StateClient, clock: Callable[[], float] = time.monotonic
     ) -> None:
-        """Create an empty cache; `clock` is a steady clock, in seconds."""
+        """Create an empty cache; `clock` is a monotonic clock, in seconds."""
         self.store = store
         self.clock = clock
         cluster = settings.platform.cluster
-        self.refresh_pause_s = cluster.size / (cluster.state.rps * REQUEST_SHARE)
+        self.refresh_pause_s = cluster.size / (cluster.state.rps * REFRESH_RATE_SHARE)
         self.live: dict[JobId, LiveJobState] = {}
         self.dependency_graph = DependencyGraph(self.live.__contains__)
         self.finals: OrderedDict[JobId, FinalJobRecord] = OrderedDict()
-        self.max_finals = settings.operator.poll_cache
-        self.absent = AbsentJobs(self.max_finals)
+        self.max_final_records = settings.operator.poll_cache
+        self.absent = AbsentJobs(self.max_final_records)
         self.watched_revision: Revision | None = None  # None: the live jobs must be listed
         self.listed_at = 0.0
         self.read_at = 0.0
@@ -99,9 +99,9 @@
     # ---- questions ---------------------------------------------------------------------
 
     async def state(self, job_id: JobId, *, urgent: bool = False) -> JobState | None:
-        """The job's state at the time of the call or later; None: no controller has accepted it.
+        """The job's state at the time of the call or later; None if no controller accepted it.
 
-        A question that is not urgent waits up to BATCH_WINDOW_S for others. Raises
+        A request that is not urgent waits up to BATCH_WINDOW_S for others. Raises
         StateUnavailableError or UnknownOutcomeError if the state service can't be read in time.
         """
         asked_at = self.clock()
@@ -114,41 +114,41 @@
             now = self.clock()
             if isinstance(state, FinalJobRecord) or now - self.read_at <= MAX_STALENESS_S:
                 return state
-            if now - asked_at > MAX_ANSWER_S:
+            if now - asked_at > MAX_ANSWER_TIME_S:
                 raise state_client.StateUnavailableError(STALE_ANSWER)
 
     async def states(self, job_ids: list[JobId]) -> dict[JobId, JobState | None]:
         """The states of many jobs, after a single refresh.
 
-        Each job that was accepted before the call is found. A job that ends meanwhile may show
-        either state. Raises the same errors as `state`.
+        Every job that was accepted before the call is found. A job that ends during the call may
+        have either state. Raises the same errors as `state`.
         """
         await self._request_refresh(urgent=True)
         return {job_id: await self._lookup(job_id) for job_id in job_ids}
 
     def dependencies_of(self, job_id: JobId) -> list[JobId]:
-        """The jobs that this one still waits for, by the latest refresh."""
+        """The jobs that this one still waits for, as of the latest refresh."""
         return sorted(self.dependency_graph.dependencies.get(job_id, ()))
 
     def revision_before(self, moment: float) -> Revision | None:
-        """A revision below all that was committed after `moment`, by this process's clock.
+        """A revision lower than that of every commit after `moment`, by this process's clock.
 
-        None if the cache was not read that long ago.
+        None if no refresh is that old.
         """
         return self.revision_history.before(moment)
 
     def keep_final(self, job_id: JobId, final: FinalJobRecord) -> None:
-        """Add the state of a job that has ended; it never changes, so it needs no refresh."""
+        """Add a job that has ended; its record never changes, so it needs no refresh."""
         self.live.pop(job_id, None)
         self.absent.discard(job_id)
         self.dependency_graph.note_ended(job_id, final.phase)
-        # The remaining tasks concern the leader only, and users never see them.
+        # Only the leader needs the remaining tasks; users never see them.
         self.finals[job_id] = msgspec.structs.replace(final, remaining=None)
-        while len(self.finals) > self.max_finals:
+        while len(self.finals) > self.max_final_records:
             self.finals.popitem(last=False)
 
     async def _request_refresh(self, *, urgent: bool) -> None:
-        """Wait for a refresh that is sent after this call. Raises the error of one that fails."""
+        """Wait for a refresh that is sent after this call. Raises its error if it fails."""
         question = Question(RefreshRequested())
         await self.mailbox.put(question)
         if urgent:
@@ -160,29 +160,29 @@
     # ---- lookups -----------------------------------------------------------------------
 
     async def _lookup(self, job_id: JobId) -> JobState | None:
-        """The job's state by the latest refresh, with further requests where that is not enough."""
-        # A final state may have been returned to its user during the refresh: it takes precedence.
+        """The job's state as of the latest refresh, with further requests if necessary."""
+        # A final record takes precedence: it may have been returned to a user during the refresh.
         state = self.finals.get(job_id) or self.live.get(job_id)
         if state is None:
             if self.absent.is_absent(job_id):
                 return None
             return await self._lookup_stored(job_id)
         if isinstance(state, LiveJobState) and state.has_dependencies and not state.placed_below:
-            return await self._lookup_waiting(job_id, state)
+            return await self._lookup_dependent(job_id, state)
         return state
 
-    async def _lookup_waiting(self, job_id: JobId, state: LiveJobState) -> JobState:
-        """The state of a job that waits for others, any of which may have been cancelled.
+    async def _lookup_dependent(self, job_id: JobId, state: LiveJobState) -> JobState:
+        """The state of a job that waits for dependencies, any of which may have been cancelled.
 
-        Then this job is cancelled too, whatever its own record says as yet, and every controller
-        must give the same answer.
+        In that case the job is cancelled too, even if its own record does not say so yet, and every
+        controller must return the same state.
         """
         for dependency in self.dependency_graph.unresolved(job_id):
             final = self.finals.get(dependency)
             if final is not None:
                 self.dependency_graph.note_ended(dependency, final.phase)
             elif await self._lookup_stored(dependency) is None:
-                reason = f"what became of {dependency} is not known yet"
+                reason = f"the state of the dependency {dependency} is not known yet"
                 raise state_client.StateUnavailableError(reason)
         cause = self.dependency_graph.cancelled_by.get(job_id)
         if cause is not None:
@@ -190,7 +190,7 @@
         return self.finals.get(job_id, state)
 
     async def _lookup_stored(self, job_id: JobId) -> JobState | None:
-        """The state in the state service of a job that is not live by the latest refresh."""
+        """The stored state of a job that was not live as of the latest refresh."""
         lookup = self.absent.begin(job_id)
         try:
             stored_final = await self.store.get(final_key(job_id))
@@ -201,21 +201,21 @@
             self.absent.discard(job_id)
             raise
         if stored_final is not None:
-            return self._keep_stored_final(job_id, stored_final.data)
+            return self._add_stored_final(job_id, stored_final.data)
         if stored_live is not None:
-            # It was accepted, though the cache lacks it: no answer may say that it was not.
+            # The cache has missed a job that was accepted: polls must not report it as unknown.
             log.warning("job_missing_from_cache", job=job_id)
             self._apply_live(live_key(job_id), stored_live.data)
             return self.live[job_id]
-        # Only now: another question meanwhile must not take a lookup under way for an answer.
+        # Not earlier: concurrent requests must not take an unfinished lookup for a result.
         self.absent.confirm(job_id, lookup)
         return None
 
-    def _keep_stored_final(self, job_id: JobId, data: object) -> FinalJobRecord:
-        """Add a stored final record. Raises StateUnavailableError if it can't be read."""
+    def _add_stored_final(self, job_id: JobId, data: object) -> FinalJobRecord:
+        """Add a stored final record. Raises StateUnavailableError if it can't be decoded."""
         final = _decode_final(data, final_key(job_id))
         if final is None:
-            reason = f"what is stored of {job_id} can't be read"
+            reason = f"the stored final record of {job_id} can't be decoded"
             raise state_client.StateUnavailableError(reason)
         self.keep_final(job_id, final)
         return final
@@ -223,7 +223,7 @@
     # ---- refresh -----------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Refresh the cache for questions, or now and then without any, until cancelled."""
+        """Refresh the cache on demand, or after IDLE_REFRESH_S without requests, in a loop."""
         while True:
             questions = await self._receive_questions()
             failure = await self._try_refresh()
@@ -233,7 +233,7 @@
             await curio.ignore_after(BATCH_WINDOW_S, self.urgent_request.wait)
 
     async def _receive_questions(self) -> list[Question]:
-        """Wait for a question and return all that are there; none after IDLE_REFRESH_S."""
+        """Wait up to IDLE_REFRESH_S for a question and return all that have arrived."""
         questions: list[Question] = []
         first = await curio.ignore_after(IDLE_REFRESH_S, self.mailbox.get)
         if first is not None:
@@ -244,7 +244,7 @@
         return questions
 
     async def _try_refresh(self) -> state_client.StateUnavailableError | None:
-        """Refresh the cache; return the error for those who asked, or None if it succeeded."""
+        """Refresh the cache; return None, or the error to report to the waiting requests."""
         try:
             await self._refresh()
         except (
@@ -257,7 +257,7 @@
         except curio.CancelledError:
             raise
         except Exception as error:
-            # Those who asked must not wait for ever, and the next refresh starts from a listing.
+            # The waiting requests must get a reply, and the next refresh starts from a listing.
             log.exception("job_states_not_read")
             self.watched_revision = None
             return state_client.StateUnavailableError(str(error))
@@ -271,7 +271,7 @@
             self.revision_history.record(self.watched_revision, self.clock())
 
     async def _read_changes(self) -> None:
-        """Apply the changes since the latest refresh; list all live jobs if that is impossible."""
+        """Apply the changes since the latest refresh, or list all live jobs if they are lost."""
         if self.watched_revision is not None:
             try:
                 await self._apply_changes_after(self.watched_revision)
@@ -286,13 +286,13 @@
         self.dependency_graph.clear()
         for entry in entries:
             self._apply_live(entry.key, entry.data)
-        # The pages of a listing are read one after the other. What changed meanwhile is among the
-        # next changes, and must be known before any question is answered.
+        # The pages of a listing are read one after another. Changes made in between must be applied
+        # before any request is answered.
         await self._apply_changes_after(listed_revision)
 
     async def _apply_changes_after(self, revision: Revision) -> None:
         changes, self.watched_revision = await self.store.watch(
-            JOBS_PREFIX, revision, NO_HOLD_S, MAX_ANSWER_S
+            JOBS_PREFIX, revision, NO_HOLD_S, MAX_ANSWER_TIME_S
         )
         for change in changes:
             self._apply_change(change)
@@ -320,7 +320,7 @@
             packed = record.dependencies
             dependencies = wire.unpack_dependencies(packed) if packed else []
         except (wire.MalformedMessageError, ValueError) as error:
-            # The job was accepted all the same, so polls must find it.
+            # The job was accepted nevertheless, so polls must find it.
             _log_malformed_record(key, error)
             self.live[job_id] = LiveJobState(0, 0, service=False, has_dependencies=False)
             return
@@ -335,7 +335,7 @@
 
 
 def _decode_final(data: object, key: str) -> FinalJobRecord | None:
-    """The final record, or as much of it as can be read; None if that is not even its phase."""
+    """The final record, or just its phase if it is malformed; None if that is invalid too."""
     try:
         return wire.convert(data, FinalJobRecord)
     except wire.MalformedMessageError as error:
@@ -345,5 +345,5 @@
 
 
 def _log_malformed_record(key: str, error: Exception) -> None:
-    """Log a record that can't be read, without a traceback: the fault is in the record."""
+    """Log a malformed record without a traceback: the fault is in the record."""
     log.error("record_malformed", key=key, error=error)
--- a/umberward/control/machine_types.py
+++ b/umberward/control/machine_types.py
@@ -1,4 +1,4 @@
-"""Loads the catalogue of machine types that a controller needs before it can accept jobs."""
+"""Loads the list of machine types that a controller needs before it can accept jobs."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 MACHINE_TYPES_KEY = Key("flavors")
 MIN_RETRY_PAUSE_S = 0.5
 MAX_RETRY_PAUSE_S = 1.5
-FINISHED_PAUSE_S = 3600.0
+FINISHED_PAUSE_S = 3600.0  # length of one sleep once the list is loaded
 
 
 class MachineTypeLoader:
-    """Fills the controller's mapping of machine types, which its other parts share.
+    """Fills the mapping of machine types that all parts of the controller share.
 
-    The list that an earlier controller has stored is preferred to the cloud's, because it can be
-    read while the cloud is down. The list never changes once it is loaded.
+    A list that a controller has stored before takes precedence over the cloud's, because it can be
+    read while the cloud is down. Once loaded, the list never changes.
     """
 
     def __init__(
@@ -48,9 +48,9 @@
         self.rng = rng
 
     async def run(self) -> None:
-        """Load the machine types, retrying until there are any. Does not return.
+        """Load the machine types, retrying until there are any, then sleep until cancelled.
 
-        The controller restarts a part that ends, so this one stays idle when its work is done.
+        Returning would make the controller restart this part.
         """
         while not self.machine_types:
             if await self._load_stored():
@@ -60,7 +60,7 @@
             await curio.sleep(FINISHED_PAUSE_S)
 
     async def _load_stored(self) -> bool:
-        """Load the list in the state service; return whether one was found."""
+        """Load the list from the state service; return whether it was found."""
         try:
             stored = await self.store.get(MACHINE_TYPES_KEY)
             if stored is None:
@@ -78,7 +78,7 @@
         return True
 
     async def _load_from_cloud(self) -> None:
-        """Load the cloud's list and store it for other controllers; pause if either fails."""
+        """Load the cloud's list and store it for all controllers; pause if either step fails."""
         try:
             self.machine_types.update(await self.cloud.machine_types())
             await self._store()
@@ -92,7 +92,7 @@
             await curio.sleep(self.rng.uniform(MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S))
 
     async def _store(self) -> None:
-        """Store the list unless another controller has stored one or it is too large."""
+        """Store the list, unless it is too large. Raises CompareAndSwapError if there is one."""
         record = MachineTypeList(list(self.machine_types.values()))
         if wire.json_size(record) < self.max_record_bytes:
             await self.store.commit(
--- a/umberward/control/peer_delegation.py
+++ b/umberward/control/peer_delegation.py
@@ -1,6 +1,6 @@
-"""Keeps a delegation of lease renewal at hand, and uses it while the zone is partitioned.
+"""Obtains delegations of lease renewal from the leader, and uses them in a zone partition.
 
-umberward.scheduling.lease_delegation has the rules and their argument.
+umberward.scheduling.lease_delegation has the rules and the reasons for them.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 log = logger(__name__)
 
-REQUEST_INTERVAL_S = 1.0  # how often the leader is asked for a delegation
-INTERVAL_JITTER = (0.9, 1.1)  # factors of the interval
+REQUEST_INTERVAL_S = 1.0  # interval of requests to the leader for a delegation
+INTERVAL_JITTER = (0.9, 1.1)  # range of random factors applied to the interval
 
 
 class PeerDelegation:
-    """This controller as the delegate of whoever leads, for the machines of its own zone."""
+    """This controller as the current leader's delegate for the machines of its own zone."""
 
     def __init__(
         self, settings: Settings, contacts: PeerContacts, client: Client, rng: random.Random
@@ -41,11 +41,11 @@
         self.client = client
         self.rng = rng
         self.delegate = Delegate(cluster.workers)
-        self.is_answering = False  # workers of the zone, in place of the leader
-        self.multiple_zones = len(cluster.zones) > 1  # else no zone can be cut off from the others
+        self.is_answering = False  # whether it answers workers of the zone in place of the leader
+        self.multiple_zones = len(cluster.zones) > 1  # otherwise no zone can be partitioned
 
     async def run(self) -> None:
-        """Ask the leader again and again, until cancelled."""
+        """Request delegations from the leader periodically, until cancelled."""
         while True:
             await curio.sleep(REQUEST_INTERVAL_S * self.rng.uniform(*INTERVAL_JITTER))
             address = self.addresses.get(str(self.election.leader))
@@ -68,7 +68,7 @@
     def may_answer_worker(self, machine_id: MachineId, fencing_token: int) -> bool:
         """Whether this controller may keep the session of a worker with this token alive.
 
-        It may only while it is cut off from the state service and from the leader.
+        It may do so only while it is cut off from the state service and from the leader.
         """
         if not self.contacts.lacks_state_contact():
             self.is_answering = False
--- a/umberward/control/peer_link.py
+++ b/umberward/control/peer_link.py
@@ -1,4 +1,4 @@
-"""This controller's exchange with the other controllers: what it sends, and what it serves."""
+"""The messages that this controller exchanges with its peers, the other controllers."""
 
 from __future__ import annotations
 
@@ -22,16 +22,17 @@
 from umberward.protocol.http import Client, Request, Response
 from umberward.scheduling.lease_delegation import Delegation
 
-POLL_INTERVAL_S = (0.8, 1.2)  # bounds of the random pause between two rounds
+POLL_INTERVAL_S = (0.8, 1.2)  # range of the random pause between two polls of the peers
 
 
 @dataclass(frozen=True)
 class PeerCallbacks:
-    """What requests of other controllers need of the rest of this one.
+    """Callbacks for requests of peers that other parts of this controller must answer.
 
-    `take_snapshot`: what it has learnt as the leader; None if it does not lead. `delegate`: answers
-    a request for a delegation; None if it does not lead. `answer_heartbeat`: answers a heartbeat
-    that a peer has forwarded. `on_cancelled`: called with jobs that peers have cancelled.
+    `take_snapshot` returns the snapshot of a leader, and `delegate` answers a request for a
+    delegation; both return None if this controller does not lead. `answer_heartbeat` answers a
+    heartbeat forwarded by a peer. `on_cancelled` is called with jobs whose cancellation a peer has
+    announced.
     """
 
     take_snapshot: Callable[[], FailoverSnapshot | None]
@@ -41,7 +42,7 @@
 
 
 class PeerLink:
-    """The parts that exchange messages with peers, and the server of their requests."""
+    """Owns the parts that exchange messages with peers, and serves the requests of peers."""
 
     def __init__(
         self,
@@ -51,7 +52,7 @@
         rng: random.Random,
         callbacks: PeerCallbacks,
     ) -> None:
-        """Create all parts; `client` sends their requests and `rng` draws their pauses."""
+        """Create all parts; `client` sends their requests and `rng` randomizes their pauses."""
         addresses = settings.peers
         self.election = election
         self.clock = election.clock
@@ -66,7 +67,7 @@
         self.snapshots = SnapshotExchange(addresses, election, client, callbacks.take_snapshot)
 
     async def run(self) -> None:
-        """Ask peers for their status without the state service, else the leader for its snapshot.
+        """Poll the peers' status while cut off from the state service, else the leader's snapshot.
 
         Runs until cancelled.
         """
@@ -83,7 +84,7 @@
                 await self.snapshots.fetch()
 
     async def serve(self, request: Request) -> Response:
-        """Answer a request of another controller; 404 if it is unknown or only a leader can."""
+        """Answer a request of a peer; 404 for an unknown path, or one that only a leader serves."""
         path = request.path
         if path == peer_messages.STATUS_PATH:
             return Response(200, peer_messages.encode(self.contacts.own_status()))
--- a/umberward/control/peer_messages.py
+++ b/umberward/control/peer_messages.py
@@ -1,7 +1,7 @@
-"""The messages that controllers send each other over HTTP, as CBOR maps.
+"""The messages between controllers: CBOR maps over HTTP.
 
-The names on the wire are those of earlier versions, which may run beside this one. They are mapped
-to the names in the code here and nowhere else, but for those of `Delegation` and
+The names on the wire stay as they are for compatibility with earlier versions, which may run at the
+same time. They are mapped to the names in the code only here, except for those of `Delegation` and
 `FailoverSnapshot`, which are mapped where these are defined.
 """
 
@@ -27,7 +27,7 @@
 
 
 class InvalidPeerMessageError(ControllerError):
-    """A message of another controller can't be decoded, or says what it must not say."""
+    """A message of another controller can't be decoded or has invalid content."""
 
 
 class PeerStatus(
@@ -36,37 +36,38 @@
     frozen=True,
     rename={
         "name": "label",
-        "contact_age_s": "contact_age",
+        "state_contact_age_s": "contact_age",
         "leader_version": "stamp",
         "heartbeat_age_s": "heard_age",
     },
 ):
-    """What a controller answers to a peer that lacks the state service.
+    """The response of a controller to a peer that has no contact with the state service.
 
-    `contact_age_s`: seconds since the state service last renewed its lease; `leader` and
-    `leader_version`: who leads, and the version of the leader's key; `heartbeat_age_s`: seconds
-    since a worker last sent it a heartbeat, which earlier versions leave out.
+    `state_contact_age_s` is the time in seconds since the state service last renewed its lease.
+    `leader` and `leader_version` are the current leader and the version of the leader's key.
+    `heartbeat_age_s` is the time in seconds since a worker last sent it a heartbeat; earlier
+    versions omit it.
     """
 
     name: str = ""
-    contact_age_s: float
+    state_contact_age_s: float
     leader: ControllerName | None
     leader_version: int = 0
     heartbeat_age_s: float = math.inf
 
 
 class CancelledJobs(msgspec.Struct):
-    """Jobs of which this controller has confirmed the cancellation to their users."""
+    """Jobs whose cancellation the sender has confirmed to their users."""
 
     sender: str = msgspec.field(name="from")
     cancelled: list[str] = []
 
 
 class DelegationRequest(NamedTuple):
-    """The query by which a controller asks the leader for a delegation.
+    """The query with which a controller requests a delegation from the leader.
 
-    `last_seen_serial` is that of the latest delegation it has received, 0 for none; `unused` tells
-    that it has answered no worker since it asked for that one.
+    `last_seen_serial` is the serial number of the latest delegation that it has received, or 0.
+    `unused` is true if it has answered no worker since it requested that delegation.
     """
 
     delegate: ControllerName
@@ -74,7 +75,7 @@
     unused: bool
 
     def to_target(self) -> str:
-        """The request target, with the query."""
+        """The request target, including the query."""
         return (
             f"{DELEGATION_PATH}?for={self.delegate}&seen={self.last_seen_serial}"
             f"&idle={int(self.unused)}"
@@ -92,12 +93,12 @@
 
 
 def encode(message: msgspec.Struct) -> bytes:
-    """The CBOR map of a message, with its fields in the order of their definition."""
+    """Encode a message as a CBOR map, with the fields in the order of their definition."""
     return bytes(cbor2.dumps(msgspec.to_builtins(message)))
 
 
 def decode(body: bytes, kind: type[Message]) -> Message:
-    """Decode a body as a message of this kind. Raises InvalidPeerMessageError."""
+    """Decode a body as a message of type `kind`. Raises InvalidPeerMessageError."""
     try:
         return msgspec.convert(cbor2.loads(body), kind)
     except (msgspec.ValidationError, cbor2.CBORDecodeError, ValueError, TypeError) as error:
--- a/umberward/control/readiness.py
+++ b/umberward/control/readiness.py
@@ -1,4 +1,4 @@
-"""Whether this controller can serve users: its readiness and its contact with the state service."""
+"""Determines whether this controller can serve users and can reach the state service."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
         machine_types: Sized,
         clock: Callable[[], float],
     ) -> None:
-        """Create a probe over the parts of one controller.
+        """Create the readiness check of one controller.
 
-        `clock` is the steady clock, in seconds, that the other parts read as well.
+        `clock` is the monotonic clock, in seconds, that the other parts use as well.
         """
         self.election = election
         self.job_states = job_states
@@ -37,28 +37,28 @@
     def is_ready(self) -> bool:
         """Whether users should be sent to this controller.
 
-        It is not ready while it has no machine types, or while it lacks the state service and other
-        controllers do not. In an outage of the state service all controllers lack it: they stay
-        ready, and each tells its users of the outage.
+        It is not ready while it has no machine types, or while it has no contact with the state
+        service but other controllers do. In an outage of the state service no controller has
+        contact: all stay ready, and tell their users about the outage.
         """
         if not self.machine_types:
             return False
-        contact_age_s = self.clock() - self.election.renewed_at
-        has_contact = contact_age_s < STATE_CONTACT_TIMEOUT_S
+        state_contact_age_s = self.clock() - self.election.renewed_at
+        has_contact = state_contact_age_s < STATE_CONTACT_TIMEOUT_S
         is_isolated = not has_contact and self.peer_contacts.is_isolated()
-        self._log_isolation(contact_age_s, is_isolated=is_isolated)
+        self._log_isolation(state_contact_age_s, is_isolated=is_isolated)
         if has_contact:
             return True
-        return not (is_isolated or self.peer_contacts.others_have_contact())
+        return not (is_isolated or self.peer_contacts.peers_have_state_contact())
 
-    def _log_isolation(self, contact_age_s: float, *, is_isolated: bool) -> None:
-        """Log when this controller becomes isolated, and when it no longer is."""
+    def _log_isolation(self, state_contact_age_s: float, *, is_isolated: bool) -> None:
+        """Log the beginning and the end of an isolation of this controller."""
         if is_isolated == self.isolation_logged:
             return
         self.isolation_logged = is_isolated
         log.warning(
             "controller_isolated" if is_isolated else "controller_not_isolated",
-            without_state_s=round(contact_age_s, 1),
+            without_state_s=round(state_contact_age_s, 1),
         )
 
     def is_state_reachable(self) -> bool:
--- a/umberward/control/request_router.py
+++ b/umberward/control/request_router.py
@@ -1,4 +1,4 @@
-"""Routes the requests at a controller's public address to the parts that answer them."""
+"""Routes requests to a controller's public address to their handlers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class RequestRouter:
-    """Serves workers, users and readiness probes."""
+    """Routes requests of workers, users and readiness probes."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self.readiness = readiness
 
     async def serve(self, request: Request) -> Response:
-        """Answer any request: 404 for an unknown path, 405 for a wrong method."""
+        """Answer a request; 404 for an unknown path, 405 for a wrong method."""
         path = request.path
         if path == HEARTBEAT_PATH:  # first, because most requests are heartbeats
             if request.method != "POST":
--- a/umberward/control/responses.py
+++ b/umberward/control/responses.py
@@ -1,4 +1,4 @@
-"""HTTP responses that several request handlers of a controller give."""
+"""HTTP responses shared by the request handlers of a controller."""
 
 from __future__ import annotations
 
@@ -7,5 +7,5 @@
 
 
 def error_response(status: int, reason: str) -> Response:
-    """A response with the HTTP status and a MessagePack body that names the reason."""
+    """An error response whose MessagePack body contains the reason."""
     return Response(status, wire.encode({"error": reason}))
--- a/umberward/control/revision_history.py
+++ b/umberward/control/revision_history.py
@@ -1,4 +1,4 @@
-"""Remembers which revision of the state service was current at past moments."""
+"""Records which revision of the state service was current at past times."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 
 from umberward.core.types import Revision
 
-RECORD_INTERVAL_S = 1.0  # moments are remembered no closer together than this
+RECORD_INTERVAL_S = 1.0  # minimum interval between records
 
 
 class ObservedRevision(NamedTuple):
-    """A revision, and the moment after which all that is committed has a higher one."""
+    """A revision and its time of observation: every later commit has a higher revision."""
 
     observed_at: float
     revision: Revision
 
 
 class RevisionHistory:
-    """The revisions of a bounded past, by this process's steady clock, in seconds."""
+    """Recent revisions by the time of their observation on this process's monotonic clock."""
 
     def __init__(self, retention_s: float) -> None:
-        """Create an empty history that reaches back at least `retention_s`, once it is filled."""
+        """Create an empty history that will cover at least the last `retention_s` seconds."""
         self.retention_s = retention_s
         self._observed: deque[ObservedRevision] = deque()
 
     def record(self, revision: Revision, now: float) -> None:
-        """Remember the revision that was current at `now`, and forget what is too old."""
+        """Record the revision that was current at `now`, and drop entries that are too old."""
         observed = self._observed
         if observed and now - observed[-1].observed_at <= RECORD_INTERVAL_S:
             return
         observed.append(ObservedRevision(now, revision))
-        # The second oldest must be too old: then the oldest is not needed to cover the retention.
+        # The oldest entry is needed until the second oldest is past the retention as well.
         while len(observed) > 1 and now - observed[1].observed_at > self.retention_s:
             observed.popleft()
 
     def before(self, moment: float) -> Revision | None:
-        """A revision below all that was committed after `moment`; None if none is that old."""
+        """A revision lower than that of every commit after `moment`; None if none is that old."""
         revisions = [entry.revision for entry in self._observed if entry.observed_at <= moment]
         return revisions[-1] if revisions else None
--- a/umberward/control/snapshot_exchange.py
+++ b/umberward/control/snapshot_exchange.py
@@ -1,4 +1,4 @@
-"""Passes the leader's failover snapshot to the other controllers, any of which may lead next."""
+"""Distributes the leader's failover snapshot to the other controllers, which may lead next."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 log = logger(__name__)
 
-FETCH_INTERVAL_S = 2.0  # how often the leader is asked for its snapshot
-ENCODED_REUSE_S = 0.9 * FETCH_INTERVAL_S  # one encoding serves peers that ask at about this time
+FETCH_INTERVAL_S = 2.0  # interval of requests to the leader for its snapshot
+ENCODED_REUSE_S = 0.9 * FETCH_INTERVAL_S  # an encoded snapshot is served to all peers for this long
 
 
 class SnapshotExchange:
-    """Keeps the latest snapshot of whoever led last, and serves this controller's own.
+    """Keeps the latest snapshot of the last leader, and serves that of this controller.
 
-    All times are of this process's steady clock, in seconds.
+    All times are by this process's monotonic clock, in seconds.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
     ) -> None:
         """Create an exchange with the peers at `addresses`.
 
-        `take_own_snapshot` returns what this controller has learnt; None if it does not lead.
+        `take_own_snapshot` returns the snapshot of this controller; None if it does not lead.
         """
         self.addresses = addresses
         self.election = election
@@ -48,12 +48,12 @@
         self.encoded_at = 0.0
 
     def keep(self, snapshot: FailoverSnapshot) -> None:
-        """Keep the snapshot unless one of a later leader is there."""
+        """Keep the snapshot unless there is one of a later leader."""
         if self.latest is None or snapshot.fencing_token >= self.latest.fencing_token:
             self.latest, self.latest_at = snapshot, self.clock()
 
     def recent(self) -> tuple[FailoverSnapshot, float] | None:
-        """The last leader's snapshot and its age in seconds; None if there is none or it is old."""
+        """The last leader's snapshot and its age in seconds; None if missing or too old."""
         age_s = self.clock() - self.latest_at
         if self.latest is None or age_s > failover_snapshot.MAX_SNAPSHOT_AGE_S:
             return None
@@ -76,7 +76,7 @@
             self.keep(snapshot)
 
     def serve(self) -> Response:
-        """Respond with this controller's own snapshot, or 404 if it has none."""
+        """Respond with this controller's snapshot, or 404 if it has none."""
         if self.clock() - self.encoded_at > ENCODED_REUSE_S:
             snapshot = self.take_own_snapshot()
             if snapshot is None:
--- a/umberward/control/stored_jobs.py
+++ b/umberward/control/stored_jobs.py
@@ -1,7 +1,7 @@
-"""Keys of the two records of a job in the state service, and what is derived from them.
+"""Keys of a job's live and final records in the state service, and its count of done tasks.
 
-A job has a live record until it ends and a final record afterwards. One transaction replaces the
-first by the second, so at any revision a job has at most one of them.
+A job has a live record until it ends and a final record afterwards. A single transaction replaces
+one by the other, so at any revision a job has at most one of them.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 
 def live_key(job_id: JobId) -> Key:
-    """Key of the record of a job that has not ended."""
+    """The key of a job's live record."""
     return Key(LIVE_JOBS_PREFIX + job_id)
 
 
 def final_key(job_id: JobId) -> Key:
-    """Key of the record of a job that has ended."""
+    """The key of a job's final record."""
     return Key(FINAL_JOBS_PREFIX + job_id)
 
 
 def done_task_count(record: JobRecord) -> int:
-    """How many tasks are done. Raises ValueError for a malformed bitmap."""
+    """The number of completed tasks. Raises ValueError for a malformed bitmap."""
     return record.done_below + int(record.done_bitmap, 16).bit_count()
--- a/umberward/protocol/__init__.py
+++ b/umberward/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""What is said between machines: the names on the wire, typed messages, HTTP."""
+"""Communication between machines: typed messages, their names on the wire, and HTTP."""
--- a/umberward/protocol/cloud_messages.py
+++ b/umberward/protocol/cloud_messages.py
@@ -1,6 +1,6 @@
 """Messages of the cloud's machine API (PROTOCOL, "Controller nodes -> cloud").
 
-The table of wire words is in `umberward.protocol.wire`.
+The table of wire names is in `umberward.protocol.wire`.
 """
 
 from __future__ import annotations
@@ -57,7 +57,10 @@
         "age_s": "held_s",
     },
 ):
-    """A machine in the cloud's list (PROTOCOL, "GET /hosts"); `age_s` counts from its request."""
+    """A machine in the cloud's list (PROTOCOL, "GET /hosts").
+
+    `age_s` is the time in seconds since the machine was requested.
+    """
 
     machine_id: Name
     address: str = ""
@@ -69,13 +72,13 @@
 
 
 class CloudMachinePage(msgspec.Struct, rename={"machines": "hosts"}):
-    """The cloud's response to GET /hosts; `more`: there are machines behind the last one."""
+    """The cloud's response to GET /hosts; `more` is true if further machines follow."""
 
     machines: list[CloudMachine]
     more: bool = False
 
 
 class ScaleOutResponse(msgspec.Struct, rename={"machine_ids": "hosts"}):
-    """The cloud's response to POST /hosts: the machines that were rented."""
+    """The cloud's response to POST /hosts: the ids of the new machines."""
 
     machine_ids: list[Name]
--- a/umberward/protocol/http/__init__.py
+++ b/umberward/protocol/http/__init__.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 with h11 over curio: a server, and a client that keeps connections.
+"""An HTTP/1.1 server and a client with connection pooling, built on h11 and curio.
 
-Both are bound by a budget of open sockets, which a server and a client of one process may share.
+Both are limited by a budget of open sockets, which a server and a client of one process may share.
 """
 
 from umberward.protocol.http.client import Client
--- a/umberward/protocol/http/client.py
+++ b/umberward/protocol/http/client.py
@@ -1,4 +1,4 @@
-"""An HTTP client that keeps connections, within a bound on open sockets."""
+"""An HTTP client with a connection pool, within a limit on open sockets."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
     NoResponseError,
     RequestNotSentError,
     Response,
-    known_responses,
     request_head,
     request_head_bytes,
+    response_head_cache,
 )
 from umberward.protocol.http.socket_budget import SocketBudget
 
-SOCKET_RECHECK_S = 0.1  # how often it is looked whether the server has given sockets back
-MAX_IDLE_PER_ADDRESS = 4  # connections kept for one address
-MIN_WAIT_S = 0.001
+SOCKET_RECHECK_S = 0.1  # interval of checks whether the server has released sockets
+MAX_IDLE_PER_ADDRESS = 4  # idle connections in the pool
+MIN_TIMEOUT_S = 0.001  # for a step that begins at or after the deadline
 
 EXCHANGE_DONE = (h11.DONE, h11.DONE)
-NOT_USED = (h11.IDLE, h11.IDLE)  # the response was known by its bytes, h11 has seen nothing
+PARSER_UNUSED = (h11.IDLE, h11.IDLE)  # the response head was cached, so h11 was bypassed
 
 
-class _Head(NamedTuple):
-    """The parts of a request's head."""
+class _RequestHead(NamedTuple):
+    """The fields of a request's head."""
 
     method: str
     target: str
@@ -42,22 +42,22 @@
     length: int
 
 
-class _KeptConnection(NamedTuple):
-    """A connection of this client and h11's state of it."""
+class _PooledConnection(NamedTuple):
+    """An open connection and its h11 state."""
 
     sock: curio.io.Socket
     state: h11.Connection
 
 
 class Client:
-    """Sends requests over kept connections."""
+    """Sends requests over pooled connections."""
 
     def __init__(self, most: SocketBudget | int) -> None:
-        """`most`: how many sockets it may open, or the budget that it shares with a server."""
+        """Create a client; `most` is a number of sockets, or a budget shared with a server."""
         self.sockets = SocketBudget.of(most)
         self.waiting: deque[curio.Event] = deque()  # requests that wait for a socket
-        # Idle connections; the address least recently used comes first.
-        self.idle: OrderedDict[Address, list[_KeptConnection]] = OrderedDict()
+        # Pooled connections; the least recently used address comes first.
+        self.idle: OrderedDict[Address, list[_PooledConnection]] = OrderedDict()
 
     async def request(
         self,
@@ -71,18 +71,18 @@
     ) -> Response:
         """Send a request and wait for its response.
 
-        `timeout`: seconds for all of it; `fresh`: take no kept connection; `still` is asked once
-        more when all is ready to be sent, as the process may have waited for a socket or a
-        connection, or have been paused, since the decision was made. Raises RequestNotSentError
-        or NoResponseError.
+        `timeout` limits the whole exchange, in seconds; `fresh` requires a new connection. `still`
+        is called immediately before sending: the request is not sent if it returns False. It
+        guards against decisions that are outdated because the process has waited for a socket or
+        a connection, or was paused. Raises RequestNotSentError or NoResponseError.
         """
         deadline = time.monotonic() + timeout
         connection = await self._connect(address, deadline, fresh=fresh)
         if still is not None and not still():
             await self._close(connection.sock)
-            raise RequestNotSentError(f"{method} {address}: no longer ours to say")
-        head = _Head(method, target, str(address), len(body))
-        wait_s = max(deadline - time.monotonic(), MIN_WAIT_S)
+            raise RequestNotSentError(f"{method} {address}: no longer valid when ready to be sent")
+        head = _RequestHead(method, target, str(address), len(body))
+        wait_s = max(deadline - time.monotonic(), MIN_TIMEOUT_S)
         try:
             response: Response = await curio.timeout_after(
                 wait_s, self._round_trip, connection, head, body
@@ -93,38 +93,40 @@
         except BaseException:
             await self._close(connection.sock)
             raise
-        await self._keep(address, connection)
+        await self._return_to_pool(address, connection)
         return response
 
     async def forget(self, address: Address) -> None:
-        """Close the idle connections to an address that is gone."""
+        """Close the idle connections to an address that is no longer used."""
         for connection in self.idle.pop(address, []):
             await self._close(connection.sock)
 
-    async def close_kept(self) -> bool:
-        """Close an idle connection to the address least recently used; False: there is none."""
+    async def close_idle_connection(self) -> bool:
+        """Close an idle connection to the least recently used address; return False if none."""
         if not self.idle:
             return False
-        connection = self._take_idle(next(iter(self.idle)), 0)
+        connection = self._take_idle_connection(next(iter(self.idle)), 0)
         await self._close(connection.sock)
         return True
 
-    async def _connect(self, address: Address, deadline: float, *, fresh: bool) -> _KeptConnection:
-        """An idle connection that still works, or a new one. Raises RequestNotSentError."""
+    async def _connect(
+        self, address: Address, deadline: float, *, fresh: bool
+    ) -> _PooledConnection:
+        """A usable idle connection, or a new one. Raises RequestNotSentError."""
         while not fresh and address in self.idle:
-            connection = self._take_idle(address, -1)
+            connection = self._take_idle_connection(address, -1)
             if self._is_usable(connection.sock):
                 return connection
             await self._close(connection.sock)
-        # Idle connections count: with more addresses than sockets, they would take them all and
-        # no new address could be reached any more.
-        while self.sockets.left_to_client <= 0 and await self.close_kept():
+        # Idle connections use up the budget. With more addresses than sockets they would exhaust
+        # it, and no further address could be reached.
+        while self.sockets.available_to_client <= 0 and await self.close_idle_connection():
             pass
-        await self._take_socket(address, deadline)
+        await self._acquire_socket(address, deadline)
         sock = sockets.socket(sockets.AF_INET, sockets.SOCK_STREAM)
         try:
             sock.setsockopt(sockets.IPPROTO_TCP, sockets.TCP_NODELAY, 1)
-            wait_s = max(deadline - time.monotonic(), MIN_WAIT_S)
+            wait_s = max(deadline - time.monotonic(), MIN_TIMEOUT_S)
             await curio.timeout_after(wait_s, sock.connect, tuple(address))
         except (OSError, curio.TaskTimeout) as error:
             await self._close(sock)
@@ -132,13 +134,13 @@
         except BaseException:
             await self._close(sock)
             raise
-        return _KeptConnection(sock, h11.Connection(h11.CLIENT))
+        return _PooledConnection(sock, h11.Connection(h11.CLIENT))
 
-    async def _keep(self, address: Address, connection: _KeptConnection) -> None:
-        """Keep the connection for later requests, if it may go on."""
+    async def _return_to_pool(self, address: Address, connection: _PooledConnection) -> None:
+        """Keep the connection for later requests, or close it if it can't be reused."""
         idle = self.idle.get(address, [])
         states = (connection.state.our_state, connection.state.their_state)
-        if states not in (EXCHANGE_DONE, NOT_USED) or len(idle) >= MAX_IDLE_PER_ADDRESS:
+        if states not in (EXCHANGE_DONE, PARSER_UNUSED) or len(idle) >= MAX_IDLE_PER_ADDRESS:
             await self._close(connection.sock)
             return
         if states == EXCHANGE_DONE:
@@ -146,20 +148,20 @@
         self.idle[address] = [*idle, connection]
         self.idle.move_to_end(address)
 
-    async def _take_socket(self, address: Address, deadline: float) -> None:
-        """Wait for room in the socket budget, and take it. Raises RequestNotSentError."""
-        while self.sockets.left_to_client <= 0:
+    async def _acquire_socket(self, address: Address, deadline: float) -> None:
+        """Wait for a socket in the budget and reserve it. Raises RequestNotSentError."""
+        while self.sockets.available_to_client <= 0:
             freed = curio.Event()
             self.waiting.append(freed)
-            # The server gives sockets back without telling the client.
-            wait_s = min(max(deadline - time.monotonic(), MIN_WAIT_S), SOCKET_RECHECK_S)
+            # The server releases sockets without notifying the client.
+            wait_s = min(max(deadline - time.monotonic(), MIN_TIMEOUT_S), SOCKET_RECHECK_S)
             if await curio.ignore_after(wait_s, freed.wait) is None and freed in self.waiting:
                 self.waiting.remove(freed)
-            if time.monotonic() >= deadline and self.sockets.left_to_client <= 0:
-                raise RequestNotSentError(f"{address}: no socket to spare")
+            if time.monotonic() >= deadline and self.sockets.available_to_client <= 0:
+                raise RequestNotSentError(f"{address}: socket limit reached")
         self.sockets.sent += 1
 
-    def _take_idle(self, address: Address, position: int) -> _KeptConnection:
+    def _take_idle_connection(self, address: Address, position: int) -> _PooledConnection:
         idle = self.idle[address]
         connection = idle.pop(position)
         if not idle:
@@ -168,9 +170,9 @@
 
     @staticmethod
     def _is_usable(sock: curio.io.Socket) -> bool:
-        """Nothing may come on an idle connection: data or an end both make it useless."""
+        """Whether an idle connection is still open, with no unexpected data to read."""
         try:
-            # One system call, where curio's way to a blocking socket takes four.
+            # One system call; curio's switch to a blocking socket takes four.
             sock._socket.recv(1, socket.MSG_DONTWAIT | socket.MSG_PEEK)  # noqa: SLF001
         except BlockingIOError:
             return True
@@ -185,15 +187,17 @@
             await self.waiting.popleft().set()
 
     @staticmethod
-    async def _round_trip(connection: _KeptConnection, head: _Head, body: bytes) -> Response:
+    async def _round_trip(
+        connection: _PooledConnection, head: _RequestHead, body: bytes
+    ) -> Response:
         sock, state = connection
         await sock.sendall(request_head_bytes(*head) + body)
         data = await receive(sock)
-        known = known_responses.find(data)
-        if known is not None:
-            (status, retry_after), response_body = known
+        cached = response_head_cache.lookup(data)
+        if cached is not None:
+            (status, retry_after), response_body = cached
             return Response(status, response_body, retry_after)
-        # Now h11 is told of the request as well, and reads the response.
+        # The head is not cached: pass the request to h11 as well, so that it parses the response.
         state.send(request_head(*head))
         if body:
             state.send(h11.Data(data=body))
@@ -219,14 +223,14 @@
             elif isinstance(event, h11.EndOfMessage):
                 body = b"".join(parts)
                 if (state.our_state, state.their_state) == EXCHANGE_DONE:
-                    known_responses.keep(data, (status, retry_after), len(body))
+                    response_head_cache.add(data, (status, retry_after), len(body))
                 return Response(status, body, retry_after)
             elif isinstance(event, h11.ConnectionClosed):
                 raise EOFError("closed")
 
 
 def _retry_after(head: h11.Response) -> float | None:
-    """Seconds from the header Retry-After; None: there is none, or it is no number."""
+    """The seconds in the Retry-After header; None if it is missing or not a number."""
     found: float | None = None
     for name, value in head.headers:
         if name == b"retry-after":
--- a/umberward/protocol/http/connection.py
+++ b/umberward/protocol/http/connection.py
@@ -1,4 +1,4 @@
-"""One accepted connection of a server."""
+"""A connection that a server has accepted."""
 
 from __future__ import annotations
 
@@ -9,57 +9,58 @@
 import curio
 from curio.traps import _read_wait
 
-IDLE_TIMEOUT_S = 75.0  # a connection without a request is closed after this
-SILENT_TIMEOUT_S = 20.0  # a named connection that is silent for so long may be closed for a new one
-REQUEST_TIMEOUT_S = 10.0  # a request must be complete this long after its first byte
+IDLE_TIMEOUT_S = 75.0  # a connection is closed after this time without a request
+SILENT_TIMEOUT_S = 20.0  # a named connection idle for longer may be evicted for a new one
+REQUEST_TIMEOUT_S = 10.0  # from the first byte of a request to its last
 READ_BYTES = 16384
 
 
 async def receive(sock: curio.io.Socket) -> bytes:
-    """Wait for data, then read it: a read before it has come is a system call in vain."""
+    """Wait for data, then read it; reading before data has arrived wastes a system call."""
     await _read_wait(sock._fileno)  # noqa: SLF001 (curio has no public way to wait only)
     data: bytes = await sock.recv(READ_BYTES)
     return data
 
 
 class Connection:
-    """An accepted connection, and the time by which its present step must be over.
+    """An accepted connection and the deadline of its current step.
 
-    One sweep of the server checks the deadlines of all connections: a timer for each read and
-    write of a thousand workers would cost the event loop more than their messages.
+    The server checks the deadlines of all connections in one periodic sweep. A timer for each read
+    and write of a thousand workers would cost the event loop more than their messages do.
     """
 
-    __slots__ = ("deadline", "name", "resting", "served", "sock", "task")
+    __slots__ = ("deadline", "name", "quiescent", "response_sent", "sock", "task")
 
     def __init__(self, sock: curio.io.Socket) -> None:
-        """`sock`: as accepted; its task is set by the server that spawns it."""
+        """Wrap an accepted socket; the server sets `task` when it spawns the serving task."""
         self.sock = sock
         self.deadline = time.monotonic() + IDLE_TIMEOUT_S
         self.task: Any = None
-        self.name = ""  # who has connected, once the server was told
-        self.resting = True  # waiting for a request
-        self.served = False  # has had a response
+        self.name = ""  # the client, once `Server.name_connection` has been called
+        self.quiescent = True  # waiting for a request
+        self.response_sent = False  # at least one response has been sent
 
-    def await_request(self) -> None:
-        """The next request may take IDLE_TIMEOUT_S to come."""
+    def set_idle_deadline(self) -> None:
+        """Allow IDLE_TIMEOUT_S until the next request begins."""
         self.deadline = time.monotonic() + IDLE_TIMEOUT_S
 
-    def await_transfer(self) -> None:
-        """The rest of a request, or a response, must be through within REQUEST_TIMEOUT_S."""
+    def set_transfer_deadline(self) -> None:
+        """Allow REQUEST_TIMEOUT_S for the rest of a request, or for a response."""
         self.deadline = time.monotonic() + REQUEST_TIMEOUT_S
 
-    def await_handler(self) -> None:
-        """The handler takes as long as it takes: the connection is not closed meanwhile."""
+    def clear_deadline(self) -> None:
+        """Set no time limit while the handler runs."""
         self.deadline = math.inf
 
     def may_be_evicted(self, now: float) -> bool:
-        """Whether a new connection is worth more than this one, which rests.
+        """Whether this connection is idle and may be closed in favor of a new one.
 
-        A connection that has only just come, or whose named client spoke lately, is kept.
+        A connection of a named client is kept for SILENT_TIMEOUT_S, and a new connection waits for
+        its first request for REQUEST_TIMEOUT_S.
         """
-        if not self.resting:
+        if not self.quiescent:
             return False
         silent_s = now - (self.deadline - IDLE_TIMEOUT_S)
         if self.name:
             return silent_s > SILENT_TIMEOUT_S
-        return self.served or silent_s > REQUEST_TIMEOUT_S
+        return self.response_sent or silent_s > REQUEST_TIMEOUT_S
--- a/umberward/protocol/http/messages.py
+++ b/umberward/protocol/http/messages.py
@@ -1,7 +1,8 @@
-"""Requests and responses, their errors, and a cache of message heads.
+"""Requests and responses, their errors, and caches of message heads.
 
-Most messages have the head of an earlier one, and h11 spends more time on checking and writing a
-head than on all the rest of a message: so heads are kept, by their bytes and by their parts.
+Most messages repeat the head (start line and headers) of an earlier one, and h11 spends more time
+on parsing or writing a head than on the rest of the message. Received heads are therefore cached by
+their bytes, and heads to be sent by their fields.
 """
 
 from __future__ import annotations
@@ -24,15 +25,15 @@
 
 
 class RequestNotSentError(HttpError):
-    """The request did not reach the other side: it was certainly not executed."""
+    """The request was not sent, so the server has certainly not executed it."""
 
 
 class NoResponseError(HttpError):
-    """No response came: the request may have been executed, or may be executed later."""
+    """No response arrived: the request may have been executed, or may be executed later."""
 
 
 class Request(NamedTuple):
-    """A request as the server has read it; `origin`: the connection on which it came."""
+    """A request received by the server; `origin` is the connection it arrived on."""
 
     method: str
     path: str
@@ -42,7 +43,7 @@
 
 
 class Response(NamedTuple):
-    """A response; `retry_after`: seconds, sent as a whole number of at least 1."""
+    """A response; `retry_after` is in seconds, and is sent as an integer of at least 1."""
 
     status: int
     body: bytes = b""
@@ -53,13 +54,13 @@
 
 
 def retry_after_header(seconds: float | None) -> int | None:
-    """The value of the header Retry-After; None: the header is left out."""
+    """The value of the Retry-After header; None if the header is omitted."""
     return None if seconds is None else max(1, round(seconds))
 
 
 @lru_cache(CACHED_HEADS)
 def response_head(status: int, length: int, retry_after: int | None, close: bool) -> h11.Response:  # noqa: FBT001 (a cache key)
-    """The head of a response; `close`: the connection ends after it."""
+    """The head of a response; `close` announces that the connection is closed after it."""
     headers = [("content-type", "application/msgpack"), ("content-length", str(length))]
     if retry_after is not None:
         headers.append(("retry-after", str(retry_after)))
@@ -80,7 +81,7 @@
 
 @lru_cache(CACHED_HEADS)
 def response_head_bytes(status: int, length: int, retry_after: int | None) -> bytes:
-    """The encoded head of a response after which the connection goes on."""
+    """The encoded head of a response that keeps the connection open."""
     state = h11.Connection(h11.SERVER)
     state.receive_data(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
     while not isinstance(state.next_event(), h11.EndOfMessage):
@@ -94,37 +95,39 @@
     return h11.Connection(h11.CLIENT).send(request_head(method, target, host, length)) or b""
 
 
-Meaning = TypeVar("Meaning")
+ParsedHead = TypeVar("ParsedHead")
 
 
-class HeadCache(Generic[Meaning]):
-    """What h11 has read from heads, kept by their bytes.
+class HeadCache(Generic[ParsedHead]):
+    """A cache of parsed heads by their bytes.
 
-    Only heads are kept after which the connection goes on, and whose bodies came unencoded and
-    together with them: for such a message h11 would read the same again.
+    It holds only heads of messages that keep the connection open and whose unencoded body arrived
+    in the same read: h11 would parse an identical head to the same result.
     """
 
     def __init__(self) -> None:
-        """An empty cache; it is emptied when it holds CACHED_HEADS heads."""
-        self._known: dict[bytes, tuple[Meaning, int]] = {}
+        """Create an empty cache; it is cleared when it is full, at CACHED_HEADS heads."""
+        self._entries: dict[bytes, tuple[ParsedHead, int]] = {}
 
-    def find(self, data: bytes) -> tuple[Meaning, bytes] | None:
-        """What the head says, and the body, if `data` is one whole message with a known head."""
+    def lookup(self, data: bytes) -> tuple[ParsedHead, bytes] | None:
+        """The parsed head and the body, if `data` is one complete message with a cached head."""
         head, end, body = data.partition(HEAD_END)
-        found = self._known.get(head) if end else None
+        found = self._entries.get(head) if end else None
         if found is None or len(body) != found[1]:
             return None
         return found[0], body
 
-    def keep(self, data: bytes, meaning: Meaning, body_length: int) -> None:
-        """Remember the head of `data`, if the whole body came with it."""
+    def add(self, data: bytes, parsed_head: ParsedHead, body_length: int) -> None:
+        """Cache the head of `data` if the complete body follows it."""
         head, end, body = data.partition(HEAD_END)
         if not end or len(body) != body_length:
             return
-        if len(self._known) >= CACHED_HEADS:
-            self._known.clear()
-        self._known[head] = (meaning, body_length)
+        if len(self._entries) >= CACHED_HEADS:
+            self._entries.clear()
+        self._entries[head] = (parsed_head, body_length)
 
 
-known_requests: HeadCache[tuple[str, str, str]] = HeadCache()  # method, path, query
-known_responses: HeadCache[tuple[int, float | None]] = HeadCache()  # status, seconds to retry after
+request_head_cache: HeadCache[tuple[str, str, str]] = HeadCache()  # method, path, query
+response_head_cache: HeadCache[tuple[int, float | None]] = (
+    HeadCache()
+)  # status, seconds to retry after
--- a/umberward/protocol/http/server.py
+++ b/umberward/protocol/http/server.py
@@ -1,4 +1,4 @@
-"""An HTTP server for one address."""
+"""An HTTP server on one address."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     Handler,
     Request,
     Response,
-    known_requests,
+    request_head_cache,
     response_head,
     response_head_bytes,
     retry_after_header,
@@ -29,8 +29,8 @@
 log = logger(__name__)
 
 SWEEP_INTERVAL_S = 1.0  # how often connections past their deadline are closed
-SOCKET_POLL_S = 0.01  # how often a new connection without a socket budget looks for one
-SOCKET_POLLS = 20  # ... and how many times, before it is refused
+SOCKET_POLL_INTERVAL_S = 0.01  # interval of checks for a free socket in the budget
+SOCKET_POLLS = 20  # such checks before a new connection is refused
 ACCEPT_RETRY_S = 0.05
 LISTEN_BACKLOG = 256
 
@@ -38,7 +38,7 @@
 
 
 class Server:
-    """Serves one address. Each connection is a task of its own, so that none delays another."""
+    """Serves one address, with a separate task for each connection."""
 
     def __init__(
         self,
@@ -47,19 +47,21 @@
         most: SocketBudget | int,
         client: Client | None = None,
     ) -> None:
-        """`most`: how many sockets it may open, or the budget that it shares with `client`, whose
-        idle connections are closed if there are too few."""
+        """Create a server; `most` is a number of sockets, or a budget shared with `client`.
+
+        When the budget is exhausted, idle connections of `client` are closed.
+        """
         self.address = address
         self.handler = handler
         self.sockets = SocketBudget.of(most)
         self.client = client
         self.connections: set[Connection] = set()
-        self.named: dict[str, Connection] = {}
-        self.refused = 0  # connections closed at once for want of a socket
+        self.connections_by_name: dict[str, Connection] = {}
+        self.refused = 0  # connections closed at once because the socket budget was exhausted
 
     @property
-    def open(self) -> int:
-        """How many connections are open."""
+    def connection_count(self) -> int:
+        """The number of open connections."""
         return len(self.connections)
 
     async def run(self) -> None:
@@ -81,33 +83,33 @@
                 try:
                     sock, _ = await listener.accept()
                 except OSError as error:
-                    # Out of sockets: wait rather than spin, clients are told by the refusal.
+                    # Out of sockets: pause instead of looping; clients see a refusal.
                     log.error("connection_accept_failed", address=self.address, error=error)  # noqa: TRY400 (expected, without a traceback)
                     await curio.sleep(ACCEPT_RETRY_S)
                     continue
-                if await self._has_socket():
+                if await self._wait_for_socket():
                     await self._open(sock)
                 else:
                     self.refused += 1
                     await sock.close()
 
-    async def _has_socket(self) -> bool:
-        """Wait for a moment for room in the socket budget.
+    async def _wait_for_socket(self) -> bool:
+        """Wait briefly for a free socket in the budget; return whether there is one.
 
-        Clients that connected before may name themselves meanwhile, which closes their earlier
+        Meanwhile, clients that have reconnected may be identified, which closes their earlier
         connections.
         """
         for _ in range(SOCKET_POLLS):
             if self.sockets.left > 0 or await self._evict():
                 return True
-            await curio.sleep(SOCKET_POLL_S)
+            await curio.sleep(SOCKET_POLL_INTERVAL_S)
         return False
 
     async def _open(self, sock: curio.io.Socket) -> None:
-        """Serve the connection in a task that ends with it.
+        """Serve the connection in a task of its own.
 
-        The task is owned by this server: `_close` cancels it after the deadline, to make room, or
-        when its client has connected anew.
+        The server owns the task: `_close` cancels it after the deadline, to free a socket, or when
+        its client has reconnected.
         """
         connection = Connection(sock)
         self.connections.add(connection)
@@ -115,26 +117,30 @@
         connection.task = await curio.spawn(self._serve, connection, daemon=True)
 
     async def name_connection(self, connection: Connection, name: str) -> None:
-        """Note who has connected. An earlier connection of the same client is closed: the client
-        has given it up, though its end may never have arrived here."""
-        earlier = self.named.get(name)
+        """Record which client has connected, and close its earlier connection if there is one.
+
+        The client has abandoned that one, though the server may never have seen it closed.
+        """
+        earlier = self.connections_by_name.get(name)
         if earlier is connection:
             return
-        self.named[name] = connection
+        self.connections_by_name[name] = connection
         connection.name = name
         if earlier is not None:
             await self._close(earlier)
 
     async def _evict(self) -> bool:
-        """Close an idle connection of the client, else the accepted one that rests longest."""
-        if self.client is not None and await self.client.close_kept():
+        """Close an idle connection of `client`, or else the accepted one idle for longest."""
+        if self.client is not None and await self.client.close_idle_connection():
             return True
         now = time.monotonic()
-        resting = (one for one in self.connections if one.may_be_evicted(now))
-        longest = min(resting, key=lambda one: one.deadline, default=None)
-        if longest is None:
+        evictable = (
+            connection for connection in self.connections if connection.may_be_evicted(now)
+        )
+        oldest = min(evictable, key=lambda connection: connection.deadline, default=None)
+        if oldest is None:
             return False
-        await self._close(longest)
+        await self._close(oldest)
         return True
 
     async def _close(self, connection: Connection) -> None:
@@ -145,8 +151,8 @@
         if connection in self.connections:
             self.connections.remove(connection)
             self.sockets.served -= 1
-        if self.named.get(connection.name) is connection:
-            del self.named[connection.name]
+        if self.connections_by_name.get(connection.name) is connection:
+            del self.connections_by_name[connection.name]
 
     async def _sweep(self) -> None:
         while True:
@@ -161,58 +167,58 @@
             async with connection.sock:
                 await self._exchange_messages(connection)
         except (OSError, h11.LocalProtocolError):
-            pass  # the client is gone
+            pass  # the client has disconnected
         except curio.CancelledError:
-            pass  # it was idle, or too slow
+            pass  # the server has closed it, see `_close`
         except Exception:
             log.exception("connection_failed", address=self.address)
         finally:
             self._forget(connection)
 
     async def _exchange_messages(self, connection: Connection) -> None:
-        """Read requests and write responses until one of both sides ends the connection."""
+        """Read requests and write responses until either side closes the connection."""
         state = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_BODY_BYTES)
         while True:
-            connection.await_request()
+            connection.set_idle_deadline()
             data = b""
             if not state.trailing_data[0]:
-                connection.resting = True
+                connection.quiescent = True
                 data = await receive(connection.sock)
-                connection.resting = False
-                if await self._serve_known(connection, data):
+                connection.quiescent = False
+                if await self._serve_cached_head(connection, data):
                     continue
             try:
                 request = await self._read(connection, state, data)
             except h11.RemoteProtocolError as error:
-                await self._refuse(connection, state, error.error_status_hint or BAD_REQUEST)
+                await self._send_error(connection, state, error.error_status_hint or BAD_REQUEST)
                 return
             if request is None:
                 return
             response = await self._handle(connection, request)
             await self._write(connection, state, response)
-            connection.served = True
+            connection.response_sent = True
             if state.our_state is not h11.DONE or state.their_state is not h11.DONE:
                 return
             state.start_next_cycle()
             if request.method != "HEAD":
-                known_requests.keep(data, request[:3], len(request.body))
+                request_head_cache.add(data, request[:3], len(request.body))
 
-    async def _serve_known(self, connection: Connection, data: bytes) -> bool:
-        """Serve a request whose head is known by its bytes, without h11; False: it is not."""
-        known = known_requests.find(data)
-        if known is None:
+    async def _serve_cached_head(self, connection: Connection, data: bytes) -> bool:
+        """Serve a request with a cached head, bypassing h11; return False if it is not cached."""
+        cached = request_head_cache.lookup(data)
+        if cached is None:
             return False
-        (method, path, query), body = known
+        (method, path, query), body = cached
         response = await self._handle(connection, Request(method, path, query, body, connection))
         retry_after = retry_after_header(response.retry_after)
         head = response_head_bytes(response.status, len(response.body), retry_after)
-        connection.await_transfer()
+        connection.set_transfer_deadline()
         await connection.sock.sendall(head + response.body)
-        connection.served = True
+        connection.response_sent = True
         return True
 
     async def _handle(self, connection: Connection, request: Request) -> Response:
-        connection.await_handler()
+        connection.clear_deadline()
         try:
             return await self.handler(request)
         except curio.CancelledError:
@@ -224,12 +230,14 @@
     async def _read(
         self, connection: Connection, state: h11.Connection, data: bytes
     ) -> Request | None:
-        """The request that begins with `data`, or with what h11 has left over; None: the client
-        has ended the connection. Raises h11.RemoteProtocolError."""
+        """Read the request that begins with `data`, or with data that h11 has buffered.
+
+        Returns None if the client has closed the connection. Raises h11.RemoteProtocolError.
+        """
         head: h11.Request | None = None
         body = b""
-        # A client that sends a byte now and then must not hold a socket for ever.
-        connection.await_transfer()
+        # Limits the whole request: a client that sends slowly must not hold a socket indefinitely.
+        connection.set_transfer_deadline()
         if not state.trailing_data[0]:
             state.receive_data(data)
         event: Any = state.next_event()
@@ -238,7 +246,7 @@
                 state.receive_data(await receive(connection.sock))
             elif isinstance(event, h11.Request):
                 head = event
-                await self._accept_head(connection, state, event)
+                await self._check_head(connection, state, event)
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > MAX_BODY_BYTES:
@@ -250,7 +258,7 @@
                 return None
             event = state.next_event()
 
-    async def _accept_head(
+    async def _check_head(
         self, connection: Connection, state: h11.Connection, head: h11.Request
     ) -> None:
         for name, value in head.headers:
@@ -270,10 +278,10 @@
         if response.body:
             data += state.send(h11.Data(data=response.body)) or b""
         data += state.send(END_OF_MESSAGE) or b""
-        connection.await_transfer()
+        connection.set_transfer_deadline()
         await connection.sock.sendall(data)
 
-    async def _refuse(self, connection: Connection, state: h11.Connection, status: int) -> None:
+    async def _send_error(self, connection: Connection, state: h11.Connection, status: int) -> None:
         if state.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             await self._write(connection, state, Response(status))
 
--- a/umberward/protocol/job_spec.py
+++ b/umberward/protocol/job_spec.py
@@ -1,4 +1,4 @@
-"""The description of a job as its user submits it, and the bounds of its fields."""
+"""The specification of a job as submitted by a user, and the bounds of its fields."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
         "dependencies": "waits_on",
     },
 ):
-    """A job as its user submits it (PROTOCOL, "POST /v1/jobs").
+    """A job as submitted by a user (PROTOCOL, "POST /v1/jobs").
 
-    `cores`, `accelerators`, `mem_gb` and `image_gb` are per task; fields in `_s` are seconds. In a
-    stored record, `dependencies` is never set: see `JobRecord.dependencies`.
+    `cores`, `accelerators`, `mem_gb` and `image_gb` are per task; fields ending in `_s` are in
+    seconds. `dependencies` is never set in a stored record: see `JobRecord.dependencies`.
     """
 
     job_id: Name
--- a/umberward/protocol/state_messages.py
+++ b/umberward/protocol/state_messages.py
@@ -1,6 +1,6 @@
 """Messages of the state service (PROTOCOL, "Controller nodes -> state service").
 
-The table of wire words is in `umberward.protocol.wire`.
+The table of wire names is in `umberward.protocol.wire`.
 """
 
 from __future__ import annotations
@@ -11,9 +11,10 @@
 
 
 class KeyValue(msgspec.Struct, rename={"key": "path", "version": "stamp", "lease_id": "charter"}):
-    """A key in the state service; `version`: the revision at which it was written last.
+    """A key in the state service and its value.
 
-    `lease_id`: the lease whose end deletes the key; None: it has none.
+    `version` is the revision of the last write. `lease_id` is the lease whose end deletes the key,
+    or None.
     """
 
     key: str
@@ -23,7 +24,7 @@
 
 
 class KeyValuePage(msgspec.Struct, rename={"revision": "generation"}):
-    """A part of the keys under a prefix, at a revision; `more`: others follow the last one."""
+    """A page of the keys under a prefix at a revision; `more` is true if further keys follow."""
 
     entries: list[KeyValue]
     revision: int
@@ -33,7 +34,7 @@
 class KeyChange(
     msgspec.Struct, rename={"put_key": "write", "deleted_key": "delete", "version": "stamp"}
 ):
-    """A change in the state service: a key was put, with its new version, or deleted."""
+    """A change in the state service: a key was written, with a new version, or deleted."""
 
     put_key: str | None = None
     deleted_key: str | None = None
@@ -42,14 +43,14 @@
 
 
 class WatchResponse(msgspec.Struct, rename={"revision": "generation", "changes": "news"}):
-    """The state service's response to GET /watch: the changes up to a revision."""
+    """The state service's response to GET /watch: the changes up to `revision`."""
 
     revision: int
     changes: list[KeyChange]
 
 
 class CommitResponse(msgspec.Struct, rename={"revision": "generation"}):
-    """The state service's response to POST /commit: the revision of the changes."""
+    """The state service's response to POST /commit: the revision of the transaction."""
 
     revision: int
 
--- a/umberward/protocol/state_records.py
+++ b/umberward/protocol/state_records.py
@@ -1,6 +1,6 @@
-"""The records that the controllers store in the state service, and the prefixes of their keys.
+"""The records that controllers store in the state service, and the prefixes of their keys.
 
-| stored word | field |
+| stored name | field |
 | --- | --- |
 | `at` | `submitted_at` (JobRecord), `ended_at` (FinalJobRecord) |
 | `marked` | `placed_below` |
@@ -39,15 +39,15 @@
 ):
     """An unfinished job, under `LIVE_JOBS_PREFIX` and its id.
 
-    `submitted_at`: the time of day of the submission, in seconds, by the clock of the controller
-    that accepted the job.
-    `placed_below`: tasks below this number may have been placed by some leader; this is the
-    placement intent, which is stored before any of them starts.
-    `done_below`: all tasks below this number are done, and `done_bitmap` has the committed
+    `submitted_at` is the wall-clock time of the submission, in seconds, at the controller that
+    accepted the job.
+    `placed_below` is the placement intent, stored before any of the tasks starts: tasks below this
+    number may have been placed by some leader.
+    `done_below`: all tasks below this number are done. `done_bitmap` contains the committed
     completions from there on, in hexadecimal digits, lowest bit first.
-    `dependencies`: the jobs that were not done when this one was accepted (`pack_dependencies`),
-    until its first placement intent; `ready_at`: when the last of them was done, from then on.
-    Both are unset for jobs that depend on none.
+    `dependencies` holds the jobs that were not done when this one was accepted
+    (`pack_dependencies`), until its first placement intent. From then on, `ready_at` holds the time
+    when the last of them was done. Both are unset for jobs without dependencies.
     """
 
     spec: JobSpec
@@ -64,11 +64,11 @@
     omit_defaults=True,
     rename={"team": "owner", "placed_below": "marked", "done_below": "base", "done_bitmap": "done"},
 ):
-    """Tasks of a cancelled job that may still be on machines.
+    """Tasks of a cancelled job that may still be running.
 
-    They are there until their workers execute the kill command, or until the leases of their
-    workers expire. `placed_below`, `done_below` and `done_bitmap` are as the JobRecord had them;
-    the other fields are what each task uses, and the team whose quota it counts for.
+    They end when their workers execute the kill command, or when the leases of their workers
+    expire. `placed_below`, `done_below` and `done_bitmap` are copied from the JobRecord. The other
+    fields are the resources of each task, and the team whose quota they count towards.
     """
 
     team: str
@@ -90,11 +90,11 @@
         "remaining": "remains",
     },
 ):
-    """How a job has ended, under `FINAL_JOBS_PREFIX` and its id.
+    """A job that has ended, under `FINAL_JOBS_PREFIX` and its id.
 
-    `ended_at`: the time of day, in seconds, if other jobs depended on it. `cancelled_by`: the
-    cancelled dependency because of which the job can never run. `remaining`: only of a cancelled
-    job with a team that has a limit, if any of its tasks may have been placed.
+    `ended_at` is the wall-clock time in seconds, set only if other jobs depended on this one.
+    `cancelled_by` is the cancelled dependency because of which the job can never run. `remaining`
+    is set only for a cancelled job of a team with a limit, if any task may have been placed.
     """
 
     phase: str
@@ -105,7 +105,10 @@
 
 
 class LeaderRecord(msgspec.Struct, rename={"controller": "node"}):
-    """The leader: its lease deletes this record. `nonce` tells runs of one controller apart."""
+    """The current leader; deleted with its lease.
+
+    `nonce` distinguishes runs of the same controller.
+    """
 
     controller: str
     nonce: str
@@ -121,7 +124,7 @@
 
 
 class ControllerRecord(msgspec.Struct, rename={"controller": "node", "job_hash_range": "jobs"}):
-    """What a controller is leader of; its fencing token is the revision of this record.
+    """What a controller leads; the revision of this record is its fencing token.
 
     `term` counts the tokens of one leadership; `job_hash_range` is the range of job hashes.
     """
--- a/umberward/protocol/transactions.py
+++ b/umberward/protocol/transactions.py
@@ -1,6 +1,6 @@
-"""What is read from the state service and written to it, in the form of its transactions.
+"""Versioned values, the priorities of requests, and the writes of transactions.
 
-The wire words of a write: `write` (the key to put), `data`, `charter` (the lease) and `delete`.
+The wire names of a write: `write` (the key to put), `data`, `charter` (the lease) and `delete`.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Priority(enum.IntEnum):
-    """How urgent a request to a rate-limited service is; the smallest value goes first."""
+    """The priority of a request to a rate-limited service; the lowest value goes first."""
 
     URGENT = 0
     NORMAL = 1
@@ -26,7 +26,7 @@
 
 
 class VersionedValue(msgspec.Struct, rename={"version": "stamp"}):
-    """The decoded value of a key, and the version under which it was written."""
+    """The decoded value of a key and the version of its last write."""
 
     data: Any
     version: Version
--- a/umberward/protocol/wire.py
+++ b/umberward/protocol/wire.py
@@ -1,9 +1,9 @@
-"""Messages on the wire as typed structures, and their codecs.
+"""Typed structures of the messages on the wire, and their codecs.
 
-The interfaces to users, workers, the cloud and the state service use words of their own (PROTOCOL).
-They are mapped to the fields of the structures in this package, and nowhere else:
+The interfaces to users, workers, the cloud and the state service use different names (PROTOCOL).
+These are mapped to the fields of the structures in this package, and nowhere else:
 
-| wire word | field |
+| wire name | field |
 | --- | --- |
 | `uid` | `job_id` (JobSpec), `machine_id` (CloudMachine) |
 | `jobclass`, `owner` | `job_class`, `team` |
@@ -29,8 +29,8 @@
 | `generation`, `news` | `revision`, `changes` |
 | `write`, `delete` | `put_key`, `deleted_key` |
 
-Words that are values are in `umberward.protocol.words`, stored records in
-`umberward.protocol.state_records`. All names of the package's messages can be imported from here.
+Enumerated values are in `umberward.protocol.words`, stored records in
+`umberward.protocol.state_records`. All message types of the package can be imported from here.
 """
 
 from __future__ import annotations
@@ -161,8 +161,8 @@
     "unpack_dependencies",
 ]
 
-# The words by their short names, as plain strings: heartbeats compare and encode many of them, and
-# a member of an enumeration costs more at both.
+# The enumerated values as plain strings: heartbeats compare and encode many of them, and both are
+# slower with enumeration members.
 ARRAY = JobKind.ARRAY.value
 GANG = JobKind.GANG.value
 SERVICE = JobKind.SERVICE.value
@@ -184,7 +184,8 @@
 class TaskStatus(msgspec.Struct, rename={"task_id": "shard", "checkpointed": "stored"}):
     """An attempt of a task in a heartbeat (PROTOCOL, "POST /hello").
 
-    `cause`: why it has exited; `checkpointed`: whether its progress was saved when it was stopped.
+    `cause` is the reason for its exit; `checkpointed` is whether its progress was saved when it was
+    stopped.
     """
 
     task_id: str
@@ -202,7 +203,7 @@
 ):
     """A command for one attempt of a task (PROTOCOL, "Workers -> controller nodes").
 
-    `grace_s`: of a kill, the seconds that the task may take to save a checkpoint.
+    `grace_s` is set for a kill: the time in seconds for the task to save a checkpoint.
     """
 
     verb: str
@@ -212,7 +213,7 @@
 
     @property
     def started_attempt(self) -> tuple[TaskId, Attempt] | None:
-        """The attempt that the command starts; None: it is another command."""
+        """The attempt that the command starts; None for other commands."""
         task = parse_task_id(self.task_id) if self.verb == START else None
         return None if task is None else (task, Attempt(self.attempt))
 
@@ -231,11 +232,11 @@
         "preemption_notice_s": "reclaim_in_s",
     },
 ):
-    """What a worker reports (PROTOCOL, "POST /hello").
+    """A report of a worker (PROTOCOL, "POST /hello").
 
-    `incarnation` grows whenever the worker's lease expires, and `sequence` with each heartbeat:
-    the larger pair is the newer one. `fencing_token`: the highest one that the worker has seen.
-    `preemption_notice_s`: seconds until the cloud takes the machine away, None: no notice.
+    `incarnation` increases whenever the worker's lease expires, and `sequence` with each heartbeat:
+    the larger pair is the newer one. `fencing_token` is the highest one that the worker has seen.
+    `preemption_notice_s` is the time in seconds until the cloud reclaims the machine, or None.
     """
 
     machine_id: Name
@@ -261,7 +262,7 @@
         "preemption_notice_s": "reclaim_in_s",
     },
 ):
-    """A heartbeat with its task list, by far the largest part, not decoded yet."""
+    """A heartbeat whose task list, by far its largest part, is not decoded yet."""
 
     machine_id: Name
     incarnation: int
@@ -278,7 +279,7 @@
 
 
 class MalformedMessageError(Exception):
-    """A message or a stored value is not what the protocol or the record's type says."""
+    """A message or a stored value does not conform to the protocol or the record type."""
 
 
 def decoder(message_type: type[T]) -> Callable[[bytes], T]:
@@ -287,7 +288,7 @@
 
 
 def convert(data: object, record_type: type[T]) -> T:
-    """Decoded data as `record_type`. Raises MalformedMessageError."""
+    """Convert decoded data to `record_type`. Raises MalformedMessageError."""
     try:
         return msgspec.convert(data, record_type)
     except msgspec.ValidationError as error:
@@ -300,9 +301,9 @@
 
 
 def decode_job_spec(body: bytes) -> JobSpec:
-    """A submitted job, with all its fields checked.
+    """Decode a submitted job and check all its fields.
 
-    Raises MalformedMessageError, with the reason for the user, if the response must be a 400.
+    Raises MalformedMessageError with the reason for the user; the response is a 400 then.
     """
     spec = _decode_body(_decode_job_spec, body)
     problem = _invalid_field(spec)
@@ -312,7 +313,7 @@
 
 
 def _invalid_field(spec: JobSpec) -> str | None:
-    """What is wrong with a field beyond its type and bounds; None: nothing."""
+    """The reason why a field is invalid beyond its type and bounds; None if all are valid."""
     if spec.kind not in (ARRAY, GANG, SERVICE):
         return "shape: not one of batch, ensemble, service"
     if spec.priority not in PRIORITIES:
@@ -325,7 +326,7 @@
 
 
 def _has_nan_amount(spec: JobSpec) -> bool:
-    # The bounds of a field do not catch NaN: it compares false with everything.
+    # The bounds checks accept NaN, because all comparisons with it are false.
     amounts = (
         spec.cores,
         spec.accelerators,
@@ -349,33 +350,33 @@
 
 
 def decode_heartbeat(body: bytes) -> Heartbeat:
-    """A worker's heartbeat. Raises MalformedMessageError."""
+    """Decode a worker's heartbeat. Raises MalformedMessageError."""
     return _decode_body(_decode_heartbeat, body)
 
 
 def decode_heartbeat_header(body: bytes) -> HeartbeatHeader:
-    """A worker's heartbeat without its tasks. Raises MalformedMessageError."""
+    """Decode a worker's heartbeat except for its tasks. Raises MalformedMessageError."""
     return _decode_body(_decode_heartbeat_header, body)
 
 
 def _decode_body(decode: Callable[[bytes], T], body: bytes) -> T:
     try:
         return decode(body)
-    # A body that is nested too deeply, or text that is not UTF-8, gets errors of Python itself.
+    # Too deep nesting and text that is not UTF-8 raise built-in exceptions.
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError, ValueError) as error:
         raise MalformedMessageError(str(error)) from None
 
 
 def pack_dependencies(job_ids: Iterable[JobId]) -> str:
-    """Job ids as one text without their common prefix: hundreds must fit into one record."""
+    """Join job ids without their common prefix, so that hundreds of them fit into one record."""
     return " ".join(job_id.removeprefix(JOB_PREFIX) for job_id in job_ids)
 
 
 def unpack_dependencies(text: str) -> list[JobId]:
-    """The job ids of a text that `pack_dependencies` has made."""
+    """The job ids in a text from `pack_dependencies`."""
     return [JobId(JOB_PREFIX + digits) for digits in text.split()]
 
 
 def json_size(data: object) -> int:
-    """Size in bytes as JSON, the form for which PROTOCOL states its limits."""
+    """The size in bytes when encoded as JSON, to which the limits in PROTOCOL apply."""
     return len(msgspec.json.encode(data))
--- a/umberward/protocol/words.py
+++ b/umberward/protocol/words.py
@@ -1,7 +1,7 @@
-"""The words that messages use for kinds, phases and commands, and the limits on their sizes.
+"""Enumerated values in messages (kinds, phases, commands), and limits on the sizes of messages.
 
-Each enumeration's values are the words on the wire; a member equals the plain string that a message
-has. The sections of PROTOCOL are named at each.
+The values of the enumerations are the strings on the wire, and each member compares equal to its
+string. Each enumeration names its section of PROTOCOL.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 
 class JobKind(enum.StrEnum):
-    """How the tasks of a job belong together ("POST /v1/jobs", `shape`)."""
+    """How the tasks of a job run together ("POST /v1/jobs", `shape`)."""
 
     ARRAY = "batch"  # independent tasks, each of which runs to completion
     GANG = "ensemble"  # all tasks run at the same time or none does
     SERVICE = "service"  # replicas that run until the job is cancelled
 
 
-# Priorities of jobs ("POST /v1/jobs", `rank`); the smallest number is the most urgent.
+# Priorities of jobs ("POST /v1/jobs", `rank`); the lowest number is the most urgent.
 PRIORITIES = {"production": 0, "urgent": 1, "normal": 2, "idle": 3}
 
 
 class CommandVerb(enum.StrEnum):
-    """What a worker does with one attempt of a task ("Workers -> controller nodes")."""
+    """What a worker is to do with an attempt of a task ("Workers -> controller nodes")."""
 
     START = "start"
     KILL = "kill"
@@ -46,10 +46,10 @@
 
 
 class JobPhase(enum.StrEnum):
-    """The state of a job as its user sees it ("GET /v1/jobs/{id}").
+    """The state of a job as shown to its user ("GET /v1/jobs/{id}").
 
-    A running job has the word of `TaskPhase.RUNNING`. `DONE` is also the cause with which a
-    completed task has exited.
+    A running job has the value of `TaskPhase.RUNNING`. `DONE` is also the exit cause of a completed
+    task.
     """
 
     PENDING = "pending"
@@ -60,7 +60,7 @@
 class MachinePhase(enum.StrEnum):
     """The state of a machine in the cloud's list ("GET /hosts").
 
-    A running machine has the word of `TaskPhase.RUNNING`.
+    A running machine has the value of `TaskPhase.RUNNING`.
     """
 
     BOOTING = "booting"
