--- a/umberward/control/absent_jobs.py
+++ b/umberward/control/absent_jobs.py
@@ -1,4 +1,4 @@
-"""A negative cache: job ids that no controller has accepted, so that polling them is free."""
+"""A negative cache: job ids that no controller has accepted, so that polls need no request."""
 
 from __future__ import annotations
 
--- a/umberward/control/controller.py
+++ b/umberward/control/controller.py
@@ -55,7 +55,7 @@
 RESERVED_SOCKETS = 16  # for listeners, the event loop and sockets that are being closed
 MIN_SHARED_SOCKETS = 48
 MIN_CLIENT_SOCKETS = 16
-CLIENT_SOCKET_DIVISOR = 3  # the client may use this fraction (1/3) of the process's sockets
+CLIENT_SOCKET_DIVISOR = 3  # the client may use one in this many of the process's sockets
 RESTART_PAUSE_S = 0.5
 
 
@@ -201,7 +201,7 @@
         return self.leader_loop.ask(HeartbeatReceived(header, body))
 
     async def _delegate(self, request: DelegationRequest) -> Delegation | None:
-        """The delegation for a peer: machines it may answer in a partition; None if not leading."""
+        """The machines that a peer may answer in a partition; None if this one does not lead."""
         if self.leader_loop is None:
             return None
         message = DelegationRequested(*request)
--- a/umberward/control/job_api.py
+++ b/umberward/control/job_api.py
@@ -104,7 +104,10 @@
         try:
             return await self._submit(body)
         except state_client.RateBudgetError as error:
-            log.info("submission_not_accepted", error="this controller's write rate is used up")
+            log.info(
+                "submission_not_accepted",
+                error="this controller's share of the write rate is used up",
+            )
             return _rate_limited_response(error)
         except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
             log.info("submission_not_accepted", error=error)
@@ -115,8 +118,8 @@
             submission = self.admission.decode(body)
         except wire.MalformedMessageError as error:
             # A repeated submission of an accepted job gets its state, whatever the body contains.
-            known = await self._known_response(extract_job_id(body))
-            return known or rejection_response(400, str(error))
+            existing = await self._known_response(extract_job_id(body))
+            return existing or rejection_response(400, str(error))
         final = self.job_states.finals.get(submission.job_id)
         if final is not None:
             return final_response(submission.job_id, final)
@@ -128,8 +131,8 @@
             if submission.job_id in submission.dependencies:
                 raise SelfDependencyError  # rejected like an infeasible job
         except JobRejectedError as error:
-            known = await self._known_response(submission.job_id)
-            return known or rejection_response(422, str(error))
+            existing = await self._known_response(submission.job_id)
+            return existing or rejection_response(422, str(error))
         if submission.dependencies:
             return await self._submit_dependent(submission)
         return await self._store_submission(submission.job_id, submission.record)
@@ -163,9 +166,9 @@
                 await self.store.commit(conditions, writes, patience=SUBMIT_BUDGET_WAIT_S)
             except (state_client.CompareAndSwapError, state_client.UnknownOutcomeError):
                 # Accepted before, or the outcome is unknown: read the stored state to find out.
-                known = await self._known_response(job_id)
-                if known is not None:
-                    return known
+                existing = await self._known_response(job_id)
+                if existing is not None:
+                    return existing
             except state_client.RateBudgetError:
                 raise  # `submit` responds with the time to wait
             except state_client.StateUnavailableError:
--- a/umberward/control/job_state_cache.py
+++ b/umberward/control/job_state_cache.py
@@ -104,7 +104,7 @@
         A request that is not urgent waits up to BATCH_WINDOW_S for others. Raises
         StateUnavailableError or UnknownOutcomeError if the state service can't be read in time.
         """
-        asked_at = self.clock()
+        requested_at = self.clock()
         while True:
             final = self.finals.get(job_id)
             if final is not None:
@@ -114,7 +114,7 @@
             now = self.clock()
             if isinstance(state, FinalJobRecord) or now - self.read_at <= MAX_STALENESS_S:
                 return state
-            if now - asked_at > MAX_ANSWER_TIME_S:
+            if now - requested_at > MAX_ANSWER_TIME_S:
                 raise state_client.StateUnavailableError(STALE_ANSWER)
 
     async def states(self, job_ids: list[JobId]) -> dict[JobId, JobState | None]:
--- a/umberward/control/peer_contacts.py
+++ b/umberward/control/peer_contacts.py
@@ -55,7 +55,7 @@
         self.client = client
         self.clock = election.clock
         self.by_peer: dict[str, PeerContact] = {}
-        self.asked_since = math.inf  # start of querying peers without contact to the state service
+        self.asked_since = math.inf  # when peers were first queried in this state service outage
         self.heartbeat_at = -math.inf  # when a worker last sent a heartbeat to this controller
         heartbeat_interval_s = settings.platform.cluster.workers.report_s
         self.heartbeat_recency_s = (
@@ -137,7 +137,7 @@
     def leader_for(self, fencing_token: int) -> ControllerName | None:
         """The leader to redirect a worker with this token to; None if it must search itself.
 
-        A controller without contact to the state service may only know an earlier leader. If that
+        A controller without contact with the state service may only know an earlier leader. If that
         one redirects the worker back here, the worker alternates between two controllers that do
         not lead until its lease expires. Therefore peers in contact with the state service take
         precedence, and a leader with a lower token than the worker's is never returned.
--- a/umberward/protocol/http/client.py
+++ b/umberward/protocol/http/client.py
@@ -231,11 +231,11 @@
 
 def _retry_after(head: h11.Response) -> float | None:
     """The seconds in the Retry-After header; None if it is missing or not a number."""
-    found: float | None = None
+    seconds: float | None = None
     for name, value in head.headers:
         if name == b"retry-after":
             try:
-                found = float(value)
+                seconds = float(value)
             except ValueError:
-                found = None
-    return found
+                seconds = None
+    return seconds
--- a/umberward/protocol/http/messages.py
+++ b/umberward/protocol/http/messages.py
@@ -127,7 +127,7 @@
         self._entries[head] = (parsed_head, body_length)
 
 
-request_head_cache: HeadCache[tuple[str, str, str]] = HeadCache()  # method, path, query
-response_head_cache: HeadCache[tuple[int, float | None]] = (
-    HeadCache()
-)  # status, seconds to retry after
+# Entries: method, path, query.
+request_head_cache: HeadCache[tuple[str, str, str]] = HeadCache()
+# Entries: status, seconds of Retry-After.
+response_head_cache: HeadCache[tuple[int, float | None]] = HeadCache()
--- a/umberward/protocol/http/server.py
+++ b/umberward/protocol/http/server.py
@@ -38,7 +38,7 @@
 
 
 class Server:
-    """Serves one address, with a separate task for each connection."""
+    """Serves one address, with a task per connection so that none delays another."""
 
     def __init__(
         self,
