--- a/tests/simulated_graphs.py
+++ b/tests/simulated_graphs.py
@@ -1,5 +1,7 @@
-"""The world with task graphs: what users are told of each task is noted, and held against what
-its workers did."""
+"""A simulated cluster with task graphs.
+
+Records the phase of each task that users are told and checks it against what the workers did.
+"""
 
 from __future__ import annotations
 
@@ -31,42 +33,49 @@
         super().__init__(raw)
         self.store.strictest_limits = self.settings.platform.cluster.state.strictest()  # type: ignore[attr-defined]
         self.graph_state: GraphState | None = None
-        self.seen_graphs = 0
+        self.seen_graph_revision = 0
         self.shapes: dict[str, Shape] = {}
-        self.arrays: dict[str, tuple[str, int]] = {}  # array -> graph, kind
-        self.failing: set[tuple[str, str]] = set()  # graph, task: fails wherever it is tried
+        self.arrays: dict[str, tuple[str, int]] = {}  # job id of an array -> graph, kind
+        self.failing: set[tuple[str, str]] = set()  # graph, task: fails on every machine
         self.runs: dict[str, float] = {}
-        self.did: dict[str, set[str]] = {}  # graph -> tasks that were completed
-        self.tried: dict[tuple[str, str], int] = {}
-        self.told: dict[tuple[str, str], str] = {}
+        self.completed_tasks: dict[str, set[str]] = {}  # graph -> tasks that were completed
+        self.start_counts: dict[tuple[str, str], int] = {}
+        self.told_task_phases: dict[tuple[str, str], str] = {}  # graph, task -> phase
         self.told_phase: dict[str, str] = {}
 
     # ---- users -------------------------------------------------------------------------
 
-    def users_side(self) -> GraphApi:
-        """Any controller's: one that has kept nothing."""
+    def new_graph_api(self) -> GraphApi:
+        """The API of any controller, with empty caches."""
         wall = lambda: WallTime(self.now)  # noqa: E731
         return GraphApi(self.settings, self.store, MACHINE_TYPES, wall, random.Random(3))  # type: ignore[arg-type]
 
     def ask(self, method: str, path: str, body: Any = b"") -> Response:
         data = body if isinstance(body, bytes) else wire.encode(body)
         path, _, query = path.partition("?")
-        made: Response = curio.run(self.users_side().serve, method, path, query, data)
-        asked = (method, path, query, data)
-        note("user of graphs", *asked, made.status, made.body, made.retry_after, self.now)
-        return made
+        response: Response = curio.run(self.new_graph_api().serve, method, path, query, data)
+        request = (method, path, query, data)
+        note(
+            "user of graphs",
+            *request,
+            response.status,
+            response.body,
+            response.retry_after,
+            self.now,
+        )
+        return response
 
     def know(self, id: str, tasks: list[Task], runs: float = 3.0) -> None:
-        """The user's side has the tasks ready for the workers."""
+        """Register a graph's tasks, so that workers can describe and run them."""
         if id in self.shapes:
             return
         try:
             shape = Shape(tasks)
         except ValueError:
-            return  # to be refused
+            return  # an invalid graph, which will be rejected
         self.shapes[id] = shape
         self.runs[id] = runs
-        self.did[id] = set()
+        self.completed_tasks[id] = set()
         for kind in range(len(shape.kinds)):
             name = job_id(GraphId(id), kind)
             spec = shape.spec(GraphId(id), Options(team="red"), kind)
@@ -80,19 +89,19 @@
             self.arrays[name] = (id, kind)
 
     def send(self, id: str, options: Options, tasks: list[Task], parts: int = 1) -> Response:
-        for part in self.cut(id, options, tasks, parts):
+        for part in self.split(id, options, tasks, parts):
             response = self.ask("POST", "", part)
             if response.status not in (200, 201, 202):
                 break
         return response
 
     @staticmethod
-    def cut(id: str, options: Options, tasks: list[Task], parts: int) -> list[Part]:
+    def split(id: str, options: Options, tasks: list[Task], parts: int) -> list[Part]:
         size = -(-len(tasks) // parts)
         return [Part(id, options, tasks[n * size : (n + 1) * size], n, parts) for n in range(parts)]
 
     def tell_all(self) -> None:
-        """Each user asks for everything; no final answer may differ from an earlier one."""
+        """Poll all graphs and tasks; a final phase must not differ from an earlier one."""
         for id in self.shapes:
             response = self.ask("GET", f"/{id}")
             if response.status == 503:
@@ -106,7 +115,7 @@
                 self.broken.append(f"went_back: {id} was {self.told_phase[id]}, is {phase}")
             self.told_phase[id] = phase
             for name, answer in self.answers(id).items():
-                self._hear(id, name, answer["phase"], phase)
+                self._check_task_phase(id, name, answer["phase"], phase)
 
     def answers(self, id: str) -> dict[str, dict[str, Any]]:
         found: dict[str, dict[str, Any]] = {}
@@ -118,30 +127,30 @@
             if not page["more"]:
                 return found
 
-    def _hear(self, id: str, name: str, phase: str, whole: str) -> None:
-        before = self.told.get((id, name))
+    def _check_task_phase(self, id: str, name: str, phase: str, graph_phase: str) -> None:
+        before = self.told_task_phases.get((id, name))
         if before in FINAL and phase != before:
             self.broken.append(f"two answers: {id} {name} was {before}, is {phase}")
-        self.told[(id, name)] = phase
-        if phase == "done" and name not in self.did[id]:
+        self.told_task_phases[(id, name)] = phase
+        if phase == "done" and name not in self.completed_tasks[id]:
             self.broken.append(f"not_done: {id} {name}")
-        if phase == "not_run" and name in self.did[id] and whole != "cancelled":
+        if phase == "not_run" and name in self.completed_tasks[id] and graph_phase != "cancelled":
             self.broken.append(f"ran all the same: {id} {name}")
-        if whole in FINAL and phase not in FINAL:
-            self.broken.append(f"no answer: {id} is {whole}, {name} is {phase}")
+        if graph_phase in FINAL and phase not in FINAL:
+            self.broken.append(f"no answer: {id} is {graph_phase}, {name} is {phase}")
 
     # ---- controllers -------------------------------------------------------------------
 
     def take_jobs(self) -> None:
         assert self.scheduler is not None
         self.graph_state = GraphState(self.scheduler)
-        for key, got in list(self.store.keys.items()):
+        for key, entry in list(self.store.keys.items()):
             if key.startswith(records.LIVE):
-                self._put(key, got.data, got.version)
-        self.seen_graphs = self.store.revision
+                self._admit_graph(key, entry.data, entry.version)
+        self.seen_graph_revision = self.store.revision
         super().take_jobs()
 
-    def _put(self, key: str, data: Any, stamp: int) -> None:
+    def _admit_graph(self, key: str, data: Any, stamp: int) -> None:
         async def read() -> None:
             id = GraphId(key[len(records.LIVE) :])
             record = wire.convert(data, GraphRecord)
@@ -157,17 +166,19 @@
         self.graph_state = None
 
     def _step(self) -> None:
-        working = self.scheduler is not None and not self.paused and self.store.mode != "down"
-        if working and self.watching and self.graph_state is not None:
-            news = self.store.core.news(records.LIVE, self.seen_graphs)
-            self.seen_graphs = self.store.revision
+        leader_working = (
+            self.scheduler is not None and not self.paused and self.store.mode != "down"
+        )
+        if leader_working and self.watching and self.graph_state is not None:
+            news = self.store.core.news(records.LIVE, self.seen_graph_revision)
+            self.seen_graph_revision = self.store.revision
             for change in news:
                 if change.deleted_key is not None and change.deleted_key.startswith(records.LIVE):
                     self.graph_state.remove(GraphId(change.deleted_key[len(records.LIVE) :]))
                 elif change.put_key in self.store.keys and change.put_key.startswith(records.LIVE):
-                    self._put(change.put_key, change.data, change.version)
+                    self._admit_graph(change.put_key, change.data, change.version)
         super()._step()
-        if working and self.graph_state is not None:
+        if leader_working and self.graph_state is not None:
             for end in self.graph_state.finished():
                 try:
                     curio.run(self.store.commit, end.conditions, end.writes)
@@ -179,53 +190,53 @@
                     continue
                 self.graph_state.remove(end.id)
 
-    def clean(self, after_s: float) -> None:
-        """The leader's cleaning, so much later."""
+    def run_cleanup(self, after_s: float) -> None:
+        """Run the leader's cleanup as if `after_s` seconds had passed."""
 
-        async def clean() -> None:
-            await store.give_up_old(self.store, self.now + after_s)  # type: ignore[arg-type]
-            await store.delete_stale(self.store)  # type: ignore[arg-type]
+        async def run_cleanup() -> None:
+            await store.abandon_old_submissions(self.store, self.now + after_s)  # type: ignore[arg-type]
+            await store.delete_abandoned_parts(self.store)  # type: ignore[arg-type]
 
-        curio.run(clean)
+        curio.run(run_cleanup)
 
-    def stored(self, prefix: str = records.GRAPHS) -> int:
+    def stored(self, prefix: str = records.GRAPHS_PREFIX) -> int:
         return sum(1 for key in self.store.keys if key.startswith(prefix))
 
     # ---- workers -----------------------------------------------------------------------
 
-    def _task(self, name: str) -> tuple[str, str, int] | None:
+    def _find_task(self, name: str) -> tuple[str, str, int] | None:
         job, _, number = name.partition("/")
         if job not in self.arrays:
             return None
         id, kind = self.arrays[job]
-        position = self.shapes[id].members[kind][int(number)]
+        position = self.shapes[id].task_positions[kind][int(number)]
         return id, self.shapes[id].names[position], position
 
     def started(self, worker: Worker, name: str, attempt: int) -> None:
-        found = self._task(name)
+        found = self._find_task(name)
         if found is not None:
             id, task, position = found
-            self.tried[(id, task)] = self.tried.get((id, task), 0) + 1
+            self.start_counts[(id, task)] = self.start_counts.get((id, task), 0) + 1
             shape = self.shapes[id]
             for need in shape.needs[position]:
-                if shape.names[need] not in self.did[id]:
+                if shape.names[need] not in self.completed_tasks[id]:
                     self.broken.append(f"too_early: {task} started before {shape.names[need]}")
-            if self.told.get((id, task)) in FINAL:
+            if self.told_task_phases.get((id, task)) in FINAL:
                 self.broken.append(f"{task} started after its final answer")
-            if Key(records.PAST + id) in self.store.keys and self.watching:
-                ended = self.store.keys[Key(records.PAST + id)].data["phase"]
+            if Key(records.PAST_PREFIX + id) in self.store.keys and self.watching:
+                ended = self.store.keys[Key(records.PAST_PREFIX + id)].data["phase"]
                 if ended != records.CANCELLED:
                     self.broken.append(f"{task} started after its graph's end")
         super().started(worker, name, attempt)
 
     def fate(self, name: str, spec: wire.JobSpec) -> Fate:
-        found = self._task(name)
+        found = self._find_task(name)
         if found is not None and (found[0], found[1]) in self.failing:
             return Fate(0.0, "error")
         return super().fate(name, spec)
 
     def completed(self, name: str) -> None:
         super().completed(name)
-        found = self._task(name)
+        found = self._find_task(name)
         if found is not None:
-            self.did[found[0]].add(found[1])
+            self.completed_tasks[found[0]].add(found[1])
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Functions as tasks: values, failures and cancellation, on a loopback cluster."""
+"""The Python client: results, failures and cancellation of tasks on a loopback cluster."""
 
 from __future__ import annotations
 
@@ -26,48 +26,48 @@
     return a / b
 
 
-def user(servers: list[str], store: str) -> dict[str, Any]:
-    """What a user's program does, in a thread of its own."""
+def run_user_program(servers: list[str], store: str) -> dict[str, Any]:
+    """A user's program, which runs in its own thread."""
     client.init(servers, store=store, team="red")
-    found: dict[str, Any] = {}
+    results: dict[str, Any] = {}
     first = [add.remote(n, b=1) for n in range(4)]
     total = add.remote(add.remote(first[0], first[1]), add.remote(first[2], first[3]))
     large = client.remote(lambda: b"x" * (3 * PIECE_BYTES)).remote()
-    found["total"], found["large"] = client.get(total), len(client.get(large))
-    # A later graph builds on an earlier one's value.
-    found["later"] = client.get(add.remote(total, 100))
+    results["total"], results["large"] = client.get(total), len(client.get(large))
+    # A task of a later graph takes the result of an earlier graph.
+    results["later"] = client.get(add.remote(total, 100))
     bad = divide.remote(1, 0)
     after = add.remote(bad, 1)
     for name, ref in (("failed", bad), ("not_run", after)):
         with pytest.raises(client.ClientError) as caught:
             client.get(ref)
-        found[name] = caught.value
+        results[name] = caught.value
     with pytest.raises(client.NotRun):
         client.get(add.remote(after, 1))
     slow = client.remote(time.sleep).remote(600)
-    over, left = client.wait([slow, add.remote(1)], num_returns=1)
-    found["over"] = (len(over), left == [slow])
+    finished, unfinished = client.wait([slow, add.remote(1)], num_returns=1)
+    results["over"] = (len(finished), unfinished == [slow])
     client.cancel(slow)
     with pytest.raises(client.Cancelled):
         client.get(slow)
     with pytest.raises(TimeoutError):
         client.get(client.remote(time.sleep).remote(600), timeout=1.0)
-    return found
+    return results
 
 
-async def in_a_cluster() -> dict[str, Any]:
+async def run_on_cluster() -> dict[str, Any]:
     async with LocalCluster.running(ClusterPlan(controllers=2, speed=4.0)) as cluster:
         servers = [str(address) for address in cluster.listen]
-        made: dict[str, Any] = await curio.run_in_thread(
-            user, servers, str(cluster.store.server.address)
+        results: dict[str, Any] = await curio.run_in_thread(
+            run_user_program, servers, str(cluster.store.server.address)
         )
-        made["processes"] = list(cluster.processes.values())
-    assert made["processes"] and all(p.poll() is not None for p in made["processes"])
-    return made
+        results["processes"] = list(cluster.processes.values())
+    assert results["processes"] and all(p.poll() is not None for p in results["processes"])
+    return results
 
 
 def test_functions_on_a_cluster() -> None:
-    found = curio.run(in_a_cluster)
+    found = curio.run(run_on_cluster)
     assert found["total"] == 10 and found["later"] == 110
     assert found["large"] == 3 * PIECE_BYTES
     assert isinstance(found["failed"], client.TaskFailed)
@@ -98,7 +98,7 @@
     "piece, of, size, status", [(0, 1, 10, 200), (1, 1, 10, 400), (0, 0, 1, 400), (0, 1, 101, 507)]
 )
 def test_the_store_is_bounded(piece: int, of: int, size: int, status: int) -> None:
-    store = Store(Address("127.0.0.1", 1), most_bytes=100)
+    store = Store(Address("127.0.0.1", 1), max_total_bytes=100)
     body = wire.encode({"of": of, "data": b"x" * size})
     request = Request("POST", "/values/a", f"piece={piece}", body)
     assert curio.run(store.serve, request).status == status
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -1,6 +1,6 @@
-"""Task graphs: scenarios with verbs of their own, files, and a property test over random troubles.
+"""Task graphs: scenarios with additional verbs, graph files, a property test with random faults.
 
-A scenario's graph is written as `name:need,need` words; what is not named needs nothing.
+Scenarios write the tasks of a graph as words `name:need,need`; `name` alone has no needs.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 
 
 def _tasks(words: list[str], **fields: Any) -> list[Task]:
-    made = []
+    tasks = []
     for word in words:
         name, _, needs = word.partition(":")
-        made.append(Task(name, needs.split(",") if needs else [], **fields))
-    return made
+        tasks.append(Task(name, needs.split(",") if needs else [], **fields))
+    return tasks
 
 
 class GraphScenarioPlayer(ScenarioPlayer):
@@ -47,14 +47,14 @@
         self.sent: dict[str, tuple[Options, list[Task], int]] = {}
 
     def do_graph(self, id: str, *words: str) -> None:
-        """Options are name=value: retries, cpus, runs, parts, on_failure, team."""
+        """Options are words name=value: retries, cpus, runs, parts, on_failure, team."""
         given = _pairs([word for word in words if "=" in word])
         fields = {"max_retries": given.get("retries", 3), "num_cpus": given.get("cpus", 1.0)}
         tasks = _tasks([word for word in words if "=" not in word], **fields)
         self._send(id, given, tasks)
 
     def do_graph_wide(self, id: str, width: str, *words: str) -> None:
-        """So many tasks between a first and a last."""
+        """`width` parallel tasks between a first and a last one."""
         names = [f"t{number}" for number in range(int(width))]
         tasks = _tasks(["first", *(f"{name}:first" for name in names)])
         self._send(id, _pairs(list(words)), [*tasks, Task("last", names[:1000])])
@@ -80,27 +80,27 @@
         self.last = self.cluster.send(id, *self.sent[id])
 
     def do_part(self, id: str, number: str, *words: str) -> None:
-        """Only one part of a graph, which is known as a whole from its first."""
+        """Send one part of a graph; all its tasks are registered with the first part."""
         tasks = _tasks([word for word in words if "=" not in word])
         parts = int(_pairs([word for word in words if "=" in word])["parts"])
         self.sent.setdefault(id, (Options(team="red"), tasks, parts))
         self.cluster.know(id, tasks)
-        part = self.cluster.cut(id, self.sent[id][0], tasks, parts)[int(number)]
+        part = self.cluster.split(id, self.sent[id][0], tasks, parts)[int(number)]
         self.last = self.cluster.ask("POST", "", part)
 
     def do_at_once(self, id: str, times: str) -> None:
-        """The last graph, sent so many times at once to different controllers."""
-        parts = self.cluster.cut(id, *self.sent[id])
+        """Send the graph `times` times concurrently to different controllers."""
+        parts = self.cluster.split(id, *self.sent[id])
 
-        async def one() -> list[int]:
-            side = self.cluster.users_side()
-            return [(await side.serve("POST", "", "", wire.encode(part))).status for part in parts]
+        async def send_once() -> list[int]:
+            api = self.cluster.new_graph_api()
+            return [(await api.serve("POST", "", "", wire.encode(part))).status for part in parts]
 
-        async def all_of_them() -> list[list[int]]:
-            asked = [await curio.spawn(one) for _ in range(int(times))]
-            return [await task.join() for task in asked]
+        async def send_all() -> list[list[int]]:
+            senders = [await curio.spawn(send_once) for _ in range(int(times))]
+            return [await task.join() for task in senders]
 
-        self.statuses = sorted(answers[-1] for answers in curio.run(all_of_them))
+        self.statuses = sorted(answers[-1] for answers in curio.run(send_all))
 
     def do_post(self, path: str, *words: str) -> None:
         part = {"uid": "graph-9", "options": {"team": "red"}, "tasks": [{"name": "a"}]}
@@ -131,7 +131,7 @@
                     self.cluster.cancelled.setdefault(array, self.cluster.now)
 
     def do_lead_old(self) -> None:
-        """A version that knows no graphs takes over."""
+        """A leader whose version does not support graphs takes over."""
         self.cluster.take_blocks()
         SimulatedCluster.take_jobs(self.cluster)
         self.cluster.graph_state = None
@@ -140,7 +140,7 @@
         self.cluster.tell_all()
 
     def do_clean(self, seconds: str) -> None:
-        self.cluster.clean(float(seconds))
+        self.cluster.run_cleanup(float(seconds))
 
     def do_run(self, seconds: str) -> None:
         for _ in range(max(1, int(float(seconds)))):
@@ -164,13 +164,13 @@
         return len(self.cluster.answers(id)[name]["machines"])
 
     def see_tries(self, id: str, name: str) -> int:
-        return self.cluster.tried.get((id, name), 0)
+        return self.cluster.start_counts.get((id, name), 0)
 
     def see_statuses(self) -> str:
         return ",".join(map(str, self.statuses))
 
     def see_stored(self) -> int:
-        """How many records there are of graphs."""
+        """The number of stored records of graphs."""
         return self.cluster.stored()
 
     def see_writes_per_100_tasks_below(self, most: str) -> bool:
@@ -192,31 +192,36 @@
 
 
 def test_what_is_cancelled_while_graphs_are_read_is_told_as_gone() -> None:
-    """In the order in which it happened; else its tasks would start after the cancellation."""
-    game = GraphScenarioPlayer()
-    world = game.cluster
-    world.takeover()
-    game.do_graph("graph-1", "a", "b:a")
-    game.do_graph("graph-2", "a")
-    told: list[str] = []
-
-    async def tell(message: Any) -> None:
+    """A graph that is cancelled during a load is sent before its removal.
+
+    In the opposite order its tasks would start after the cancellation.
+    """
+    player = GraphScenarioPlayer()
+    cluster = player.cluster
+    cluster.takeover()
+    player.do_graph("graph-1", "a", "b:a")
+    player.do_graph("graph-2", "a")
+    messages: list[str] = []
+
+    async def record_message(message: Any) -> None:
         name = message.args[0] if isinstance(message, GraphPut) else message.id
-        told.append(f"{type(message).__name__} {name}")
-        if told == ["GraphPut graph-1"]:
-            await world.users_side().cancel(GraphId("graph-2"))
+        messages.append(f"{type(message).__name__} {name}")
+        if messages == ["GraphPut graph-1"]:
+            await cluster.new_graph_api().cancel(GraphId("graph-2"))
 
     async def read() -> None:
-        keeper = GraphController(world.store, world.graph_state, tell, lambda: None, lambda: True)  # type: ignore
-        await keeper.load()
-        await keeper.follow()
-        # Something was missed: what is not there any more is told as gone, once.
-        await world.users_side().cancel(GraphId("graph-1"))
-        await keeper.load()
-        await keeper.follow()
+        controller = GraphController(  # type: ignore
+            cluster.store, cluster.graph_state, record_message, lambda: None, lambda: True
+        )
+        await controller.load()
+        await controller.apply_next_changes()
+        # Changes were missed: a load reports the graph that no longer exists as gone, once.
+        await cluster.new_graph_api().cancel(GraphId("graph-1"))
+        await controller.load()
+        await controller.apply_next_changes()
 
     curio.run(read)
-    assert told == [
+    assert messages == [
         "GraphPut graph-1",
         "GraphPut graph-2",
         "GraphGone graph-2",
@@ -224,25 +229,25 @@
     ]
 
 
-class Unwalked(list[int]):
-    """Fails if it is searched from end to end."""
+class UnsearchableList(list[int]):
+    """Fails on a linear search."""
 
     def __contains__(self, _: object) -> bool:
-        raise AssertionError("walked")
+        raise AssertionError("searched")
 
     remove = index = __contains__  # type: ignore[assignment]
 
 
 def test_an_end_that_readies_thousands_walks_no_list_for_each() -> None:
-    """It took the leader 0.7 s, in which it answered nobody."""
-    game = GraphScenarioPlayer()
-    game.cluster.takeover()
-    game.do_graph_wide("graph-1", "900")
-    game.cluster.run(0.2)
-    assert game.cluster.graph_state is not None
-    (graph,) = game.cluster.graph_state.graphs.values()
+    """Linear searches for each task blocked the leader for 0.7 s."""
+    player = GraphScenarioPlayer()
+    player.cluster.takeover()
+    player.do_graph_wide("graph-1", "900")
+    player.cluster.run(0.2)
+    assert player.cluster.graph_state is not None
+    (graph,) = player.cluster.graph_state.graphs.values()
     (job,) = graph.jobs
-    job.requeued_tasks = Unwalked(job.requeued_tasks)
+    job.requeued_tasks = UnsearchableList(job.requeued_tasks)
     job.mark_done(0)
     assert job.startable_count() == 900
     job.put_back(5)
@@ -252,7 +257,7 @@
 
 # ---- files -------------------------------------------------------------------------------
 
-GOOD = """[graph]
+VALID_GRAPH = """[graph]
 team = "red"
 
 [[tasks]]
@@ -283,7 +288,7 @@
     tmp_path: Path, change: tuple[str, str], line: int | None, text: str
 ) -> None:
     path = tmp_path / "graph.toml"
-    path.write_text(GOOD.replace(*change))
+    path.write_text(VALID_GRAPH.replace(*change))
     result = CliRunner().invoke(cli.main, ["graph", "check", str(path)])
     assert text in result.output, result.output
     assert result.exit_code == (0 if change == ("", "") else 2)
@@ -293,7 +298,7 @@
 
 def test_check_knows_the_cluster(tmp_path: Path) -> None:
     path, machines, config = (tmp_path / f"{name}.toml" for name in ("graph", "types", "keeper"))
-    path.write_text(GOOD.replace("num_cpus = 2", "num_cpus = 6"))
+    path.write_text(VALID_GRAPH.replace("num_cpus = 2", "num_cpus = 6"))
     small = {"sku": "s", "cores": 4.0, "mem_gb": 16.0, "hourly": 1.0, "boot_s": 5.0, "yards": ["a"]}
     machines.write_text(tomli_w.dumps({"machines": [small]}))
     words = ["graph", "check", "--machines", str(machines), str(path)]
@@ -319,7 +324,7 @@
             msgspec.convert(bad, files.File)
 
 
-# ---- exactly one final answer --------------------------------------------------------------
+# ---- exactly one final phase ---------------------------------------------------------------
 
 MOVES = (
     "run",
@@ -339,11 +344,11 @@
 @strategies.composite
 def graphs(draw: Any) -> list[Task]:
     count = draw(strategies.integers(1, 14))
-    made = []
+    tasks = []
     for number in range(count):
-        earlier = strategies.integers(0, max(0, number - 1))
-        needs = draw(strategies.sets(earlier, max_size=3)) if number else set()
-        made.append(
+        earlier_numbers = strategies.integers(0, max(0, number - 1))
+        needs = draw(strategies.sets(earlier_numbers, max_size=3)) if number else set()
+        tasks.append(
             Task(
                 f"t{number}",
                 [f"t{need}" for need in sorted(needs)],
@@ -351,7 +356,7 @@
                 max_retries=draw(strategies.integers(0, 2)),
             )
         )
-    return made
+    return tasks
 
 
 @hypothesis.settings(
@@ -371,7 +376,7 @@
     cancel_at=strategies.none() | strategies.integers(0, 13),
     parts=strategies.integers(1, 3),
 )
-@hypothesis.example(  # a new leader found a task running before the end of what it builds on
+@hypothesis.example(  # a new leader found a task running before its needs were stored as done
     tasks=[
         *(Task(f"t{n}") for n in range(10)),
         Task("a", num_cpus=2.0),
@@ -432,38 +437,38 @@
 
 
 def _move(
-    world: SimulatedGraphCluster,
-    game: GraphScenarioPlayer,
+    cluster: SimulatedGraphCluster,
+    player: GraphScenarioPlayer,
     move: str,
     which: int,
     options: Options,
     tasks: list[Task],
     parts: int,
 ) -> None:
-    names = sorted(world.workers)
-    worker = world.workers[names[which % len(names)]]
+    names = sorted(cluster.workers)
+    worker = cluster.workers[names[which % len(names)]]
     if move == "run":
-        world.run(0.3 + which)
+        cluster.run(0.3 + which)
     elif move == "crash":
-        world.crash()
-        world.run(0.5)
-        world.takeover()
+        cluster.crash()
+        cluster.run(0.5)
+        cluster.takeover()
     elif move == "takeover":
-        world.takeover()
+        cluster.takeover()
     elif move in ("lost", "late"):
-        world.store.mode = move
-        world.run(0.2 * (which + 1))
-        world.store.mode = "ok"
-        world.store.deliver_late()
+        cluster.store.mode = move
+        cluster.run(0.2 * (which + 1))
+        cluster.store.mode = "ok"
+        cluster.store.deliver_late()
     elif move == "outage":
-        world.store.mode = "down"
-        world.run(1 + which)
-        world.store.mode = "ok"
+        cluster.store.mode = "down"
+        cluster.run(1 + which)
+        cluster.store.mode = "ok"
     elif move == "kill" and len(names) > 2:
-        world.delete(worker.host)
+        cluster.delete(worker.host)
     elif move == "drain":
-        game.do_notice(worker.host, "30")
+        player.do_notice(worker.host, "30")
     elif move == "sick":
         worker.sick = not worker.sick
     elif move == "again":
-        world.send("graph-1", options, tasks, parts)
+        cluster.send("graph-1", options, tasks, parts)
--- a/umberward/client/__init__.py
+++ b/umberward/client/__init__.py
@@ -1,4 +1,4 @@
-"""Task graphs written as Python functions, by the conventions that Ray's users know.
+"""Task graphs written as Python functions, following the conventions of Ray.
 
     from umberward import client
 
@@ -10,9 +10,9 @@
 
     print(client.get(add.remote(add.remote(1, 2), 3)))
 
-Calls are collected and sent as one graph by the first `get`, `wait` or `flush`. Functions and
-values pass through a store on the user's side, never through the controllers. Actors are not
-served.
+Calls are collected and sent as one graph by the next `get`, `wait` or `flush`. Functions and
+values are transferred through a store on the user's side, never through the controllers. Actors
+are not supported.
 """
 
 from umberward.client.session import (
--- a/umberward/client/session.py
+++ b/umberward/client/session.py
@@ -1,4 +1,4 @@
-"""Calls of remote functions, collected into graphs; their values and failures."""
+"""Collects calls of remote functions into graphs and fetches their values and failures."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
     Options,
     Shape,
     Task,
+    find_problems,
     job_id,
-    problems,
 )
 from umberward.protocol import wire
 from umberward.protocol.http import Client, NoResponseError, RequestNotSentError, Response
 
-GRAPHS = "/v1/graphs"
-POLL_S = 0.25
-REQUEST_S = 5.0
-GIVE_UP_S = 60.0  # no controller has answered for so long
-SOCKETS = 16
+GRAPHS_PATH = "/v1/graphs"
+POLL_INTERVAL_S = 0.25
+REQUEST_TIMEOUT_S = 5.0
+RETRY_TIMEOUT_S = 60.0  # a request is retried on all controllers for this long
+MAX_CONNECTIONS = 16
 
 
 class ClientError(Exception):
-    """Something on the way to the cluster went wrong; the base of all that is raised here."""
+    """Base class of this module's errors; raised itself for invalid options and failed requests."""
 
 
 class ActorsNotServed(ClientError, TypeError):
@@ -45,11 +45,11 @@
 
 
 class TaskFailed(ClientError):
-    """The function raised, on as many machines as it was tried; holds the remote traceback."""
+    """The function raised in every attempt; the message contains the remote traceback."""
 
 
 class NotRun(ClientError):
-    """Something that the task needs has failed."""
+    """The task did not run because a task that it needs has failed."""
 
 
 class Cancelled(ClientError):
@@ -57,15 +57,15 @@
 
 
 class Ref:
-    """The value that a task will leave. Other tasks take it as an argument."""
+    """A reference to the future result of a task, which other tasks accept as an argument."""
 
-    def __init__(self, name: str, task: Task, call: bytes, needs: list[Ref]) -> None:
+    def __init__(self, name: str, task: Task, call_data: bytes, needs: list[Ref]) -> None:
         self.name = name
         self.task = task
-        self.call = call
+        self.call_data = call_data
         self.needs = needs
-        self.graph: GraphId | None = None  # once it is sent
-        self.place = ""  # the scheduler's name for it, from then on
+        self.graph: GraphId | None = None  # set when the task is sent
+        self.task_id = ""  # set when the task is sent
         self.phase = "pending"
         self.because = ""
 
@@ -73,7 +73,7 @@
         return f"Ref({self.name}, {self.phase})"
 
     def __reduce__(self) -> Any:
-        text = "give it to a task as an argument of its own, not inside another"
+        text = "pass it to a task as an argument of its own, not inside another"
         raise ClientError(f"{self.name}: {text}")
 
 
@@ -84,100 +84,107 @@
         self.options = options
         self.pending: list[Ref] = []
         self.sent: dict[GraphId, dict[str, Ref]] = {}
-        self.calls = 0
-        self.number = time.time_ns() // 1000 % 10**13  # ids of graphs: from the time of day
+        self.call_count = 0
+        self.number = time.time_ns() // 1000 % 10**13  # graph ids are based on the time of day
 
-    # ---- sending -----------------------------------------------------------------------
+    # ---- submission --------------------------------------------------------------------
 
     def add(self, function: Any, args: Any, kwargs: Any, fields: dict[str, Any]) -> Ref:
-        self.calls += 1
-        name = f"{getattr(function, '__name__', 'task')}-{self.calls}"
-        given = [value for value in (*args, *kwargs.values()) if isinstance(value, Ref)]
-        needs = list(dict.fromkeys(ref.name for ref in given))
+        self.call_count += 1
+        name = f"{getattr(function, '__name__', 'task')}-{self.call_count}"
+        input_refs = [value for value in (*args, *kwargs.values()) if isinstance(value, Ref)]
+        needs = list(dict.fromkeys(ref.name for ref in input_refs))
         try:
             task = msgspec.convert({"name": name, "needs": needs, **fields}, Task)
         except msgspec.ValidationError as error:
             raise ClientError(f"{name}: {error}") from None
-        # The arguments are taken as they are now, whatever the caller does with them afterwards.
-        plain = tuple(Later(a) if isinstance(a, Ref) else a for a in args)
-        named = {n: Later(a) if isinstance(a, Ref) else a for n, a in kwargs.items()}
-        ref = Ref(name, task, cloudpickle.dumps((function, plain, named)), given)
+        # Arguments are serialized now, so later changes by the caller have no effect.
+        call_args = tuple(Later(a) if isinstance(a, Ref) else a for a in args)
+        call_kwargs = {n: Later(a) if isinstance(a, Ref) else a for n, a in kwargs.items()}
+        ref = Ref(name, task, cloudpickle.dumps((function, call_args, call_kwargs)), input_refs)
         self.pending.append(ref)
         return ref
 
     def flush(self) -> None:
-        """Send what was called since the last time as one graph."""
+        """Send the calls since the last flush as one graph."""
         refs, self.pending = self.pending, []
-        refs = [ref for ref in refs if self._can_run(ref)]
+        refs = [ref for ref in refs if self._dependencies_succeeded(ref)]
         if not refs:
             return
-        here = {ref.name for ref in refs}
+        names_in_graph = {ref.name for ref in refs}
         tasks = [
-            msgspec.structs.replace(ref.task, needs=[n for n in ref.task.needs if n in here])
+            msgspec.structs.replace(
+                ref.task, needs=[n for n in ref.task.needs if n in names_in_graph]
+            )
             for ref in refs
         ]
-        wrong = problems(tasks)
-        if wrong:
-            raise ClientError("; ".join(problem.text for problem in wrong))
+        problems = find_problems(tasks)
+        if problems:
+            raise ClientError("; ".join(problem.text for problem in problems))
         self.number += 1
         id = GraphId(f"{GRAPH_PREFIX}{self.number}")
         shape = Shape(tasks)
-        places = {
+        task_ids = {
             shape.names[position]: f"{job_id(id, kind)}/{number}"
             for position, (kind, number) in enumerate(shape.place)
         }
         for ref in refs:
-            ref.graph, ref.place = id, places[ref.name]
+            ref.graph, ref.task_id = id, task_ids[ref.name]
         curio.run(self._upload, refs)
         for part in files.parts(id, File(self.options, tasks)):
-            response = self._ask("POST", GRAPHS, wire.encode(part))
+            response = self._send_request("POST", GRAPHS_PATH, wire.encode(part))
             if response.status not in (200, 201, 202):
-                raise ClientError(f"{id}: {_said(response)}")
+                raise ClientError(f"{id}: {_describe_response(response)}")
         self.sent[id] = {ref.name: ref for ref in refs}
 
-    def _can_run(self, ref: Ref) -> bool:
-        """What it needs of earlier graphs must be over: the values are fetched when it starts."""
+    def _dependencies_succeeded(self, ref: Ref) -> bool:
+        """Wait for the needed tasks of earlier graphs; return False if one of them did not succeed.
+
+        The values must exist when the task starts, because it fetches them then.
+        """
         for need in ref.needs:
             if need.graph is not None:
-                self._follow([need])
-            if need.phase not in ("pending", "done"):  # pending: it is sent with this one
+                self._wait_for([need])
+            if need.phase not in ("pending", "done"):  # pending: part of the same graph
                 ref.phase, ref.because = "not_run", need.because or need.name
                 return False
         return True
 
     async def _upload(self, refs: list[Ref]) -> None:
-        client = Client(SOCKETS)
+        client = Client(MAX_CONNECTIONS)
         for ref in refs:
-            inputs = {need.name: need.place for need in ref.needs}
-            data = cloudpickle.dumps((ref.call, inputs))
+            inputs = {need.name: need.task_id for need in ref.needs}
+            data = cloudpickle.dumps((ref.call_data, inputs))
             try:
-                await store.put(client, self.store, ref.place + store.CALL, data)
+                await store.put(client, self.store, ref.task_id + store.CALL, data)
             except store.StoreError as error:
                 raise ClientError(str(error)) from None
 
-    # ---- following ---------------------------------------------------------------------
+    # ---- results -----------------------------------------------------------------------
 
-    def _follow(self, refs: Iterable[Ref], many: int | None = None, until: float = 0.0) -> None:
-        """Until so many of them (None: all) are over, or it is later than `until` (0: never)."""
+    def _wait_for(
+        self, refs: Iterable[Ref], min_count: int | None = None, stop_at: float = 0.0
+    ) -> None:
+        """Wait until `min_count` tasks (None: all) finish or `stop_at` is reached (0: no limit)."""
         refs = list(refs)
         while True:
-            left = [ref for ref in refs if ref.phase == "pending"]
-            if len(refs) - len(left) >= (len(refs) if many is None else many):
+            unfinished = [ref for ref in refs if ref.phase == "pending"]
+            if len(refs) - len(unfinished) >= (len(refs) if min_count is None else min_count):
                 return
-            for id in {ref.graph for ref in left if ref.graph is not None}:
-                self._read(id)
-            if all(ref.phase != "pending" for ref in left):
+            for id in {ref.graph for ref in unfinished if ref.graph is not None}:
+                self._update_refs(id)
+            if all(ref.phase != "pending" for ref in unfinished):
                 continue
-            if until and time.monotonic() > until:
+            if stop_at and time.monotonic() > stop_at:
                 return
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
 
-    def _read(self, id: GraphId) -> None:
+    def _update_refs(self, id: GraphId) -> None:
         start, more = 0, True
         while more:
-            response = self._ask("GET", f"{GRAPHS}/{id}/tasks?from={start}")
+            response = self._send_request("GET", f"{GRAPHS_PATH}/{id}/tasks?from={start}")
             if response.status != 200:
-                raise ClientError(f"{id}: {_said(response)}")
+                raise ClientError(f"{id}: {_describe_response(response)}")
             page = msgspec.msgpack.decode(response.body)
             for task in page["tasks"]:
                 ref = self.sent[id][task["name"]]
@@ -189,29 +196,32 @@
             raise NotRun(f"{ref.name}: {ref.because} has failed")
         if ref.phase == "cancelled":
             raise Cancelled(ref.name)
-        ending = store.RESULT if ref.phase == "done" else store.ERROR
+        suffix = store.RESULT if ref.phase == "done" else store.ERROR
 
         async def fetch() -> bytes | None:
-            return await store.get(Client(SOCKETS), self.store, ref.place + ending)
+            return await store.get(Client(MAX_CONNECTIONS), self.store, ref.task_id + suffix)
 
         try:
             data = curio.run(fetch)
         except store.StoreError as error:
             raise ClientError(str(error)) from None
         if ref.phase == "failed":
-            trace = "no traceback is known" if data is None else data.decode()
-            raise TaskFailed(f"{ref.name}\n{trace}")
+            traceback_text = "no traceback was stored" if data is None else data.decode()
+            raise TaskFailed(f"{ref.name}\n{traceback_text}")
         if data is None:
-            raise ClientError(f"{ref.name}: the store has lost its value")
+            raise ClientError(f"{ref.name}: the store does not have its value")
         return cloudpickle.loads(data)
 
     def cancel(self, id: GraphId) -> None:
-        self._ask("POST", f"{GRAPHS}/{id}/cancel")
+        self._send_request("POST", f"{GRAPHS_PATH}/{id}/cancel")
+
+    def _send_request(self, method: str, path: str, body: bytes = b"") -> Response:
+        """Send a request to each controller in turn, and again until RETRY_TIMEOUT_S is over.
 
-    def _ask(self, method: str, path: str, body: bytes = b"") -> Response:
-        """From any controller; again, as long as that may help."""
-        deadline = time.monotonic() + GIVE_UP_S
-        last = "no answer"
+        Responses with status 429 or above are retried as well.
+        """
+        deadline = time.monotonic() + RETRY_TIMEOUT_S
+        last = "no response"
         while True:
             for address in self.servers:
                 try:
@@ -224,26 +234,26 @@
                 last = f"status {response.status}"
             if time.monotonic() > deadline:
                 raise ClientError(f"{method} {path}: {last}")
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
 
 
 class Later:
-    """A ref among the arguments: which one, without what hangs on it."""
+    """Stands for a Ref among pickled arguments; holds only its name, not the Ref's own call."""
 
     def __init__(self, ref: Ref) -> None:
         self.name = ref.name
 
 
 async def _request(address: Address, method: str, path: str, body: bytes) -> Response:
-    return await Client(4).request(address, method, path, body, REQUEST_S)
+    return await Client(4).request(address, method, path, body, REQUEST_TIMEOUT_S)
 
 
-def _said(response: Response) -> str:
+def _describe_response(response: Response) -> str:
     try:
-        found = msgspec.msgpack.decode(response.body)
+        body = msgspec.msgpack.decode(response.body)
     except msgspec.DecodeError:
-        found = None
-    text = found.get("error", "") if isinstance(found, dict) else ""
+        body = None
+    text = body.get("error", "") if isinstance(body, dict) else ""
     return f"status {response.status} {text}".rstrip()
 
 
@@ -258,33 +268,36 @@
     rank: str = "normal",
     **options: Any,
 ) -> None:
-    """Say where the controllers and the store are, as HOST:PORT, and for whom the tasks run.
+    """Set the addresses of the controllers and the store, as HOST:PORT, and the team of the tasks.
 
-    `options` are those of a graph: due_s, on_failure, job_class, image, pull_gb, reclaimable.
+    `options` are the graph options due_s, on_failure, job_class, image, pull_gb, reclaimable.
     Raises ClientError.
     """
     global _session
     names = [server] if isinstance(server, str) else list(server)
     try:
         addresses = [parse_address(name) for name in names]
-        made = msgspec.convert({"team": team, "rank": rank, **options}, Options)
-        _session = Session(addresses, parse_address(store), made)
+        graph_options = msgspec.convert({"team": team, "rank": rank, **options}, Options)
+        _session = Session(addresses, parse_address(store), graph_options)
     except (ValueError, msgspec.ValidationError) as error:
         raise ClientError(str(error)) from None
 
 
-def _current() -> Session:
+def _current_session() -> Session:
     if _session is None:
         raise ClientError("call umberward.client.init first")
     return _session
 
 
 def remote(*args: Any, **fields: Any) -> Any:
-    """Make a function remote: bare, or with num_cpus, num_gpus, memory, max_retries, resources."""
+    """Decorate a function as remote.
+
+    Used without arguments or with num_cpus, num_gpus, memory, max_retries, resources.
+    """
     if len(args) == 1 and callable(args[0]) and not fields:
         return _remote(args[0], {})
     if args:
-        raise TypeError("remote takes a function, or options by name")
+        raise TypeError("remote takes a function or keyword options")
     return functools.partial(_remote, fields=fields)
 
 
@@ -296,7 +309,7 @@
 
 
 class RemoteFunction:
-    """Called by `.remote(...)`, which gives a Ref at once."""
+    """A function whose method `remote(...)` adds a call and returns a Ref immediately."""
 
     def __init__(self, function: Any, fields: dict[str, Any]) -> None:
         functools.update_wrapper(self, function)
@@ -308,48 +321,51 @@
         raise TypeError(f"{name} is remote: call {name}.remote(...)")
 
     def options(self, **fields: Any) -> RemoteFunction:
-        """The same function with other options."""
+        """Return the same function with other options."""
         return RemoteFunction(self._function, {**self._fields, **fields})
 
     def remote(self, *args: Any, **kwargs: Any) -> Ref:
-        return _current().add(self._function, args, kwargs, self._fields)
+        return _current_session().add(self._function, args, kwargs, self._fields)
 
 
 def flush() -> None:
-    """Send all calls made so far. `get` and `wait` do so by themselves."""
-    _current().flush()
+    """Send all calls since the last flush. `get` and `wait` do so automatically."""
+    _current_session().flush()
 
 
 def get(refs: Ref | Sequence[Ref], timeout: float | None = None) -> Any:
-    """The value of one task, or a list of values. Raises TaskFailed, NotRun, Cancelled, or
+    """Return the value of one task, or a list of values. Raises TaskFailed, NotRun, Cancelled, or
     TimeoutError after `timeout` seconds."""
-    session = _current()
+    session = _current_session()
     session.flush()
-    some = [refs] if isinstance(refs, Ref) else list(refs)
-    session._follow(some, None, time.monotonic() + timeout if timeout is not None else 0.0)
-    late = [ref.name for ref in some if ref.phase == "pending"]
+    ref_list = [refs] if isinstance(refs, Ref) else list(refs)
+    session._wait_for(ref_list, None, time.monotonic() + timeout if timeout is not None else 0.0)
+    late = [ref.name for ref in ref_list if ref.phase == "pending"]
     if late:
-        raise TimeoutError(f"{len(late)} tasks are not over, {late[0]} among them")
-    values = [session.value(ref) for ref in some]
+        raise TimeoutError(f"{len(late)} tasks are not finished, {late[0]} among them")
+    values = [session.value(ref) for ref in ref_list]
     return values[0] if isinstance(refs, Ref) else values
 
 
 def wait(
     refs: Sequence[Ref], *, num_returns: int = 1, timeout: float | None = None
 ) -> tuple[list[Ref], list[Ref]]:
-    """Those that are over, as soon as there are `num_returns` of them, and the others."""
+    """Wait until `num_returns` tasks are finished; return these and the others.
+
+    After `timeout` seconds, fewer may be finished.
+    """
     if not 0 < num_returns <= len(refs):
         raise ValueError(f"num_returns: {num_returns} of {len(refs)}")
-    session = _current()
+    session = _current_session()
     session.flush()
-    session._follow(refs, num_returns, time.monotonic() + timeout if timeout is not None else 0.0)
-    over = [ref for ref in refs if ref.phase != "pending"][:num_returns]
-    return over, [ref for ref in refs if ref not in over]
+    session._wait_for(refs, num_returns, time.monotonic() + timeout if timeout is not None else 0.0)
+    finished = [ref for ref in refs if ref.phase != "pending"][:num_returns]
+    return finished, [ref for ref in refs if ref not in finished]
 
 
 def cancel(ref: Ref) -> None:
-    """Cancel the graph that the task was sent with: what is not over of it will not run."""
-    session = _current()
+    """Cancel the graph of the task; its tasks that are not finished will not run."""
+    session = _current_session()
     if ref in session.pending:
         session.flush()
     if ref.graph is not None:
--- a/umberward/graphs/__init__.py
+++ b/umberward/graphs/__init__.py
@@ -1,1 +1,1 @@
-"""Task graphs in the style of Ray, run as work of the one scheduler: see docs/graphs.md."""
+"""Task graphs in the style of Ray, run by the same scheduler as jobs: see docs/graphs.md."""
--- a/umberward/graphs/errors.py
+++ b/umberward/graphs/errors.py
@@ -1,10 +1,10 @@
-"""Errors about the content of graphs and about requests for them."""
+"""Errors in the content of graphs and in requests about them."""
 
 from __future__ import annotations
 
 
 class GraphRejectedError(Exception):
-    """A request about a graph cannot be served as it is; its text goes to the user."""
+    """A request about a graph is rejected; the error text is sent to the user."""
 
     def __init__(self, status: int, text: str) -> None:
         """Create an error that is answered with the HTTP status code `status`."""
@@ -13,7 +13,7 @@
 
 
 class MalformedGraphError(ValueError):
-    """Tasks that form no graph, or that need what no machine has."""
+    """The tasks form no valid graph, or need a resource that no machine has."""
 
 
 class DuplicateNameError(MalformedGraphError):
@@ -21,23 +21,23 @@
 
     def __init__(self) -> None:
         """Create the error."""
-        super().__init__("doubled names")
+        super().__init__("duplicate task names")
 
 
 class UnknownNeedError(MalformedGraphError):
-    """A task needs a name that no task of its graph has."""
+    """A task needs a task that its graph does not contain."""
 
     def __init__(self, name: str) -> None:
-        """Create an error about the missing `name`."""
-        super().__init__(f"unknown name {name!r}")
+        """Create an error about the unknown task `name`."""
+        super().__init__(f"a need is no task of the graph: {name!r}")
 
 
 class CyclicGraphError(MalformedGraphError):
-    """Some tasks need each other."""
+    """The needs of some tasks form a cycle."""
 
     def __init__(self) -> None:
         """Create the error."""
-        super().__init__("a cycle")
+        super().__init__("the needs of the tasks form a cycle")
 
 
 class UnknownResourceError(MalformedGraphError):
--- a/umberward/graphs/files.py
+++ b/umberward/graphs/files.py
@@ -1,4 +1,4 @@
-"""Graphs as files, TOML or JSON: read, checked with the line of each error, cut into parts."""
+"""Graph files in TOML or JSON: reading, checking with line numbers, and splitting into parts."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from umberward.protocol.wire import MAX_BODY_BYTES, MachineType
 from umberward.scheduling.quota import Quota
 
-PART_TASKS_BYTES = MAX_BODY_BYTES - 4096  # the rest is for the other fields of a part
+MAX_PART_TASKS_BYTES = MAX_BODY_BYTES - 4096  # 4096 bytes are left for the other fields of a part
 
 _TOML_TASK = re.compile(r"^\s*\[\[\s*tasks\s*\]\]", re.MULTILINE)
 _JSON_TASK = re.compile(r'"name"\s*:')
@@ -26,10 +26,10 @@
 
 
 class GraphFileError(Exception):
-    """A graph file has faults: one line for each, as FILE:LINE: what is wrong."""
+    """A graph file is invalid; `lines` has one line for each problem, as FILE:LINE: TEXT."""
 
     def __init__(self, lines: list[str]) -> None:
-        """Create an error from the lines to show to the user."""
+        """Create an error with the lines to show to the user."""
         super().__init__("\n".join(lines))
         self.lines = lines
 
@@ -41,8 +41,8 @@
 ) -> File:
     """Read and check a graph file.
 
-    `teams` and `machine_types` are those of the cluster that the graph is for; None: not known.
-    Raises GraphFileError with one line for each fault.
+    `teams` and `machine_types` are those of the target cluster; None: unknown, so the checks that
+    need them are left out. Raises GraphFileError with one line for each problem.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -55,11 +55,11 @@
     try:
         file = msgspec.convert(raw, File)
     except msgspec.ValidationError as error:
-        raise GraphFileError([_describe(path, lines, error)]) from None
-    problems = model.problems(file.tasks, machine_types)
+        raise GraphFileError([_describe_mismatch(path, lines, error)]) from None
+    problems = model.find_problems(file.tasks, machine_types)
     if teams is not None:
         well_formed_tasks = [] if problems else file.tasks
-        problems += model.team_problems(file.graph.team, well_formed_tasks, Quota(list(teams)))
+        problems += model.find_team_problems(file.graph.team, well_formed_tasks, Quota(list(teams)))
     if problems:
         raise GraphFileError(
             [f"{_location(path, lines, problem.task)} {problem.text}" for problem in problems]
@@ -68,12 +68,12 @@
 
 
 def parts(graph_id: GraphId, file: File) -> list[Part]:
-    """Cut a graph into parts that each fit into one request."""
+    """Split a graph into parts that each fit into one request."""
     groups: list[list[Task]] = [[]]
     group_bytes = 0
     for task in file.tasks:
         task_bytes = len(wire.encode(task))
-        if groups[-1] and group_bytes + task_bytes > PART_TASKS_BYTES:
+        if groups[-1] and group_bytes + task_bytes > MAX_PART_TASKS_BYTES:
             groups.append([])
             group_bytes = 0
         groups[-1].append(task)
@@ -91,12 +91,12 @@
 
 
 def _is_json(path: Path) -> bool:
-    """Whether the file is JSON; any other is TOML."""
+    """Whether the file is JSON, by its suffix; all other files are TOML."""
     return path.suffix == ".json"
 
 
 def _decode(path: Path, text: str) -> object:
-    """Decode the text of a graph file; raise GraphFileError for broken syntax."""
+    """Decode the text of a graph file; raise GraphFileError for a syntax error."""
     try:
         return msgspec.json.decode(text) if _is_json(path) else tomllib.loads(text)
     except msgspec.DecodeError as error:
@@ -105,8 +105,8 @@
         raise GraphFileError([f"{path}: not TOML: {error}"]) from None
 
 
-def _describe(path: Path, lines: list[int], error: msgspec.ValidationError) -> str:
-    """The line for the user about a field that does not fit the schema."""
+def _describe_mismatch(path: Path, lines: list[int], error: msgspec.ValidationError) -> str:
+    """Return the line for the user about a field that does not match the schema."""
     message, _, field = str(error).partition(" - at `$")
     field = field.rstrip("`").lstrip(".")
     match = _TASK_PATH.search(field)
@@ -115,13 +115,19 @@
 
 
 def _task_lines(path: Path, text: str) -> list[int]:
-    """The line on which each task begins, found by the usual forms of writing one."""
+    """Return the line on which each task begins.
+
+    Found by pattern: `[[tasks]]` in TOML, a `"name":` key in JSON.
+    """
     pattern = _JSON_TASK if _is_json(path) else _TOML_TASK
     return [text.count("\n", 0, match.end()) + 1 for match in pattern.finditer(text)]
 
 
 def _location(path: Path, lines: list[int], task_number: int | None) -> str:
-    """FILE:LINE of a task, its number if the line is not known, or the file as a whole."""
+    """Return FILE:LINE: of a task.
+
+    If the line is unknown, the task's number stands for it; without a task, only FILE: is returned.
+    """
     if task_number is None:
         return f"{path}:"
     if task_number < len(lines):
--- a/umberward/graphs/graph_api.py
+++ b/umberward/graphs/graph_api.py
@@ -1,4 +1,4 @@
-"""The requests about graphs that users send to any controller: send, poll, list tasks, cancel."""
+"""HTTP API for graphs on any controller: submit, poll, list tasks, cancel."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 log = logger(__name__)
 
-OUTAGE_RETRY_AFTER_S = 2.0
-TASK_PAGE_BYTES = wire.MAX_BODY_BYTES - 1024  # of tasks in one answer
+OUTAGE_RETRY_AFTER_S = 2.0  # Retry-After while the state service is unavailable
+MAX_TASK_LIST_BYTES = wire.MAX_BODY_BYTES - 1024  # size of the tasks listed in one response
 
 
 class _Request(NamedTuple):
-    """The parts of a request that its handler may use; `name` is the graph in its path."""
+    """The parts of a request that handlers use; `name` is the graph's name in the path."""
 
     name: str
     query: str
@@ -37,7 +37,7 @@
 
 
 class _Route(NamedTuple):
-    """What selects a handler; `action` is what follows the graph's name in the path."""
+    """The key that selects a handler; `action` is the path after the graph's name."""
 
     method: str
     names_graph: bool
@@ -45,7 +45,7 @@
 
 
 class GraphApi:
-    """Serves the paths below /v1/graphs on one controller."""
+    """Serves the paths below /v1/graphs of one controller."""
 
     def __init__(
         self,
@@ -55,10 +55,11 @@
         wall: Callable[[], WallTime],
         rng: random.Random,
     ) -> None:
-        """Create an API without cached graphs.
+        """Create an API with empty caches.
 
-        `machine_types` is shared with its owner and empty until the controller knows the cluster.
-        `wall` is this controller's clock. `rng` spreads the retries of conflicting submissions.
+        `machine_types` is shared with its owner and empty until the controller has read the machine
+        types of the cluster. `wall` is this controller's wall clock. `rng` randomizes the delay
+        before a conflicting submission is retried.
         """
         self._store = store
         self._wall = wall
@@ -75,7 +76,7 @@
         }
 
     async def serve(self, method: str, path: str, query: str, body: bytes) -> Response:
-        """Serve one request; `path` is what follows /v1/graphs."""
+        """Serve one request; `path` is the part after /v1/graphs."""
         name, _, action = path.strip("/").partition("/")
         route = _Route(method, bool(name), action)
         handler = self._handlers.get(route)
@@ -107,18 +108,18 @@
         return await self.cancel(_parse_name(request.name))
 
     async def poll(self, graph_id: GraphId) -> Response:
-        """Answer with the graph's phase and its tasks' counts.
+        """Return a response with the graph's phase and the number of tasks in each state.
 
-        Raises GraphRejectedError (404), and what `StateClient` raises.
+        Raises GraphRejectedError (404) and the errors of `StateClient`.
         """
         stored = await self._reader.find(graph_id)
         return Response(200, wire.encode(await self._summarize(graph_id, stored)))
 
     async def tasks(self, graph_id: GraphId, start: int) -> Response:
-        """Answer with the tasks from position `start` in the graph's topological order.
+        """Return a response that lists the tasks from position `start` in topological order.
 
-        As many as fit into one body are listed, and at least one. Raises GraphRejectedError (404),
-        and what `StateClient` raises.
+        It lists as many tasks as fit into one body, and at least one. Raises GraphRejectedError
+        (404) and the errors of `StateClient`.
         """
         stored = await self._reader.find(graph_id)
         shape = await self._reader.shape(graph_id, stored.graph)
@@ -130,23 +131,23 @@
             task = f"{model.job_id(graph_id, kind)}/{index}"
             entry = {"name": shape.names[position], "task": task} | answers.answer(position)
             size_bytes += len(wire.encode(entry))
-            if listed and size_bytes > TASK_PAGE_BYTES:
+            if listed and size_bytes > MAX_TASK_LIST_BYTES:
                 break
             listed.append(entry)
         more = start + len(listed) < len(shape)
         return Response(200, wire.encode({"uid": graph_id, "tasks": listed, "more": more}))
 
     async def cancel(self, graph_id: GraphId) -> Response:
-        """Cancel a graph unless it has ended, and answer with its state.
+        """Cancel a graph unless it has ended, and return a response with its state.
 
-        Raises GraphRejectedError (404), and what `StateClient` raises for other than conflicts.
+        Raises GraphRejectedError (404) and the errors of `StateClient` except conflicts.
         """
         for _ in range(MAX_ATTEMPTS):
             entry = await self._store.get(records.live_key(graph_id))
             if entry is None:
                 if await self._cancel_incomplete(graph_id):
                     continue
-                return await self.poll(graph_id)  # it has ended, or there is none
+                return await self.poll(graph_id)  # it has ended or does not exist
             record = wire.convert(entry.data, GraphRecord)
             end = EndRecord(records.CANCELLED, record, round(self._wall(), 3))
             writes = [
@@ -157,16 +158,16 @@
             try:
                 await self._store.commit(conditions, writes, priority=transactions.URGENT)
             except (state_client.CompareAndSwapError, state_client.UnknownOutcomeError):
-                continue  # its last task may have been done meanwhile
+                continue  # the graph may have ended in the meantime
             log.info("graph_cancelled", graph=graph_id)
             return await self.poll(graph_id)
         return Response(503, retry_after=RETRY_AFTER_S)
 
     async def _cancel_incomplete(self, graph_id: GraphId) -> bool:
-        """Cancel a graph with parts still missing, so that later parts find it cancelled.
+        """Cancel a graph with missing parts; later parts are then answered with that phase.
 
-        Returns True if another writer may have changed it, so the caller must look again; False if
-        it was cancelled or nothing of it is stored.
+        Returns True if another writer may have changed it, so that the caller must read it again;
+        False if it was cancelled or nothing of it is stored.
         """
         entry = await self._store.get(records.open_key(graph_id))
         if entry is None:
@@ -179,8 +180,8 @@
             transactions.put(records.past_key(graph_id), end),
             transactions.delete(records.open_key(graph_id)),
         ]
-        # The note that the stored parts are to be deleted goes into the same transaction, unless
-        # the service's limit is too low.
+        # The note that marks the stored parts for deletion is part of the same transaction, unless
+        # the limit on writes per transaction is too low.
         note = transactions.put(records.stale_key(graph_id, entry.version), {})
         fits = len(writes) < self._max_transaction_writes
         if fits:
@@ -194,7 +195,7 @@
         return False
 
     async def _summarize(self, graph_id: GraphId, stored: StoredGraph) -> dict[str, Any]:
-        """Build the body of an answer to a poll."""
+        """Build the body of a poll response."""
         end = stored.end
         total = stored.graph.tasks
         body: dict[str, Any] = {"uid": graph_id, "tasks": total}
@@ -202,28 +203,28 @@
             return body | {"phase": end.phase} | _counts(end.done, end.failed, end.not_run)
         runs = [run for run, _ in stored.progress.runs.values()]
         failed = sum(len(failures) for failures in stored.progress.failed.values())
-        over = sum(run.done_below + int(run.done_bitmap, 16).bit_count() for run in runs)
+        finished = sum(run.done_below + int(run.done_bitmap, 16).bit_count() for run in runs)
         not_run = 0
         if failed:
-            # Tasks that need a failed one are stored as over now or later; count them at once.
+            # Tasks that need a failed one may not be stored as finished yet; they count already.
             answers = TaskAnswers(await self._reader.shape(graph_id, stored.graph), stored)
             not_run = len(answers.because)
-            over = answers.done + failed + not_run
-        counts = _counts(over - failed - not_run, failed, not_run)
+            finished = answers.done + failed + not_run
+        counts = _counts(finished - failed - not_run, failed, not_run)
         if end is not None:
-            return body | {"phase": end.phase} | counts | {"cancelled": total - over}
+            return body | {"phase": end.phase} | counts | {"cancelled": total - finished}
         started = any(run.placed_below for run in runs)
         phase = Phase.RUNNING if started else Phase.PENDING
         return body | {"phase": phase.value} | counts
 
 
 def _counts(done: int, failed: int, not_run: int) -> dict[str, Any]:
-    """The counts of tasks in an answer to a poll."""
+    """Return the task counts of a poll response."""
     return {"done": done, "failed": failed, Phase.NOT_RUN.value: not_run}
 
 
 def _parse_name(name: str) -> GraphId:
-    """Return the graph in a request's path; raise GraphRejectedError (404) for other text."""
+    """Return the graph id in a request's path; raise GraphRejectedError (404) if it is invalid."""
     graph_id = parse_graph_id(name)
     if graph_id is None:
         raise GraphRejectedError(404, "no such graph")
@@ -231,7 +232,7 @@
 
 
 def _parse_start(query: str) -> int:
-    """Return the first position to list, from `from=NUMBER` or 0 without a query."""
+    """Return the first position to list: NUMBER of `from=NUMBER`, or 0 without a query."""
     name, _, value = query.partition("=")
     if not query:
         return 0
--- a/umberward/graphs/graph_controller.py
+++ b/umberward/graphs/graph_controller.py
@@ -1,7 +1,7 @@
-"""The leader's task that keeps its graphs in step with the state service.
+"""Synchronizes the leader's graphs with the state service.
 
-It reads accepted graphs and passes them to the leader's message loop, stores the end of finished
-graphs, and removes submissions that were never completed. All functions run in the leader process.
+Reads accepted graphs and passes them to the leader's message loop, stores the end of finished
+graphs, and deletes submissions that were never completed. Runs in the leader process.
 """
 
 from __future__ import annotations
@@ -19,18 +19,23 @@
 from umberward.graphs.graph_state import GraphEnd, GraphState
 from umberward.graphs.model import GraphId
 from umberward.graphs.records import LIVE, GraphRecord, IncompleteGraphError
-from umberward.graphs.store import delete_stale, give_up_old, read_progress, read_tasks
+from umberward.graphs.store import (
+    abandon_old_submissions,
+    delete_abandoned_parts,
+    read_progress,
+    read_tasks,
+)
 from umberward.protocol import wire
 
 log = logger(__name__)
 
 WATCH_TIMEOUT_S = 2.0
-FIRST_LOAD_POLL_S = 0.05
-WATCH_RETRY_S = 0.3
-FINISH_INTERVAL_S = 0.2  # how often finished graphs are looked for
-CLEAN_INTERVAL_S = 30.0
+FIRST_LOAD_POLL_INTERVAL_S = 0.05
+WATCH_RETRY_DELAY_S = 0.3
+END_CHECK_INTERVAL_S = 0.2  # between two checks for finished graphs
+SUBMISSION_CLEANUP_INTERVAL_S = 30.0
 
-# The failures of a commit after which the step is tried again at its next turn.
+# Errors of a commit that is tried again in the next interval.
 COMMIT_ERRORS = (
     state_client.StateUnavailableError,
     state_client.UnknownOutcomeError,
@@ -54,33 +59,33 @@
 
 
 class GraphController:
-    """Follows the stored graphs for one term of leadership.
+    """Watches the stored graphs during one term of leadership.
 
-    The graph state is changed only by messages to the leader's loop, never by this controller's
-    own tasks.
+    The graph state is changed only by messages to the leader's loop, never by the tasks of this
+    controller.
     """
 
     def __init__(
         self,
         store: StateClient,
         graph_state: GraphState,
-        tell: Callable[[Any], Awaitable[Any]],
+        send_message: Callable[[Any], Awaitable[Any]],
         leadership_condition: Callable[[], tuple[Key, Version]],
         is_leader: Callable[[], bool],
     ) -> None:
         """Create a controller that has read nothing yet.
 
-        `tell` sends a message to the leader's loop, which passes it to `handle`.
-        `leadership_condition` returns the condition that fails once another process leads.
+        `send_message` sends a message to the leader's loop, which passes it to `handle`.
+        `leadership_condition` returns a commit condition that fails once another process leads.
         """
         self.store = store
         self.graph_state = graph_state
-        self.tell = tell
+        self.send_message = send_message
         self.leadership_condition = leadership_condition
         self.is_leader = is_leader
-        # Graphs that the graph state has, or whose GraphPut is in the loop's queue.
+        # Graphs in the graph state, or with a GraphPut in the loop's queue.
         self.known_graphs: set[GraphId] = set()
-        # All changes up to this revision were sent to the loop; None: a full load is due.
+        # All changes up to this revision were sent to the loop; None: all graphs must be loaded.
         self.watched_revision: Revision | None = None
 
     def handle(self, message: object) -> bool:
@@ -96,43 +101,42 @@
     async def load(self) -> None:
         """Read all accepted graphs and send them to the loop.
 
-        This must be done before the leader's job states count as complete: workers are told to
-        stop tasks of a graph that the leader does not know.
+        This must be done before the leader's job states count as complete: workers are ordered to
+        stop the tasks of a graph that the leader does not know.
         """
         self.watched_revision = None
         entries, revision = await self.store.list_all(LIVE)
         listed = set()
         for entry in entries:
             listed.add(_graph_id(entry.key))
-            await self._add_graph(entry.key, entry.data, entry.version)
+            await self._send_graph(entry.key, entry.data, entry.version)
         for graph_id in self.known_graphs - listed:
-            await self._remove_graph(graph_id)
+            await self._send_removal(graph_id)
         self.watched_revision = revision
 
     async def watch(self) -> None:
-        """Follow what controllers accept and cancel, from the end of the first `load`; runs
-        until cancelled.
+        """Watch for graphs that controllers accept or cancel; runs until cancelled.
 
-        No other task may read meanwhile: a graph that was read before its cancellation, and sent
-        to the loop after it, would start once more.
+        Starts once the first `load` has ended. No other task may read graphs at the same time: a
+        graph that was read before its cancellation and sent to the loop after it would start again.
         """
         while self.watched_revision is None:
-            await curio.sleep(FIRST_LOAD_POLL_S)
+            await curio.sleep(FIRST_LOAD_POLL_INTERVAL_S)
         while True:
             try:
-                await self.follow()
+                await self.apply_next_changes()
             except state_client.RevisionCompactedError:
                 self.watched_revision = None
             except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
                 log.debug("graphs_not_read", error=error)
-                # Some of the changes may have been sent and others not: all are read again.
+                # It is unknown which changes were sent, so all graphs are read again.
                 self.watched_revision = None
-                await curio.sleep(WATCH_RETRY_S)
+                await curio.sleep(WATCH_RETRY_DELAY_S)
 
-    async def follow(self) -> None:
-        """Wait for the next changes and send them to the loop; load all graphs if that is due.
+    async def apply_next_changes(self) -> None:
+        """Wait for the next changes and send them to the loop, or load all graphs if necessary.
 
-        Raises what `StateClient.watch` and `StateClient.list_all` raise.
+        Raises the errors of `StateClient.watch` and `StateClient.list_all`.
         """
         if self.watched_revision is None:
             await self.load()
@@ -140,20 +144,20 @@
         changes, revision = await self.store.watch(LIVE, self.watched_revision, WATCH_TIMEOUT_S)
         for change in changes:
             if change.deleted_key is not None:
-                await self._remove_graph(_graph_id(change.deleted_key))
+                await self._send_removal(_graph_id(change.deleted_key))
             elif change.put_key is not None:
-                await self._add_graph(change.put_key, change.data, change.version)
+                await self._send_graph(change.put_key, change.data, change.version)
         self.watched_revision = revision
 
-    async def _remove_graph(self, graph_id: GraphId) -> None:
-        """Send the loop the message that the graph's live record was deleted."""
+    async def _send_removal(self, graph_id: GraphId) -> None:
+        """Send the loop a message that the graph's live record was deleted."""
         self.known_graphs.discard(graph_id)
-        await self.tell(GraphGone(graph_id))
+        await self.send_message(GraphGone(graph_id))
 
-    async def _add_graph(self, key: str, data: object, version: int) -> None:
-        """Read the rest of a graph and send it to the loop, unless the graph is known already.
+    async def _send_graph(self, key: str, data: object, version: int) -> None:
+        """Read the rest of a graph and send it to the loop, unless the graph is already known.
 
-        A malformed graph is logged and left out: it must not stop the others.
+        A malformed graph is logged and skipped, so that it does not block other graphs.
         """
         graph_id = _graph_id(key)
         if graph_id in self.known_graphs:
@@ -163,46 +167,46 @@
             tasks = await read_tasks(self.store, graph_id, record)
             progress = await read_progress(self.store, graph_id)
         except (wire.MalformedMessageError, IncompleteGraphError, ValueError) as error:
-            # The cause is in the stored data, so a traceback would tell nothing.
+            # The cause is in the stored data, so a traceback would not help.
             log.error("graph_malformed", graph=graph_id, error=error)  # noqa: TRY400
             return
         self.known_graphs.add(graph_id)
-        await self.tell(GraphPut((graph_id, record, Version(version), tasks, progress)))
+        await self.send_message(GraphPut((graph_id, record, Version(version), tasks, progress)))
 
     async def finish(self) -> None:
         """Store the end of every finished graph; runs until cancelled."""
         while True:
-            await curio.sleep(FINISH_INTERVAL_S)
+            await curio.sleep(END_CHECK_INTERVAL_S)
             for end in self.graph_state.finished():
                 if not self.is_leader():
                     break
                 await self._store_end(end)
 
     async def _store_end(self, end: GraphEnd) -> None:
-        """Store the end of one graph under the condition that this process still leads."""
+        """Store the end of one graph, on the condition that this process still leads."""
         try:
             conditions = [self.leadership_condition(), *end.conditions]
             await self.store.commit(conditions, end.writes)
         except COMMIT_ERRORS as error:
-            # If the commit did take effect, the deletion of the live record is seen by `watch`.
-            log.debug("graph_not_ended", graph=end.id, error=error)
+            # If the commit took effect after all, `watch` sees the deletion of the live record.
+            log.debug("graph_end_not_stored", graph=end.id, error=error)
             return
         log.info("graph_ended", graph=end.id)
-        await self._remove_graph(end.id)
+        await self._send_removal(end.id)
 
     async def clean(self) -> None:
-        """Remove submissions that never became a graph; runs until cancelled."""
+        """Delete submissions that never became a graph; runs until cancelled."""
         while True:
-            await curio.sleep(CLEAN_INTERVAL_S)
+            await curio.sleep(SUBMISSION_CLEANUP_INTERVAL_S)
             if not self.is_leader():
                 continue
             try:
-                await give_up_old(self.store, time.time())
-                await delete_stale(self.store)
+                await abandon_old_submissions(self.store, time.time())
+                await delete_abandoned_parts(self.store)
             except COMMIT_ERRORS as error:
                 log.debug("graphs_not_cleaned", error=error)
 
 
 def _graph_id(live_key: str) -> GraphId:
-    """The graph that a key below `graphs/live/` belongs to."""
+    """Return the graph id in a key below `graphs/live/`."""
     return GraphId(live_key[len(LIVE) :])
--- a/umberward/graphs/graph_job.py
+++ b/umberward/graphs/graph_job.py
@@ -1,9 +1,9 @@
-"""The scheduler's array for one kind of a graph's tasks, in the leader process. No I/O.
+"""The array job for the tasks of one kind of a graph, in the leader process. No I/O.
 
-Its tasks may start one by one, each as soon as the tasks that it needs are done. Placement,
-quotas, priorities, drains and progress records are those of any array. A task is *over* when it is
-done, has failed for good, or will not run; that is its one final answer, and it stands once the
-array's record is committed.
+Each task may start as soon as the tasks that it needs are done. Placement, quotas, priorities,
+drains and progress records are those of any array. A task is *finished* when it is done, has
+failed permanently, or will not run; this one final state no longer changes once the array's record
+is committed.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from umberward.core.log import logger
 from umberward.core.types import Instant, Key, MachineId, Version
 from umberward.graphs import records
-from umberward.graphs.failure_pages import list_machines, paginate
+from umberward.graphs.failure_pages import limit_machine_names, paginate
 from umberward.graphs.model import GraphId, Options, Shape
 from umberward.graphs.records import Failure, GraphRecord, PageRecord, RunRecord
 from umberward.protocol import transactions, wire
@@ -27,18 +27,20 @@
 from umberward.scheduling.jobs import Job
 from umberward.scheduling.machines import Machine
 
-# Split from `live`; the logger name is part of the log lines, which stay as they were.
+# The name of the module that this code was split from: log lines keep their logger name.
 log = logger("umberward.graphs.live")
 
-MAX_AVOIDED_MACHINES = 16  # machines that failed a task that waits for its next attempt
-# The last failure may be its machine's fault as long as that machine has run nothing well since.
-# So many times the task is then tried elsewhere once more, which decides sooner than any wait.
+# A bound on the machines that are avoided because they failed a task that awaits its retry.
+MAX_AVOIDED_MACHINES = 16
+# Maximum number of attempts that are granted beyond a task's retries. The machine of the last
+# failure may be at fault as long as no task has succeeded on it since; one more attempt on another
+# machine decides that sooner than waiting would.
 EXTRA_ATTEMPTS = 1
-FAILURE_CAUSE = "error"  # all that a worker reports of a failed task
+FAILURE_CAUSE = "error"  # workers report no details of a failure
 
 
 class TaskGraph(Protocol):
-    """The graph that an array belongs to, as the array uses it."""
+    """The interface of a graph that its arrays use."""
 
     id: GraphId
     record: GraphRecord
@@ -47,23 +49,23 @@
     shape: Shape
 
     def is_ready(self, kind: int, index: int) -> bool:
-        """Whether all that the task needs is done."""
+        """Whether all tasks that this one needs are done."""
 
     def was_started(self, kind: int, index: int) -> None:
-        """Infer from a started task that all that it needs was done."""
+        """Infer from a started task that all tasks that it needs are done."""
 
     def task_done(self, kind: int, index: int) -> None:
-        """Start what needs only this task."""
+        """Queue the tasks that needed only this task."""
 
     def task_failed(self, job: DagJob, index: int) -> None:
-        """Give up what needs this task, which has failed for good."""
+        """Mark the tasks that need this permanently failed task as never to run."""
 
     def retry_task(self, job: DagJob, index: int) -> None:
-        """Have the task placed once more."""
+        """Queue the task for another attempt."""
 
 
 class FailedAttempt:
-    """One failure of one task at `at`, on the leader's clock."""
+    """A failed attempt of a task; `at` is on the leader's clock."""
 
     __slots__ = ("at", "excused", "granted", "machine")
 
@@ -71,29 +73,29 @@
         """Create a failure that counts against its task."""
         self.machine = machine
         self.at = at
-        self.excused = False  # its machine turned out to be at fault
-        self.granted = False  # not counted, as its machine has run nothing well since
+        self.excused = False  # not counted: the machine is quarantined
+        self.granted = False  # not counted: no task has succeeded on the machine since
 
     def counts(self) -> bool:
         """Whether the failure uses up one of the task's retries."""
         return not (self.excused or self.granted)
 
     def is_settled(self, machines: Mapping[MachineId, Machine], now: Instant) -> bool:
-        """Whether nothing can be learned any more about who was at fault."""
+        """Whether no later event can show that the machine was at fault."""
         return (
             not self.counts()
-            or self.machine_cleared(machines)
+            or self.machine_succeeded_since(machines)
             or now - self.at > QUARANTINE_DECISION_S
         )
 
-    def machine_cleared(self, machines: Mapping[MachineId, Machine]) -> bool:
-        """Whether the machine has run a task well since this failure."""
+    def machine_succeeded_since(self, machines: Mapping[MachineId, Machine]) -> bool:
+        """Whether a task has succeeded on the machine since this failure."""
         machine = machines.get(self.machine)
         return machine is not None and machine.succeeded_at > self.at
 
 
 class DagJob(Job):
-    """The array of one kind of a graph's tasks."""
+    """The array job for the tasks of one kind of a graph."""
 
     attributes_failures_per_task = True
 
@@ -108,48 +110,48 @@
     ) -> None:
         """Create the array from its stored progress.
 
-        `version` is that of the array's record, 0 if there is none; `failures` are those of its
-        page records; `value_limit` is the largest value of the state service, in bytes.
+        `version` is that of the array's record, 0 if there is none; `failures` are those in its
+        page records; `value_limit` is the maximum size of a value in the state service, in bytes.
         """
         spec = graph.shape.spec(graph.id, graph.options, kind)
         record = JobRecord(spec, graph.record.at, run.placed_below, run.done_below, run.done_bitmap)
         super().__init__(record, version, value_limit)
-        # Tasks are queued when they become ready, never in the order of their indices.
+        # Tasks are queued when they become ready, not in the order of their indices.
         self.next_fresh_task = self.size
         self.graph = graph
         self.kind = kind
         self.max_retries = graph.shape.kinds[kind].max_retries
         self.conditions = ((records.live_key(graph.id), graph.version),)
         self.failed_attempts: dict[int, list[FailedAttempt]] = {}
-        # Failed tasks that are ready to be tried again, in order of failure.
+        # Failed tasks that may be retried, in order of failure.
         self.retries: dict[int, None] = {}
-        # Tasks with no retry left, unless a machine turns out to be at fault.
+        # Tasks without retries left; they get more if a machine proves to be at fault.
         self.undecided_tasks: set[int] = set()
         self.failures = list(failures)
         self.failure_pages = paginate(failures, value_limit)
         self.sent_failure_count = self.stored_failure_count = len(failures)
         self.page_limit_bytes = value_limit
 
-    # ---- which tasks may start -----------------------------------------------------------
+    # ---- queue of startable tasks --------------------------------------------------------
 
     def task_ready(self, index: int) -> None:
-        """Queue a task, as all that it needs is done."""
-        # A former leader may have started it, so it waits until all machines are known. If it was
-        # found running, that alone may have implied that what it needs is done.
+        """Queue a task of which all needs are done."""
+        # A former leader may have started the task, so it is not queued while it is unlocated. A
+        # task that was found running, from which its needs were inferred as done, has a placement.
         if index not in self.unlocated_tasks and index not in self.placements:
             self.put_back(index)
 
     def put_back(self, index: int) -> None:
-        """Queue a task again if it is ready and no failure of it is undecided."""
+        """Queue a task again if it is ready and is not an undecided task."""
         if index not in self.undecided_tasks and self.graph.is_ready(self.kind, index):
             super().put_back(index)
 
     def count_lost_tasks(self) -> int:
-        """Return 0: tasks that are not ready are in none of the places that `Job` counts."""
+        """Return 0: `Job` would count the tasks that are not ready as lost."""
         return 0
 
     def startable_count(self) -> int:
-        """Return how many queued tasks lie within the window of the done bitmap."""
+        """Return the number of queued tasks within the window of the done bitmap."""
         return bisect.bisect_left(self.requeued_tasks, self.done_below + self.window)
 
     def take_task(self) -> int:
@@ -162,33 +164,33 @@
 
     @property
     def avoided_machines(self) -> set[MachineId]:
-        """Machines that failed tasks which now wait for a retry, a bounded number of them."""
+        """Machines on which tasks that now await a retry have failed; their number is bounded."""
         machines: set[MachineId] = set()
         for index in self.retries:
-            machines.update(self._failed_on(index))
+            machines.update(self._failure_machines(index))
             if len(machines) >= MAX_AVOIDED_MACHINES:
                 break
         return machines
 
     def locate_task(self, index: int) -> None:
-        """Note where a task runs that a former leader has started."""
+        """Record the location of a task that a former leader started."""
         super().locate_task(index)
         self.graph.was_started(self.kind, index)
 
-    # ---- which tasks are over ------------------------------------------------------------
+    # ---- finished tasks ------------------------------------------------------------------
 
     def mark_done(self, index: int) -> bool:
-        """Note that a task has ended well; return False if that is known or it does not exist."""
+        """Mark a task as done; return False if it is already finished or does not exist."""
         if index >= self.size or self.is_done(index):
             return False
-        # It was started, so all that it needs was done, whatever was stored of it.
+        # It was started, so all tasks that it needs are done, even if that was not stored.
         self.graph.was_started(self.kind, index)
-        self.mark_over(index)
+        self.mark_finished(index)
         self.graph.task_done(self.kind, index)
         return True
 
-    def mark_over(self, index: int) -> None:
-        """Give the task its final answer."""
+    def mark_finished(self, index: int) -> None:
+        """Mark a task as finished: done, failed permanently, or never to run."""
         super().mark_done(index)
         self.failed_attempts.pop(index, None)
         self.retries.pop(index, None)
@@ -197,7 +199,7 @@
     # ---- failures ------------------------------------------------------------------------
 
     def task_failed(self, index: int, machine: MachineId, now: Instant) -> None:
-        """Note a failure; the task is retried while it has retries left."""
+        """Record a failed attempt; the task is retried while it has retries left."""
         if self.is_done(index):
             return
         self.failed_attempts.setdefault(index, []).append(FailedAttempt(machine, now))
@@ -209,103 +211,109 @@
             self.retries[index] = None
 
     def failure_excused(self, index: int) -> bool:
-        """Whether the task's failures say nothing about the machines that it failed on."""
-        fails_everywhere = len(set(self._failed_on(index))) >= FAULTY_JOB_AFTER_MACHINES
+        """Whether the task's failures do not count against the machines on which it failed."""
+        fails_everywhere = len(set(self._failure_machines(index))) >= FAULTY_JOB_AFTER_MACHINES
         never_succeeded = (
             not self.ran_well and len(self.failed_machines) >= FAULTY_JOB_AFTER_MACHINES
         )
         return fails_everywhere or never_succeeded
 
     def judge_failures(self, machines: Mapping[MachineId, Machine], now: Instant) -> bool:
-        """Decide what can be decided of the tasks that failed; False: none is left."""
+        """Retry or fail the undecided tasks that can be decided now.
+
+        Returns False if no failed attempts are left to consider.
+        """
         self._excuse_failures(machines)
         for index in sorted(self.undecided_tasks):
             if self._used(index) <= self.max_retries:
-                # A machine is to blame, which uses up no retry.
+                # A machine was at fault, which uses up no retry.
                 self._retry(index)
             elif not self._grant_attempt(index, machines) and self._is_settled(
                 index, machines, now
             ):
-                self._fail(index)
+                self._fail_permanently(index)
         return bool(self.failed_attempts)
 
     def _excuse_failures(self, machines: Mapping[MachineId, Machine]) -> None:
-        """Excuse exactly the failures on machines that are quarantined now."""
+        """Excuse exactly the failures on machines that are currently quarantined."""
         for index in sorted(self.failed_attempts):
             for attempt in self.failed_attempts[index]:
                 machine = machines.get(attempt.machine)
                 if machine is not None:
                     attempt.excused = machine.quarantined
 
-    def _failed_on(self, index: int) -> list[MachineId]:
-        """The machines of the task's failed attempts, in order, with repetitions."""
+    def _failure_machines(self, index: int) -> list[MachineId]:
+        """Return the machines of the task's failed attempts, in order, with repetitions."""
         return [attempt.machine for attempt in self.failed_attempts.get(index, ())]
 
     def _used(self, index: int) -> int:
-        """How many of the task's failures count against it."""
+        """Return how many of the task's failures count against its retries."""
         return sum(1 for attempt in self.failed_attempts[index] if attempt.counts())
 
     def _retry(self, index: int) -> None:
-        """Have an undecided task tried again."""
+        """Queue an undecided task for another attempt."""
         self.undecided_tasks.discard(index)
         self.retries[index] = None
         self.graph.retry_task(self, index)
 
     def _grant_attempt(self, index: int, machines: Mapping[MachineId, Machine]) -> bool:
-        """Grant one more attempt for the last failure that may be its machine's fault.
+        """Grant one more attempt for the latest failure that may be the machine's fault.
 
-        Returns False if there is no such failure or the task has had its extra attempts.
+        Returns False if there is no such failure or the task has used its extra attempts.
         """
         attempts = self.failed_attempts[index]
         if sum(attempt.granted for attempt in attempts) >= EXTRA_ATTEMPTS:
             return False
         for attempt in reversed(attempts):
-            if attempt.counts() and not attempt.machine_cleared(machines):
+            if attempt.counts() and not attempt.machine_succeeded_since(machines):
                 attempt.granted = True
                 self._retry(index)
                 return True
         return False
 
     def _is_settled(self, index: int, machines: Mapping[MachineId, Machine], now: Instant) -> bool:
-        """Whether there is nothing more to wait for before the task is given up."""
+        """Whether all failures are settled, so that the task can be failed permanently."""
         return all(attempt.is_settled(machines, now) for attempt in self.failed_attempts[index])
 
-    def _fail(self, index: int) -> None:
-        """Give the task up, unless that must wait until an earlier page is stored."""
-        names = list_machines(
+    def _fail_permanently(self, index: int) -> None:
+        """Fail the task permanently, unless an earlier failure page must be stored first."""
+        names = limit_machine_names(
             attempt.machine for attempt in self.failed_attempts[index] if not attempt.excused
         )
         failure = Failure(index, FAILURE_CAUSE, names)
         pages = paginate([*self.failures, failure], self.page_limit_bytes)
         starts_page = len(pages) > len(self.failure_pages)
         if starts_page and self.stored_failure_count < len(self.failures):
-            return  # one page is written at a time; the next judgement tries this again
-        log.info("task_failed_for_good", task=f"{self.id}/{index}", machines=",".join(names))
+            return  # one page is written at a time; the next `judge_failures` tries again
+        log.info("task_failed_permanently", task=f"{self.id}/{index}", machines=",".join(names))
         self.failures.append(failure)
         self.failure_pages = pages
-        self.mark_over(index)
+        self.mark_finished(index)
         self.graph.task_failed(self, index)
 
-    # ---- what is stored ------------------------------------------------------------------
+    # ---- stored progress -----------------------------------------------------------------
 
     @property
     def record_key(self) -> Key:
-        """The key of the array's record."""
+        """The key of the array's progress record."""
         return records.run_key(self.graph.id, self.kind)
 
     @property
     def progress_unstored(self) -> bool:
-        """Whether the array's record or its failures lag behind."""
+        """Whether the stored progress or the stored failures are out of date."""
         progress = (self.done_below, self.done_bitmap)
         return self.stored_progress != progress or self.stored_failure_count < len(self.failures)
 
     @property
     def end_unwritten(self) -> bool:
-        """Whether all tasks are over and that is not stored yet."""
+        """Whether all tasks are finished and that is not stored yet."""
         return self.complete and self.progress_unstored
 
     def build_record(self, marked: int) -> RunRecord | None:
-        """Return the record to store, with tasks below `marked` as placed; None: it is too wide."""
+        """Return the record to store, with tasks below `marked` as placed.
+
+        Returns None if the done bitmap is too wide.
+        """
         bits = self.encode_done_bitmap()
         if bits is None:
             return None
@@ -316,7 +324,7 @@
         return wire.convert(data, RunRecord)
 
     def companion_writes(self) -> list[dict[str, Any]]:
-        """Return the write of the last failure page, if it has failures that are not stored."""
+        """Return the write of the last failure page if it contains unstored failures."""
         self.sent_failure_count = len(self.failures)
         if self.stored_failure_count == len(self.failures):
             return []
@@ -324,6 +332,6 @@
         return [transactions.put(key, PageRecord(self.failure_pages[-1]))]
 
     def record_stored(self, record: RunRecord, stamp: Version, now: float) -> None:
-        """Note that `record` and the failures sent with it are committed as version `stamp`."""
+        """Record that `record` and the failures sent with it were committed as version `stamp`."""
         super().record_stored(record, stamp, now)
         self.stored_failure_count = self.sent_failure_count
--- a/umberward/graphs/graph_reader.py
+++ b/umberward/graphs/graph_reader.py
@@ -1,4 +1,4 @@
-"""Reads graphs for a controller's answers, and caches what can no longer change."""
+"""Reads graphs for a controller's responses and caches immutable data."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from umberward.graphs.store import read_progress, read_tasks
 from umberward.protocol import wire
 
-# Split from `graph_api`; the logger name is part of the log lines, which stay as they were.
+# The name of the module that this code was split from: log lines keep their logger name.
 log = logger("umberward.graphs.graph_api")
 
 MAX_CACHED_SHAPES = 8
@@ -23,7 +23,7 @@
 
 
 class StoredGraph(NamedTuple):
-    """A graph as it stands in the state service; `end` is None while it is live."""
+    """The stored state of a graph; `end` is None while it is live."""
 
     graph: GraphRecord
     end: EndRecord | None
@@ -31,7 +31,7 @@
 
 
 class _CachedShape(NamedTuple):
-    """A shape, with the digests of the content that it was built from."""
+    """A shape and the digests of the content that it was built from."""
 
     digests: list[str]
     shape: Shape
@@ -40,7 +40,7 @@
 class GraphReader:
     """Reads graphs from the state service.
 
-    All methods raise what `StateClient` raises when the service does not answer.
+    All methods raise the errors of `StateClient` if the service is unavailable.
     """
 
     def __init__(self, store: StateClient) -> None:
@@ -49,10 +49,10 @@
         self._shapes: OrderedDict[GraphId, _CachedShape] = OrderedDict()
         self._ended_graphs: OrderedDict[GraphId, StoredGraph] = OrderedDict()
 
-    async def record(self, graph_id: GraphId) -> GraphRecord | EndRecord | None:
-        """Return the graph's live or past record; None: no such graph was accepted.
+    async def read_record(self, graph_id: GraphId) -> GraphRecord | EndRecord | None:
+        """Return the graph's live or past record, or None if no such graph was accepted.
 
-        One transaction moves a graph from live to past, so the live key is read first.
+        One transaction moves a graph from live to past, so the live key must be read first.
         """
         if graph_id in self._ended_graphs:
             return self._ended_graphs[graph_id].end
@@ -65,18 +65,18 @@
         return None
 
     async def find(self, graph_id: GraphId) -> StoredGraph:
-        """Return the graph with its progress; raise GraphRejectedError (404) if there is none."""
+        """Return the graph with its progress; raise GraphRejectedError (404) if it is unknown."""
         if graph_id in self._ended_graphs:
             return self._ended_graphs[graph_id]
-        # Progress is read first: while the live record stands, progress read before it is recent
-        # enough, and once the live record is gone the progress no longer changes.
+        # Progress is read first: if the live record still exists after that, the progress is recent
+        # enough; once the live record is deleted, the progress no longer changes.
         progress = await read_progress(self.store, graph_id)
-        record = await self.record(graph_id)
+        record = await self.read_record(graph_id)
         if record is None:
             raise GraphRejectedError(404, "no such graph")
         if isinstance(record, GraphRecord):
             return StoredGraph(record, None, progress)
-        # The last progress may have been stored after the read above.
+        # The final progress may have been stored after the read above.
         progress = await read_progress(self.store, graph_id)
         ended_graph = StoredGraph(record.graph, record, progress)
         self._ended_graphs[graph_id] = ended_graph
@@ -87,7 +87,7 @@
     async def shape(self, graph_id: GraphId, record: GraphRecord) -> Shape:
         """Return the shape of an accepted graph.
 
-        Raises StateUnavailableError, so that the user asks again, if its content is malformed.
+        Raises StateUnavailableError, so that the user retries, if its stored content is malformed.
         """
         cached = self._shapes.get(graph_id)
         if cached is not None and cached.digests == record.digests:
@@ -95,7 +95,7 @@
         try:
             shape = Shape(await read_tasks(self.store, graph_id, record))
         except (IncompleteGraphError, ValueError, wire.MalformedMessageError) as error:
-            # The cause is in the stored data, so a traceback would tell nothing.
+            # The cause is in the stored data, so a traceback would not help.
             log.error("graph_malformed", graph=graph_id, error=error)  # noqa: TRY400
             raise state_client.StateUnavailableError(str(error)) from None
         self._shapes[graph_id] = _CachedShape(record.digests, shape)
--- a/umberward/graphs/graph_state.py
+++ b/umberward/graphs/graph_state.py
@@ -1,4 +1,4 @@
-"""All unfinished graphs of the leader, beside the scheduler that runs their tasks. No I/O."""
+"""The leader's unfinished graphs and their connection to the scheduler. No I/O."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 log = logger(__name__)
 
-NO_GRACE_S = 0.0  # a withdrawn task is over, so it has no checkpoint to save
+NO_GRACE_S = 0.0  # a finished task needs no time to save a checkpoint
 
 
 class GraphEnd(NamedTuple):
-    """The transaction that stores the end of graph `id`."""
+    """The transaction that stores the end of the graph `id`."""
 
     id: GraphId
     conditions: list[tuple[Key, Version]]
@@ -28,10 +28,10 @@
 
 
 class GraphState:
-    """The leader's unfinished graphs, each with its arrays admitted to the scheduler."""
+    """The leader's unfinished graphs, whose arrays are admitted to the scheduler."""
 
     def __init__(self, scheduler: Scheduler) -> None:
-        """Create a state without graphs; `scheduler` runs the tasks of those added later."""
+        """Create a state without graphs; `scheduler` runs the tasks of graphs that are added."""
         self.scheduler = scheduler
         self.graphs: dict[GraphId, LiveGraph] = {}
 
@@ -43,10 +43,10 @@
         tasks: list[Task],
         progress: records.Progress,
     ) -> None:
-        """Admit an accepted graph to the scheduler; does nothing if the graph is known.
+        """Admit an accepted graph to the scheduler; do nothing if the graph is already known.
 
-        `version` is that of the graph's live record, `progress` what is stored of its arrays.
-        Raises ValueError for tasks that form no graph.
+        `version` is that of the graph's live record, `progress` the stored progress of its arrays.
+        Raises ValueError if the tasks form no valid graph.
         """
         if graph_id in self.graphs:
             return
@@ -58,56 +58,58 @@
             SchedulerCallbacks(
                 request_pass=self._request_pass,
                 progress_changed=self.scheduler.writer.note_completions,
-                withdraw=self._withdraw,
+                stop_task=self._stop_task,
             ),
         )
         self.graphs[graph_id] = graph
         self._admit_jobs(graph)
-        log.info("graph_taken", graph=graph_id, tasks=len(graph.shape), arrays=len(graph.jobs))
+        log.info("graph_admitted", graph=graph_id, tasks=len(graph.shape), arrays=len(graph.jobs))
 
     def _admit_jobs(self, graph: LiveGraph) -> None:
-        """Pass the graph's arrays to the scheduler."""
+        """Admit the graph's arrays to the scheduler."""
         for job in graph.jobs:
             self.scheduler.admit_job(job)
             if job.progress_unstored:
                 self.scheduler.writer.note_completions(job)
         if self.scheduler.reconciliation_completed:
-            # No machine is left on which a task started by a former leader could be found.
+            # It is known what each machine runs, so no task of a former leader is left to be found.
             for job in graph.jobs:
                 job.requeue_unlocated()
 
     def remove(self, graph_id: GraphId) -> None:
-        """Forget a graph with a deleted live record: it has ended or a controller cancelled it."""
+        """Remove a graph whose live record was deleted: it ended or a controller cancelled it."""
         graph = self.graphs.pop(graph_id, None)
         if graph is not None:
             for job in graph.jobs:
                 self.scheduler.remove_job(job.id)
 
     def finished(self) -> list[GraphEnd]:
-        """Return the transactions that store the end of each finished graph."""
-        return [self._end_of(graph) for graph in self.graphs.values() if graph.ended]
+        """Return one transaction for each finished graph that stores its end."""
+        return [self._end_of(graph) for graph in self.graphs.values() if graph.ready_to_end]
 
     def _end_of(self, graph: LiveGraph) -> GraphEnd:
         """Build the transaction that moves a graph from its live to its past record.
 
-        Its condition is the live record's version: a cancellation in between must win.
+        The condition is the version of the live record, so that a concurrent cancellation wins.
         """
         live_key = records.live_key(graph.id)
         writes = [
-            transactions.put(records.past_key(graph.id), graph.end(self.scheduler.wall_clock())),
+            transactions.put(
+                records.past_key(graph.id), graph.build_end_record(self.scheduler.wall_clock())
+            ),
             transactions.delete(live_key),
         ]
-        # What the end record counts must agree with the arrays' records; `LiveGraph.ended` waits
-        # until these are stored.
+        # The counts in the end record must agree with the arrays' records, so
+        # `LiveGraph.ready_to_end` is false until these are stored.
         return GraphEnd(graph.id, [(live_key, graph.version)], writes)
 
     def _request_pass(self, job: Job) -> None:
-        """Have the scheduler place this array's startable tasks in its next pass."""
+        """Request that the next scheduling pass places this array's startable tasks."""
         self.scheduler.jobs_to_place[job.id] = job
         self.scheduler.pass_wanted = True
 
-    def _withdraw(self, job: Job, index: int) -> None:
-        """Stop a task that is over, if it has a placement."""
+    def _stop_task(self, job: Job, index: int) -> None:
+        """Stop a finished task if it still has a placement."""
         placement = job.placements.get(index)
         if placement is not None:
             self.scheduler.stop(placement, NO_GRACE_S)
--- a/umberward/graphs/graph_submission.py
+++ b/umberward/graphs/graph_submission.py
@@ -1,10 +1,10 @@
 """Accepts graphs that users send to a controller.
 
-A graph that fits into one value is accepted by one transaction. A larger one comes in parts: an
-opening record, the pieces of each part and a head for it, and at the end one transaction that puts
-the live record and deletes the opening record. Before that nothing counts; afterwards any leader
-runs the graph to its end. Two clients that send the same graph at once take the same steps, and
-either may stop at any point.
+A graph that fits into one value is accepted by one transaction. A larger one is sent in parts. An
+opening record is stored first, then the pieces and the head of each part; one last transaction puts
+the live record and deletes the opening record. Only that transaction accepts the graph; afterwards
+any leader runs it to its end. Two clients that send the same graph concurrently write the same
+data, and either may stop at any point.
 """
 
 from __future__ import annotations
@@ -32,30 +32,30 @@
     OpenRecord,
     PartRecord,
 )
-from umberward.graphs.store import delete_parts, give_up, read_parts
+from umberward.graphs.store import abandon_submission, delete_parts, read_parts
 from umberward.graphs.task_answers import Phase
 from umberward.protocol import transactions, wire
 from umberward.protocol.http import Response
 from umberward.protocol.wire import MachineType
 from umberward.scheduling.quota import Quota
 
-# Split from `graph_api`; the logger name is part of the log lines, which stay as they were.
+# The name of the module that this code was split from: log lines keep their logger name.
 log = logger("umberward.graphs.graph_api")
 
 RETRY_AFTER_S = 1.0
-MAX_ATTEMPTS = 6  # of a step that other writers may interfere with
-MAX_CONFLICT_PAUSE_S = 0.05
-WRITE_PATIENCE_S = 1.5  # longest wait for this controller's turn under the write limits
-RECORD_RESERVE_BYTES = 256  # an end record holds the graph's record and some fields more
-PIECE_TRANSACTION_BYTES = 40_000  # of pieces in one transaction
+MAX_ATTEMPTS = 6  # of an operation that may conflict with other writers
+MAX_CONFLICT_DELAY_S = 0.05
+MAX_WRITE_WAIT_S = 1.5  # maximum wait of a commit for this controller's write budget
+RECORD_RESERVE_BYTES = 256  # for the fields that an end record adds to the graph's record
+PIECE_TRANSACTION_BYTES = 40_000  # size of the pieces in one transaction
 
-NO_SUCH_KEY = Version(0)  # as a condition: the key must not exist
+NO_SUCH_KEY = Version(0)  # in a commit condition: the key must not exist
 
 _decode_part = wire.decoder(Part)
 
 
 class _Submission(NamedTuple):
-    """One received part of a graph; `data` is its packed tasks, `digest` identifies its content."""
+    """One received part; `data` is its encoded tasks, `digest` identifies the content."""
 
     graph_id: GraphId
     part: Part
@@ -66,8 +66,8 @@
 class GraphSubmission:
     """Checks and stores the parts of graphs.
 
-    Its methods raise GraphRejectedError for what the user must change, and what `StateClient`
-    raises.
+    Its methods raise GraphRejectedError for requests that the user must change, and the errors of
+    `StateClient`.
     """
 
     def __init__(
@@ -79,10 +79,11 @@
         rng: random.Random,
         poll: Callable[[GraphId], Awaitable[Response]],
     ) -> None:
-        """Create an acceptor that has stored nothing.
+        """Create an object that has stored nothing yet.
 
-        `machine_types` is shared with its owner and empty until the controller knows the cluster.
-        `wall` is this controller's clock. `poll` answers with the state of a known graph.
+        `machine_types` is shared with its owner and empty until the controller has read the machine
+        types of the cluster. `wall` is this controller's wall clock. `poll` returns a response with
+        the state of a known graph.
         """
         self._store = reader.store
         self._reader = reader
@@ -97,10 +98,10 @@
         self._max_transaction_writes = limits.txn_ops
 
     async def submit(self, body: bytes) -> Response:
-        """Store one part of a graph, and accept the graph if that was the last one missing."""
+        """Store one part of a graph, and accept the graph if all its parts are stored."""
         submission = self._parse(body)
         for _ in range(MAX_ATTEMPTS):
-            known = await self._reader.record(submission.graph_id)
+            known = await self._reader.read_record(submission.graph_id)
             if known is not None:
                 return await self._answer_known(submission, known)
             if not self._machine_types:
@@ -108,13 +109,13 @@
             try:
                 return await self._accept(submission)
             except (state_client.CompareAndSwapError, state_client.UnknownOutcomeError):
-                # Another client sends the same graph, or the outcome is unknown: what is stored
-                # now decides.
-                await curio.sleep(self._rng.uniform(0.0, MAX_CONFLICT_PAUSE_S))
+                # Another client sends the same graph, or the outcome is unknown: read again what
+                # is stored.
+                await curio.sleep(self._rng.uniform(0.0, MAX_CONFLICT_DELAY_S))
         return Response(503, retry_after=RETRY_AFTER_S)
 
     def _parse(self, body: bytes) -> _Submission:
-        """Decode and check a request's body."""
+        """Decode and check the body of a request."""
         part = self._decode(body)
         graph_id = parse_graph_id(part.uid)
         if graph_id is None:
@@ -126,7 +127,7 @@
         return _Submission(graph_id, part, data, digest)
 
     def _decode(self, body: bytes) -> Part:
-        """Decode a part and check what can be checked without the other parts."""
+        """Decode a part and run the checks that do not need the other parts."""
         try:
             part: Part = _decode_part(body)
         except (msgspec.DecodeError, RecursionError, ValueError) as error:
@@ -137,23 +138,23 @@
             )
         if part.options.due_s is not None and math.isnan(part.options.due_s):
             raise GraphRejectedError(400, "options.due_s: not a number")
-        for problem in model.team_problems(part.options.team, [], self._quota):
+        for problem in model.find_team_problems(part.options.team, [], self._quota):
             raise GraphRejectedError(422, problem.text)
         return part
 
     def _check_runnable(self, options: model.Options, tasks: list[Task]) -> None:
-        """Raise GraphRejectedError for a graph that can never run."""
-        problems = model.problems(tasks, self._machine_types)
-        problems = problems or model.team_problems(options.team, tasks, self._quota)[:1]
+        """Raise GraphRejectedError for a graph that is malformed or can never run."""
+        problems = model.find_problems(tasks, self._machine_types)
+        problems = problems or model.find_team_problems(options.team, tasks, self._quota)[:1]
         if problems:
-            status = 422 if all(problem.never for problem in problems) else 400
+            status = 422 if all(problem.unrunnable for problem in problems) else 400
             more = f" (and {len(problems) - 1} more)" if len(problems) > 1 else ""
             raise GraphRejectedError(status, problems[0].text + more)
 
     async def _answer_known(
         self, submission: _Submission, known: GraphRecord | EndRecord
     ) -> Response:
-        """Answer with the state of a known graph if this is the same content; refuse other."""
+        """Return the state of a known graph if the content is the same; reject other content."""
         graph_id, part, _, digest = submission
         graph = known.graph if isinstance(known, EndRecord) else known
         cancelled_while_incomplete = not graph.digests
@@ -164,14 +165,14 @@
         return await self._poll(graph_id)
 
     async def _accept(self, submission: _Submission) -> Response:
-        """Accept a graph in one value if it fits, and otherwise in parts."""
+        """Accept a graph as one record if it fits into a value, otherwise in parts."""
         part = submission.part
-        if part.parts == 1 and await self._accept_whole(submission):
-            return _accepted(submission.graph_id, len(part.tasks))
-        return await self._accept_part(submission)
+        if part.parts == 1 and await self._accept_as_one_record(submission):
+            return _accepted_response(submission.graph_id, len(part.tasks))
+        return await self._add_part(submission)
 
-    async def _accept_whole(self, submission: _Submission) -> bool:
-        """Accept a graph with all its content in its record; False: too large for one value."""
+    async def _accept_as_one_record(self, submission: _Submission) -> bool:
+        """Accept a graph with its content in the live record; False: too large for a value."""
         graph_id, part, data, digest = submission
         record = GraphRecord(
             part.options,
@@ -180,21 +181,21 @@
             [digest],
             content=records.compress(data),
         )
-        if not self._fits(record):
+        if not self._fits_into_value(record):
             return False
         self._check_runnable(part.options, part.tasks)
         put = transactions.put(records.live_key(graph_id), record)
-        await self._commit(_not_accepted(graph_id), [put])
+        await self._commit(_not_accepted_conditions(graph_id), [put])
         return True
 
-    def _fits(self, record: GraphRecord) -> bool:
-        """Whether the record fits into one value, also later as part of its end record."""
+    def _fits_into_value(self, record: GraphRecord) -> bool:
+        """Whether the record fits into a value, also later as part of the end record."""
         return wire.json_size(record) <= self._value_limit_bytes - RECORD_RESERVE_BYTES
 
-    async def _accept_part(self, submission: _Submission) -> Response:
-        """Store one part; accept the graph if all its parts are stored now."""
+    async def _add_part(self, submission: _Submission) -> Response:
+        """Store one part; accept the graph if all its parts are stored by now."""
         graph_id, part, _, digest = submission
-        opened = await self._open(submission)
+        opened = await self._open_submission(submission)
         stored_head = await self._store.get(records.head_key(graph_id, opened, part.part))
         if stored_head is None:
             await self._store_part(submission, opened)
@@ -207,12 +208,12 @@
         except IncompleteGraphError:
             body = {"uid": graph_id, "phase": "incomplete", "part": part.part, "parts": part.parts}
             return Response(202, wire.encode(body))
-        return await self._accept_parts(submission, opened, parts)
+        return await self._accept_complete(submission, opened, parts)
 
-    async def _accept_parts(
+    async def _accept_complete(
         self, submission: _Submission, opened: Version, parts: records.Parts
     ) -> Response:
-        """Accept a graph of which all parts are stored; delete them if it is rejected."""
+        """Accept a graph whose parts are all stored; delete the parts if it is rejected."""
         graph_id, options = submission.graph_id, submission.part.options
         tasks = [task for _, part_tasks in parts for task in part_tasks]
         try:
@@ -222,19 +223,19 @@
             raise
         digests = [digest for digest, _ in parts]
         record = GraphRecord(options, round(self._wall(), 3), len(tasks), digests, opened)
-        if not self._fits(record):
+        if not self._fits_into_value(record):
             await self._delete_rejected(graph_id, opened)
             raise GraphRejectedError(400, "the graph has too many parts for one record")
-        conditions = [(records.open_key(graph_id), opened), *_not_accepted(graph_id)]
+        conditions = [(records.open_key(graph_id), opened), *_not_accepted_conditions(graph_id)]
         writes = [
             transactions.put(records.live_key(graph_id), record),
             transactions.delete(records.open_key(graph_id)),
         ]
         await self._commit(conditions, writes)
-        return _accepted(graph_id, len(tasks))
+        return _accepted_response(graph_id, len(tasks))
 
-    async def _open(self, submission: _Submission) -> Version:
-        """Return the version of the opening record; write the record if there is none.
+    async def _open_submission(self, submission: _Submission) -> Version:
+        """Return the version of the opening record; create the record if there is none.
 
         All clients that send the graph store its parts under this version.
         """
@@ -243,7 +244,7 @@
         entry = await self._store.get(key)
         if entry is None:
             record = OpenRecord(round(self._wall(), 3), part.parts, part.options)
-            conditions = [(key, NO_SUCH_KEY), *_not_accepted(graph_id)]
+            conditions = [(key, NO_SUCH_KEY), *_not_accepted_conditions(graph_id)]
             await self._commit(conditions, [transactions.put(key, record)])
             entry = await self._store.get(key)
             if entry is None:
@@ -254,11 +255,11 @@
         return entry.version
 
     async def _store_part(self, submission: _Submission, opened: Version) -> None:
-        """Store the pieces of a part, and then its head, which makes the part count."""
+        """Store the pieces of a part, then its head, which marks the part as complete."""
         graph_id, part, data, digest = submission
         pieces = records.pieces(records.compress(data), self._value_limit_bytes)
-        # Clients that send the same content write the same values, so pieces need no condition
-        # on their own keys.
+        # Clients that send the same content write the same values, so writing pieces needs no
+        # condition on their keys.
         still_open = [(records.open_key(graph_id), opened)]
         writes = [
             transactions.put(records.piece_key(graph_id, opened, part.part, digest, number), piece)
@@ -273,9 +274,9 @@
         await self._commit([*still_open, (head_key, NO_SUCH_KEY)], [head])
 
     async def _delete_rejected(self, graph_id: GraphId, opened: Version) -> None:
-        """Delete all that is stored of a rejected graph; the leader deletes what this cannot."""
+        """Delete the stored parts of a rejected graph; if this fails, the leader does so later."""
         try:
-            await give_up(self._store, graph_id, opened)
+            await abandon_submission(self._store, graph_id, opened)
             await delete_parts(self._store, graph_id, opened)
         except (
             state_client.StateUnavailableError,
@@ -287,20 +288,20 @@
     async def _commit(
         self, conditions: list[tuple[Key, Version]], writes: list[dict[str, Any]]
     ) -> None:
-        """Commit with this module's patience."""
-        await self._store.commit(conditions, writes, patience=WRITE_PATIENCE_S)
+        """Commit, waiting up to MAX_WRITE_WAIT_S for the write budget."""
+        await self._store.commit(conditions, writes, patience=MAX_WRITE_WAIT_S)
 
 
-def _not_accepted(graph_id: GraphId) -> list[tuple[Key, Version]]:
-    """The conditions under which the graph is neither live nor past."""
+def _not_accepted_conditions(graph_id: GraphId) -> list[tuple[Key, Version]]:
+    """Return the conditions that the graph has neither a live nor a past record."""
     return [
         (records.live_key(graph_id), NO_SUCH_KEY),
         (records.past_key(graph_id), NO_SUCH_KEY),
     ]
 
 
-def _accepted(graph_id: GraphId, task_count: int) -> Response:
-    """Log that a graph was accepted, and return the answer to its user."""
+def _accepted_response(graph_id: GraphId, task_count: int) -> Response:
+    """Log that a graph was accepted and return the response for the user."""
     log.info("graph_accepted", graph=graph_id, tasks=task_count)
     body = {"uid": graph_id, "phase": Phase.PENDING.value, "tasks": task_count}
     return Response(201, wire.encode(body))
--- a/umberward/graphs/live.py
+++ b/umberward/graphs/live.py
@@ -1,6 +1,6 @@
-"""A task graph under way, as the leader sees it: which tasks are over and which may start. No I/O.
+"""The leader's state of an unfinished graph: which tasks are finished and which may start. No I/O.
 
-Each kind of a graph's tasks is one array of the scheduler (`DagJob`).
+The tasks of each kind form one array job of the scheduler (`DagJob`).
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class AcceptedGraph(NamedTuple):
-    """An accepted graph: its live record and the version of that record."""
+    """The live record of an accepted graph, with the version of that record."""
 
     id: GraphId
     record: GraphRecord
@@ -25,22 +25,22 @@
 
 
 class SchedulerCallbacks(NamedTuple):
-    """What a graph asks of the scheduler.
+    """Calls from a graph to the scheduler.
 
-    `request_pass`: tasks of this array may start. `progress_changed`: the array has something to
-    store. `withdraw`: the array's task of this index is to be stopped, as it is over.
+    `request_pass`: tasks of this array may start. `progress_changed`: the array has progress to
+    store. `stop_task`: stop the array's task with this index, as it is finished.
     """
 
     request_pass: Callable[[Job], None]
     progress_changed: Callable[[Job], None]
-    withdraw: Callable[[Job, int], None]
+    stop_task: Callable[[Job, int], None]
 
 
 class LiveGraph:
-    """One graph: which of its tasks are over, and which of the others may start.
+    """One graph: which of its tasks are finished, and which of the others may start.
 
-    A position is a task's place in the graph's topological order; an index is its number within
-    its array.
+    A position is a task's number in the graph's topological order; an index is its number in its
+    array.
     """
 
     def __init__(
@@ -51,9 +51,9 @@
         value_limit: int,
         callbacks: SchedulerCallbacks,
     ) -> None:
-        """Create the graph from what is stored of its progress.
+        """Create the graph from its stored progress.
 
-        `value_limit` is the largest value of the state service, in bytes.
+        `value_limit` is the maximum size of a value in the state service, in bytes.
         """
         self.id = accepted.id
         self.record = accepted.record
@@ -61,9 +61,9 @@
         self.version = accepted.version
         self.shape = shape
         self.callbacks = callbacks
-        # By position: how many of the tasks that this one needs directly are not done yet.
+        # By position: the number of direct needs that are not done yet.
         self.unmet_needs = [len(needs) for needs in shape.needs]
-        # Position of each task that will not run -> position of the failed task that it needs.
+        # Position of a task that will not run -> position of the failed task that it needs.
         self.not_run: dict[int, int] = {}
         self.jobs = [
             self._create_job(kind, progress, value_limit) for kind in range(len(shape.kinds))
@@ -77,37 +77,41 @@
         return DagJob(self, kind, run, Version(version), failures, value_limit)
 
     def _restore(self) -> None:
-        """Derive what may start from the stored progress, which may lack the latest events."""
+        """Queue the startable tasks according to the stored progress, which may be out of date."""
         failed = {
-            self.shape.members[job.kind][failure.number]
+            self.shape.task_positions[job.kind][failure.number]
             for job in self.jobs
             for failure in job.failures
         }
         for position in sorted(failed):
-            self._give_up_dependents(position)
+            self._mark_dependents_not_run(position)
         for position in range(len(self.shape)):
-            if self.is_over(position) and position not in failed and position not in self.not_run:
-                for dependent in self.shape.heirs[position]:
+            if (
+                self.is_finished(position)
+                and position not in failed
+                and position not in self.not_run
+            ):
+                for dependent in self.shape.dependents[position]:
                     self.unmet_needs[dependent] -= 1
         for position in range(len(self.shape)):
-            if not self.unmet_needs[position] and not self.is_over(position):
+            if not self.unmet_needs[position] and not self.is_finished(position):
                 kind, index = self.shape.place[position]
                 self.jobs[kind].task_ready(index)
 
     @property
-    def ended(self) -> bool:
-        """Whether the graph's end may be stored: all that it rests on is stored."""
+    def ready_to_end(self) -> bool:
+        """Whether the graph has ended and all progress on which its end depends is stored."""
         if any(job.progress_unstored for job in self.jobs):
             return False
         return all(job.complete for job in self.jobs) or (
             self.options.on_failure == "cancel_rest" and any(job.failures for job in self.jobs)
         )
 
-    def end(self, at: float) -> records.EndRecord:
-        """Build the end record; `at` is the time on the leader's wall clock, in seconds."""
+    def build_end_record(self, at: float) -> records.EndRecord:
+        """Build the end record; `at` is the leader's wall clock time, in seconds."""
         failed = sum(len(job.failures) for job in self.jobs)
-        over = sum(job.done_count for job in self.jobs)
-        done = over - failed - len(self.not_run)
+        finished = sum(job.done_count for job in self.jobs)
+        done = finished - failed - len(self.not_run)
         return records.EndRecord(
             records.FAILED if failed else records.DONE,
             self.record,
@@ -117,26 +121,26 @@
             len(self.shape) - done - failed,
         )
 
-    def is_over(self, position: int) -> bool:
-        """Whether the task at `position` has its final answer."""
+    def is_finished(self, position: int) -> bool:
+        """Whether the task at `position` is done, failed permanently, or will not run."""
         kind, index = self.shape.place[position]
         return self.jobs[kind].is_done(index)
 
     def is_ready(self, kind: int, index: int) -> bool:
-        """Whether all that the task needs is done."""
-        return not self.unmet_needs[self.shape.members[kind][index]]
+        """Whether all tasks that this one needs are done."""
+        return not self.unmet_needs[self.shape.task_positions[kind][index]]
 
-    # ---- what happens to tasks -----------------------------------------------------------
+    # ---- task events ---------------------------------------------------------------------
 
     def task_done(self, kind: int, index: int) -> None:
-        """Start what needed only this task.
+        """Queue the tasks that needed only this task.
 
-        The cost is that of the task's direct dependents, however large the graph is.
+        The cost is proportional to the number of direct dependents, not to the size of the graph.
         """
         startable_kinds: dict[int, None] = {}
-        for dependent in self.shape.heirs[self.shape.members[kind][index]]:
+        for dependent in self.shape.dependents[self.shape.task_positions[kind][index]]:
             self.unmet_needs[dependent] -= 1
-            if not self.unmet_needs[dependent] and not self.is_over(dependent):
+            if not self.unmet_needs[dependent] and not self.is_finished(dependent):
                 place = self.shape.place[dependent]
                 self.jobs[place.kind].task_ready(place.number)
                 startable_kinds[place.kind] = None
@@ -144,38 +148,38 @@
             self.callbacks.request_pass(self.jobs[startable_kind])
 
     def was_started(self, kind: int, index: int) -> None:
-        """Infer from a started task that all that it needs was done.
+        """Infer from a started task that all tasks that it needs are done.
 
-        A former leader may have started it without having stored that. Otherwise the needed tasks
-        would run again beside those that build on their results.
+        A former leader may have started it without storing that its needs are done. Without this,
+        the needed tasks would run again alongside the tasks that use their results.
         """
-        position = self.shape.members[kind][index]
+        position = self.shape.task_positions[kind][index]
         if not self.unmet_needs[position]:
             return
         for need in self.shape.before(position):
             place = self.shape.place[need]
             job = self.jobs[place.kind]
             if not job.is_done(place.number):
-                self.callbacks.withdraw(job, place.number)
-                job.mark_over(place.number)
+                self.callbacks.stop_task(job, place.number)
+                job.mark_finished(place.number)
                 self.task_done(*place)
                 self.callbacks.progress_changed(job)
 
     def task_failed(self, job: DagJob, index: int) -> None:
-        """Give up what needs this task, which has failed for good."""
+        """Mark the tasks that need this permanently failed task as never to run."""
         self.callbacks.progress_changed(job)
-        self._give_up_dependents(self.shape.members[job.kind][index])
+        self._mark_dependents_not_run(self.shape.task_positions[job.kind][index])
 
     def retry_task(self, job: DagJob, index: int) -> None:
-        """Have the task placed once more."""
+        """Queue the task for another attempt."""
         job.put_back(index)
         self.callbacks.request_pass(job)
 
-    def _give_up_dependents(self, position: int) -> None:
-        """Mark all that needs this failed task as over; none of it was started."""
+    def _mark_dependents_not_run(self, position: int) -> None:
+        """Mark all tasks that need this failed task as finished; none of them was started."""
         for dependent in self.shape.spread(position, self.not_run):
             kind, index = self.shape.place[dependent]
             job = self.jobs[kind]
             if not job.is_done(index):
-                job.mark_over(index)
+                job.mark_finished(index)
                 self.callbacks.progress_changed(job)
--- a/umberward/graphs/model.py
+++ b/umberward/graphs/model.py
@@ -1,8 +1,8 @@
-"""A task graph as its user sends it, and its shape as the scheduler uses it. No I/O.
+"""A task graph as submitted by its user, and its shape as used by the scheduler. No I/O.
 
-Fields have the names that users of Ray know (`num_cpus`, `num_gpus`, `memory` in bytes,
-`max_retries`, `resources`). Tasks that take the same of their machines are of one kind; each kind
-becomes one array of the scheduler, whose tasks are numbered in topological order.
+Fields have the names that Ray uses (`num_cpus`, `num_gpus`, `memory` in bytes, `max_retries`,
+`resources`). Tasks with equal requirements are of one kind; each kind becomes one array job of the
+scheduler, whose tasks are numbered in topological order.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 GRAPH_PREFIX = "graph-"
 GRAPH_DIGITS = 13
 KIND_DIGITS = 4
-GRAPH_JOB_DIGIT = "9"  # the first of 18 digits in the ids of arrays that belong to graphs
+GRAPH_JOB_DIGIT = "9"  # the first of the 18 digits in the id of an array of a graph
 MAX_GRAPH_TASKS = 10_000
 MAX_KINDS = 12
 MAX_PRINTED_CYCLE_NAMES = 12
 MAX_NEEDS = 1_000  # of one task
 MAX_PARTS = 200
-BYTES_PER_GB = 1e9  # `memory` is in bytes, resources of machines in GB
+BYTES_PER_GB = 1e9  # `memory` of tasks is in bytes, that of machines in GB
 DEFAULT_MEMORY = 1e9  # bytes
 
 _GRAPH_ID = re.compile(GRAPH_PREFIX + rf"[0-9]{{1,{GRAPH_DIGITS}}}\Z")
@@ -87,9 +87,9 @@
 
 
 class Part(msgspec.Struct, forbid_unknown_fields=True):
-    """One part of a graph as it is sent to a controller; at most 64 KiB as MessagePack.
+    """One part of a graph as sent to a controller; at most 64 KiB as MessagePack.
 
-    `part` counts from 0 and is below `parts`.
+    `part` is the number of this part, counted from 0, and `parts` the total number of parts.
     """
 
     uid: Name
@@ -100,7 +100,7 @@
 
 
 class Kind(NamedTuple):
-    """What the tasks of one array have in common; `memory` is in bytes."""
+    """The requirements that the tasks of one array have in common; `memory` is in bytes."""
 
     cpus: float
     gpus: float
@@ -111,32 +111,32 @@
 
     @property
     def need(self) -> Resources:
-        """What one task takes of its machine."""
+        """The resources that one task takes."""
         return Resources(self.cpus, self.gpus, self.memory / BYTES_PER_GB)
 
 
-class Place(NamedTuple):
-    """The array of a task, by its kind, and the task's index in that array."""
+class ArraySlot(NamedTuple):
+    """The kind of a task, which selects its array, and the task's index in that array."""
 
     kind: int
     number: int
 
 
 def parse_graph_id(text: object) -> GraphId | None:
-    """Return the graph id in its canonical form, without leading zeros; None: it is no graph id."""
+    """Return a graph id in canonical form, without leading zeros; None: not a graph id."""
     if isinstance(text, str) and _GRAPH_ID.match(text):
         return GraphId(f"{GRAPH_PREFIX}{int(text[len(GRAPH_PREFIX) :])}")
     return None
 
 
 def job_id(graph_id: GraphId, kind: int) -> JobId:
-    """Return the id of the array for tasks of this kind; no user's own job has such an id."""
+    """Return the id of the array for tasks of this kind; users' own jobs never have such an id."""
     number = int(graph_id[len(GRAPH_PREFIX) :])
     return JobId(f"{JOB_PREFIX}{GRAPH_JOB_DIGIT}{number:0{GRAPH_DIGITS}d}{kind:0{KIND_DIGITS}d}")
 
 
 def graph_of(job_id: str) -> tuple[GraphId, int] | None:
-    """Return the graph and the kind that an array is for; None: it is an ordinary job."""
+    """Return the graph and the kind of an array by its job id; None: an ordinary job."""
     match = _JOB_ID.match(job_id)
     if match is None:
         return None
@@ -146,53 +146,55 @@
 class Shape:
     """The tasks of a graph in topological order, level by level, and their dependencies.
 
-    A position is a place in that order, and all lists but those by kind are indexed by it. `names`
-    are the users'; `needs` and `heirs` hold the positions of the tasks that a task needs directly
-    and of those that need it; `place` is the task's array and index. By kind: `kinds`, `members`
-    (the position of each task of the array) and `expect_s` (the longest expected runtime, in
-    seconds).
+    A position is a task's number in that order. Indexed by position: `names` (as given by the
+    user), `needs` and `dependents` (the positions of the tasks that a task needs directly, and of
+    those that need it) and `place` (the task's array and index). Indexed by kind: `kinds`,
+    `task_positions` (the position of each task of the array) and `expect_s` (the longest expected
+    runtime, in seconds).
     """
 
     def __init__(self, tasks: list[Task]) -> None:
-        """Order the tasks; raise MalformedGraphError for tasks that `problems` rejects."""
+        """Sort the tasks; raise MalformedGraphError for tasks that `find_problems` rejects."""
         numbers = {task.name: number for number, task in enumerate(tasks)}
         if len(numbers) != len(tasks):
             raise DuplicateNameError
         levels = _levels(tasks, numbers)
         order = sorted(range(len(tasks)), key=lambda number: (levels[number], number))
         self.names = [tasks[number].name for number in order]
-        self._connect(tasks, numbers, order)
+        self._link_dependencies(tasks, numbers, order)
         self.kinds: list[Kind] = []
-        self.place: list[Place] = []
-        self.members: list[list[int]] = []
+        self.place: list[ArraySlot] = []
+        self.task_positions: list[list[int]] = []
         self.expect_s: list[float] = []
-        self._divide([tasks[number] for number in order])
+        self._group_by_kind([tasks[number] for number in order])
 
-    def _connect(self, tasks: list[Task], numbers: dict[str, int], order: list[int]) -> None:
-        """Fill `needs` and `heirs`."""
+    def _link_dependencies(
+        self, tasks: list[Task], numbers: dict[str, int], order: list[int]
+    ) -> None:
+        """Fill `needs` and `dependents`."""
         positions = [0] * len(tasks)
         for position, number in enumerate(order):
             positions[number] = position
         self.needs = [
             sorted({positions[numbers[name]] for name in tasks[number].needs}) for number in order
         ]
-        self.heirs: list[list[int]] = [[] for _ in order]
+        self.dependents: list[list[int]] = [[] for _ in order]
         for position, needs in enumerate(self.needs):
             for need in needs:
-                self.heirs[need].append(position)
+                self.dependents[need].append(position)
 
-    def _divide(self, ordered_tasks: list[Task]) -> None:
-        """Fill the lists by kind, and `place`."""
+    def _group_by_kind(self, ordered_tasks: list[Task]) -> None:
+        """Fill `place` and the lists that are indexed by kind."""
         known: dict[Kind, int] = {}
         for position, task in enumerate(ordered_tasks):
             kind = kind_of(task)
             index = known.setdefault(kind, len(known))
             if index == len(self.kinds):
                 self.kinds.append(kind)
-                self.members.append([])
+                self.task_positions.append([])
                 self.expect_s.append(0.0)
-            self.place.append(Place(index, len(self.members[index])))
-            self.members[index].append(position)
+            self.place.append(ArraySlot(index, len(self.task_positions[index])))
+            self.task_positions[index].append(position)
             self.expect_s[index] = max(self.expect_s[index], task.expect_s)
 
     def __len__(self) -> int:
@@ -200,20 +202,20 @@
         return len(self.names)
 
     def spread(self, position: int, because: dict[int, int]) -> list[int]:
-        """Record the failed task at `position` as the reason why others will not run.
+        """Record the failed task at `position` as the reason why its dependents will not run.
 
         Adds it to `because` for every task that needs it, directly or not, and has no reason yet;
-        returns these tasks in topological order. Tasks that depend on one with a reason got theirs
-        together with it, and are not visited again.
+        returns these tasks in topological order. Dependents of a task that has a reason already
+        have one too, so they are not visited again.
         """
-        return sorted(_reached(position, self.heirs, because))
+        return sorted(_reachable(position, self.dependents, because))
 
     def before(self, position: int) -> list[int]:
         """Return all tasks that this one needs, directly or not, in topological order."""
-        return sorted(_reached(position, self.needs, {}))
+        return sorted(_reachable(position, self.needs, {}))
 
     def spec(self, graph_id: GraphId, options: Options, kind: int) -> JobSpec:
-        """Return the specification of the array for the tasks of one kind."""
+        """Return the job specification of the array for one kind."""
         common = self.kinds[kind]
         return JobSpec(
             job_id=job_id(graph_id, kind),
@@ -221,7 +223,7 @@
             team=options.team,
             kind=wire.ARRAY,
             priority=options.rank,
-            task_count=len(self.members[kind]),
+            task_count=len(self.task_positions[kind]),
             cores=common.cpus,
             accelerators=common.gpus,
             mem_gb=common.memory / BYTES_PER_GB,
@@ -240,7 +242,7 @@
 
 
 def _levels(tasks: list[Task], numbers: dict[str, int]) -> list[int]:
-    """Return the length of the longest chain of needs below each task."""
+    """Return the length of the longest chain of needs of each task."""
     levels = [0] * len(tasks)
     try:
         sorter = graphlib.TopologicalSorter(
@@ -256,8 +258,11 @@
     return levels
 
 
-def _reached(position: int, edges: list[list[int]], known: dict[int, int]) -> list[int]:
-    """Return what is reached along `edges` without passing what is known; add it to `known`."""
+def _reachable(position: int, edges: list[list[int]], known: dict[int, int]) -> list[int]:
+    """Return the positions reachable along `edges` without entering those in `known`.
+
+    Adds them to `known`, mapped to `position`.
+    """
     reached = []
     unvisited = [position]
     while unvisited:
@@ -285,57 +290,57 @@
 
 
 class Problem(NamedTuple):
-    """Something wrong with a graph.
+    """An error in a graph.
 
-    `task` is its number in the list of tasks, None for the graph as a whole. `never` says that the
-    graph is well-formed and yet can never run on this cluster.
+    `task` is the task's number in the list of tasks, None for the graph as a whole. `unrunnable`
+    means that the graph is well-formed but can never run on this cluster.
     """
 
     task: int | None
     text: str
-    never: bool = False
+    unrunnable: bool = False
 
 
-def problems(tasks: list[Task], machine_types: MachineTypes | None = None) -> list[Problem]:
-    """Return all that is wrong with a graph's tasks.
+def find_problems(tasks: list[Task], machine_types: MachineTypes | None = None) -> list[Problem]:
+    """Return the problems of a graph's tasks.
 
-    `machine_types` are those of the cluster; None: not known, so tasks may be of any size.
+    `machine_types` are those of the cluster; None: unknown, so tasks may be of any size.
     """
     if len(tasks) > min(MAX_GRAPH_TASKS, MAX_TASKS):
         return [Problem(None, f"{len(tasks)} tasks, at most {MAX_GRAPH_TASKS} are taken")]
     numbers: dict[str, int] = {}
     for number, task in enumerate(tasks):
         numbers.setdefault(task.name, number)
-    found = _task_problems(tasks, numbers, machine_types)
+    found = _find_task_problems(tasks, numbers, machine_types)
     found += [
         Problem(number, f"{task.name}: needs {name!r}, which is no task")
         for number, task in enumerate(tasks)
         for name in task.needs
         if name not in numbers
     ]
-    return found or _cycle_problems(tasks, numbers)
+    return found or _find_cycle_problems(tasks, numbers)
 
 
-def team_problems(team: str, tasks: list[Task], quota: Quota) -> list[Problem]:
-    """Return what is wrong with a graph of this team.
+def find_team_problems(team: str, tasks: list[Task], quota: Quota) -> list[Problem]:
+    """Return the problems of a graph with this team.
 
-    There is no such team, or a task is larger than all that the team may ever use. Raises
-    MalformedGraphError for tasks that `problems` rejects.
+    Either the team does not exist or a task exceeds the team's maximum. Raises MalformedGraphError
+    for tasks that `find_problems` rejects.
     """
     name = TeamName(team)
     if name not in quota.teams:
-        return [Problem(None, f"team: no team {team}", never=True)]
+        return [Problem(None, f"team: no team {team}", unrunnable=True)]
     return [
-        Problem(number, f"{task.name}: needs more than the team's maximum", never=True)
+        Problem(number, f"{task.name}: needs more than the team's maximum", unrunnable=True)
         for number, task in enumerate(tasks)
         if quota.exceeds_limit(name, kind_of(task).need, 1)
     ]
 
 
-def _task_problems(
+def _find_task_problems(
     tasks: list[Task], numbers: dict[str, int], machine_types: MachineTypes | None
 ) -> list[Problem]:
-    """What is wrong with single tasks and with the number of their kinds."""
+    """Return the problems of single tasks and of the number of kinds."""
     found: list[Problem] = []
     kinds: set[Kind] = set()
     for number, task in enumerate(tasks):
@@ -350,12 +355,12 @@
         try:
             kind = kind_of(task)
         except MalformedGraphError as error:
-            found.append(Problem(number, f"{task.name}: {error}", never=True))
+            found.append(Problem(number, f"{task.name}: {error}", unrunnable=True))
             continue
-        # One report for each kind is enough.
+        # One problem per kind is enough.
         if kind not in kinds and machine_types is not None and not _fits_any(kind, machine_types):
             text = f"{task.name}: no machine type can hold it"
-            found.append(Problem(number, text, never=True))
+            found.append(Problem(number, text, unrunnable=True))
         kinds.add(kind)
     if len(kinds) > MAX_KINDS:
         text = f"tasks of {len(kinds)} kinds (amounts and retries), at most {MAX_KINDS} are taken"
@@ -373,12 +378,12 @@
     )
 
 
-def _cycle_problems(tasks: list[Task], numbers: dict[str, int]) -> list[Problem]:
-    """The first cycle among the needs, if there is one."""
+def _find_cycle_problems(tasks: list[Task], numbers: dict[str, int]) -> list[Problem]:
+    """Return the first cycle among the needs, if there is one."""
     try:
         graphlib.TopologicalSorter({task.name: task.needs for task in tasks}).prepare()
     except graphlib.CycleError as error:
-        names: list[str] = error.args[1]  # each is needed by the next
+        names: list[str] = error.args[1]  # each task is needed by the next one
         shown = names
         if len(names) > MAX_PRINTED_CYCLE_NAMES:
             shown = [*names[:MAX_PRINTED_CYCLE_NAMES], "...", names[-1]]
--- a/umberward/graphs/records.py
+++ b/umberward/graphs/records.py
@@ -1,12 +1,11 @@
-"""The records of task graphs in the state service, and how contents are packed into values.
+"""The records of task graphs in the state service, and the encoding of tasks into values.
 
-    graphs/live/ID          an accepted graph that is not over; never changes while it stands there
-    graphs/past/ID          how it ended
-    graphs/run/ID/KIND      progress of one of its arrays, and /KIND/PAGE the tasks that failed
-    graphs/open/ID          a graph with parts still to come, until it is accepted
-    graphs/part/ID/OPEN/... its parts: a head for each, and its pieces
-    graphs/stale/ID.OPEN    a graph that was given up before its acceptance: its parts are to be
-                            deleted
+    graphs/live/ID          an accepted graph that has not ended; the record never changes
+    graphs/past/ID          how the graph ended
+    graphs/run/ID/KIND      progress of one of its arrays; /KIND/PAGE: the tasks that failed
+    graphs/open/ID          opening record: a graph with missing parts, until it is accepted
+    graphs/part/ID/OPEN/... its parts: the head and the pieces of each
+    graphs/stale/ID.OPEN    a submission that was abandoned: its parts must be deleted
 
 OPEN is the version of the opening record. The version of umberward in production reads none of
 these keys, so both versions may run at once.
@@ -27,26 +26,26 @@
 from umberward.graphs.model import GraphId, Options, Task
 from umberward.protocol import wire
 
-GRAPHS = "graphs/"
+GRAPHS_PREFIX = "graphs/"
 LIVE = "graphs/live/"
-PAST = "graphs/past/"
-RUN = "graphs/run/"
-OPEN = "graphs/open/"
+PAST_PREFIX = "graphs/past/"
+RUN_PREFIX = "graphs/run/"
+OPEN_PREFIX = "graphs/open/"
 PART = "graphs/part/"
-STALE = "graphs/stale/"
+STALE_PREFIX = "graphs/stale/"
 
 DONE, FAILED, CANCELLED = "done", "failed", "cancelled"
 DIGEST_DIGITS = 16  # hexadecimal
-MAX_PART_BYTES = 1 << 20  # of one part's packed tasks
-PIECE_RESERVE_BYTES = 64  # kept free in the value that holds a piece
+MAX_PART_BYTES = 1 << 20  # size of the encoded tasks of one part
+PIECE_RESERVE_BYTES = 64  # left free in a value that holds a piece
 
 
 class GraphRecord(msgspec.Struct, omit_defaults=True):
     """An accepted graph.
 
-    `at` is the wall clock of the accepting controller, in seconds; `tasks` the number of tasks;
-    `digests` those of the parts, in order. `opened` is the version of `graphs/open/ID` under which
-    the parts were stored; 0 means that `content` holds the whole content.
+    `at` is the accepting controller's wall clock time, in seconds; `tasks` the number of tasks;
+    `digests` the digests of the parts, in order. `opened` is the version of `graphs/open/ID` under
+    which the parts were stored; 0 means that `content` holds the whole content.
     """
 
     options: Options
@@ -60,9 +59,9 @@
 class EndRecord(msgspec.Struct, omit_defaults=True):
     """How a graph ended.
 
-    The results of its tasks are in the records of its arrays, which are written under the
-    condition that the graph is live, and so never after this record. `at` is the wall clock of the
-    process that ended it, in seconds; the others are counts of tasks.
+    The results of the tasks are in the records of the arrays. Those are written on the condition
+    that the graph is live, hence never after this record. `at` is the wall clock time of the
+    process that ended the graph, in seconds; `done`, `failed` and `not_run` are numbers of tasks.
     """
 
     phase: str
@@ -80,8 +79,8 @@
 ):
     """Progress of one array, as in a job's record.
 
-    A task counts as done there if it is over: done, failed for good, or never to run. `pages` is
-    the number of page records with the tasks that failed.
+    A task counts as done here if it is finished: done, failed permanently, or never to run.
+    `pages` is the number of page records with the tasks that failed.
     """
 
     placed_below: int = 0
@@ -91,7 +90,7 @@
 
 
 class Failure(msgspec.Struct, array_like=True):
-    """A task that failed for good: its index in its array, why, and where it was tried."""
+    """A permanently failed task: its index in the array, the cause, and the machines."""
 
     number: int
     cause: str
@@ -105,9 +104,10 @@
 
 
 class OpenRecord(msgspec.Struct):
-    """The opening record of a graph with parts still to come.
+    """The opening record of a graph with missing parts.
 
-    `at` is the wall clock of the controller that wrote it, in seconds; `parts` the number of parts.
+    `at` is the wall clock time of the controller that wrote it, in seconds; `parts` is the number
+    of parts.
     """
 
     at: float
@@ -116,7 +116,10 @@
 
 
 class PartRecord(msgspec.Struct):
-    """The head of a stored part, written once all its `pieces` are stored."""
+    """The head of a stored part, written once its pieces are stored.
+
+    `pieces` is their number.
+    """
 
     digest: str
     pieces: int
@@ -126,17 +129,17 @@
     """A stored part has more than MAX_PART_BYTES when decompressed."""
 
     def __init__(self) -> None:
-        """Create the error; the part is named by whoever reads it."""
-        super().__init__("too long")
+        """Create the error; the caller knows which part it is."""
+        super().__init__("a part is larger than the limit when decompressed")
 
 
 def pack(tasks: list[Task]) -> bytes:
-    """Encode tasks; equal tasks give equal bytes, however the user has written them."""
+    """Encode tasks as canonical CBOR: equal tasks give equal bytes, however the user wrote them."""
     return cbor2.dumps([wire.to_builtins(task) for task in tasks], canonical=True)
 
 
 def unpack(data: bytes) -> list[Task]:
-    """Decode what `pack` has encoded; raise ValueError for other bytes."""
+    """Reverse `pack`; raise ValueError for other bytes."""
     try:
         return msgspec.convert(cbor2.loads(data), list[Task])
     except (cbor2.CBORDecodeError, msgspec.ValidationError) as error:
@@ -144,13 +147,13 @@
 
 
 def digest(data: bytes, options: Options, part: int, parts: int) -> str:
-    """Return the digest of packed tasks as part number `part` of `parts` with these options."""
+    """Return the digest of encoded tasks as part `part` of `parts` with these options."""
     head = wire.encode([wire.to_builtins(options), part, parts])
     return hashlib.sha256(head + data).hexdigest()[:DIGEST_DIGITS]
 
 
 def compress(data: bytes) -> str:
-    """Compress bytes into text that JSON holds without escapes."""
+    """Compress bytes into text that needs no escapes in JSON."""
     return base64.b64encode(zlib.compress(data, 9)).decode()
 
 
@@ -167,13 +170,13 @@
 
 
 def pieces(text: str, value_limit: int) -> list[str]:
-    """Cut text so that each piece fits into a value of at most `value_limit` bytes."""
+    """Split text into pieces that each fit into a value of at most `value_limit` bytes."""
     size = value_limit - PIECE_RESERVE_BYTES
     return [text[start : start + size] for start in range(0, len(text), size)]
 
 
 class IncompleteGraphError(Exception):
-    """Some of a graph's content is missing in the state service."""
+    """Content of a graph is missing in the state service."""
 
     def __init__(self, graph_id: GraphId, problem: str) -> None:
         """Create an error about the content of `graph_id`."""
@@ -185,7 +188,9 @@
 
 
 def parts_of(graph_id: GraphId, values: Mapping[str, Any], count: int) -> Parts:
-    """Build `count` parts from the values below `graphs/part/ID/OPEN/`, by the rest of their keys.
+    """Assemble `count` parts from the values below `graphs/part/ID/OPEN/`.
+
+    `values` maps the rest of each key to its value.
 
     Raises IncompleteGraphError, ValueError and MalformedMessageError.
     """
@@ -197,63 +202,63 @@
         head = wire.convert(values[str(part)], PartRecord)
         piece_names = [f"{part}/{head.digest}/{piece}" for piece in range(head.pieces)]
         if any(name not in values for name in piece_names):
-            raise IncompleteGraphError(graph_id, f"part {part} is not whole")
+            raise IncompleteGraphError(graph_id, f"pieces of part {part} are missing")
         text = "".join(values[name] for name in piece_names)
         parts.append((head.digest, unpack(decompress(text))))
     return parts
 
 
 def joined(graph_id: GraphId, record: GraphRecord, parts: Parts) -> list[Task]:
-    """Return the tasks of all parts; raise IncompleteGraphError unless these were accepted."""
+    """Return the tasks of all parts; raise IncompleteGraphError if other parts were accepted."""
     if [digest for digest, _ in parts] != record.digests:
-        raise IncompleteGraphError(graph_id, "parts do not match")
+        raise IncompleteGraphError(graph_id, "the stored parts are not those that were accepted")
     return [task for _, tasks in parts for task in tasks]
 
 
 def live_key(graph_id: GraphId) -> Key:
-    """Return the key of an accepted graph's record."""
+    """Return the key of the live record of a graph."""
     return Key(LIVE + graph_id)
 
 
 def past_key(graph_id: GraphId) -> Key:
-    """Return the key of an ended graph's record."""
-    return Key(PAST + graph_id)
+    """Return the key of the end record of a graph."""
+    return Key(PAST_PREFIX + graph_id)
 
 
 def run_key(graph_id: GraphId, kind: int) -> Key:
     """Return the key of the progress record of one array."""
-    return Key(f"{RUN}{graph_id}/{kind}")
+    return Key(f"{RUN_PREFIX}{graph_id}/{kind}")
 
 
 def page_key(graph_id: GraphId, kind: int, page: int) -> Key:
-    """Return the key of one page of an array's failures."""
-    return Key(f"{RUN}{graph_id}/{kind}/{page}")
+    """Return the key of one page record with an array's failures."""
+    return Key(f"{RUN_PREFIX}{graph_id}/{kind}/{page}")
 
 
 def open_key(graph_id: GraphId) -> Key:
     """Return the key of a graph's opening record."""
-    return Key(OPEN + graph_id)
+    return Key(OPEN_PREFIX + graph_id)
 
 
 def head_key(graph_id: GraphId, opened: int, part: int) -> Key:
-    """Return the key of a part's head, stored under opening version `opened`."""
+    """Return the key of a part's head, stored under version `opened` of the opening record."""
     return Key(f"{PART}{graph_id}/{opened}/{part}")
 
 
 def piece_key(graph_id: GraphId, opened: int, part: int, digest: str, piece: int) -> Key:
-    """Return the key of one piece of a part's content."""
+    """Return the key of one piece of a part."""
     return Key(f"{PART}{graph_id}/{opened}/{part}/{digest}/{piece}")
 
 
 def stale_key(graph_id: GraphId, opened: int) -> Key:
-    """Return the key of the note that the parts under version `opened` are to be deleted."""
-    return Key(f"{STALE}{graph_id}.{opened}")
+    """Return the key of the note that marks the parts under version `opened` for deletion."""
+    return Key(f"{STALE_PREFIX}{graph_id}.{opened}")
 
 
 class Progress(msgspec.Struct):
-    """The stored progress of a graph's arrays.
+    """The stored progress of a graph's arrays, by kind.
 
-    By the array's kind: its record with that record's version, and its failures.
+    `runs` holds each array's record with the version of that record, `failed` its failures.
     """
 
     runs: dict[int, tuple[RunRecord, int]]
@@ -261,7 +266,7 @@
 
 
 def progress(graph_id: GraphId, entries: list[wire.KeyValue]) -> Progress:
-    """Build the progress from all entries below `graphs/run/ID/`.
+    """Parse the progress from all entries below `graphs/run/ID/`.
 
     Raises MalformedMessageError.
     """
@@ -273,7 +278,7 @@
     failed: dict[int, list[Failure]] = {}
     for entry in entries:
         kind, page = _split_run_key(graph_id, entry.key)
-        # A page beyond those that the array's record counts was not committed with it.
+        # Pages beyond those that the array's record counts were not committed with it.
         if page and int(kind) in runs and int(page) < runs[int(kind)][0].pages:
             failures = failed.setdefault(int(kind), [])
             failures += wire.convert(entry.data, PageRecord).failed
@@ -281,6 +286,6 @@
 
 
 def _split_run_key(graph_id: GraphId, key: str) -> tuple[str, str]:
-    """Return the kind and the page in a key below `graphs/run/ID/`; no page: the array's record."""
-    kind, _, page = key[len(RUN) + len(graph_id) + 1 :].partition("/")
+    """Return kind and page of a key below `graphs/run/ID/`; the page is empty for the record."""
+    kind, _, page = key[len(RUN_PREFIX) + len(graph_id) + 1 :].partition("/")
     return kind, page
--- a/umberward/graphs/store.py
+++ b/umberward/graphs/store.py
@@ -1,6 +1,6 @@
-"""Graphs in the state service: reading what is stored, deleting what never became a graph.
+"""Reads graphs from the state service and deletes submissions that never became a graph.
 
-All functions raise what `StateClient` raises when the service does not answer.
+All functions raise the errors of `StateClient` if the service is unavailable.
 """
 
 from __future__ import annotations
@@ -10,22 +10,30 @@
 from umberward.core.types import Key, Version
 from umberward.graphs import records
 from umberward.graphs.model import GraphId, Task
-from umberward.graphs.records import OPEN, PART, STALE, GraphRecord, OpenRecord, Parts, Progress
+from umberward.graphs.records import (
+    OPEN_PREFIX,
+    PART,
+    STALE_PREFIX,
+    GraphRecord,
+    OpenRecord,
+    Parts,
+    Progress,
+)
 from umberward.protocol import transactions, wire
 
 log = logger(__name__)
 
-# A submission with parts still missing after this time is given up, as its user has given up too.
+# A submission with parts still missing after this time is abandoned: its user has given up too.
 MAX_SUBMISSION_S = 180.0
 MAX_DELETIONS_PER_TRANSACTION = 8
-DELETE_PATIENCE_S = 5.0  # longest wait for a turn under the write limits
+MAX_DELETE_WAIT_S = 5.0  # maximum wait of a commit for the write budget
 
 
 async def read_tasks(store: StateClient, graph_id: GraphId, record: GraphRecord) -> list[Task]:
     """Return the tasks of an accepted graph.
 
-    Raises IncompleteGraphError, ValueError and MalformedMessageError for content that is missing
-    or broken.
+    Raises IncompleteGraphError, ValueError and MalformedMessageError for missing or malformed
+    content.
     """
     if not record.opened:
         return records.unpack(records.decompress(record.content))
@@ -46,47 +54,47 @@
 
 async def read_progress(store: StateClient, graph_id: GraphId) -> Progress:
     """Return the stored progress of a graph's arrays; raise MalformedMessageError."""
-    entries, _ = await store.list_all(f"{records.RUN}{graph_id}/")
+    entries, _ = await store.list_all(f"{records.RUN_PREFIX}{graph_id}/")
     return records.progress(graph_id, entries)
 
 
-async def give_up_old(store: StateClient, now: float) -> None:
-    """Give up submissions that were opened too long before `now`, in seconds of the wall clock.
+async def abandon_old_submissions(store: StateClient, now: float) -> None:
+    """Abandon submissions that were opened more than MAX_SUBMISSION_S before `now`.
 
-    The opening time is that of the controller which wrote the record, `now` the leader's. Nothing
-    of a submission can be accepted any more once its opening record is deleted.
+    The opening time is on the wall clock of the controller that wrote the record, `now` on that of
+    the leader, in seconds. Once its opening record is deleted, a submission cannot be accepted.
     """
-    entries, _ = await store.list_all(OPEN)
+    entries, _ = await store.list_all(OPEN_PREFIX)
     for entry in entries:
-        graph_id = GraphId(entry.key[len(OPEN) :])
+        graph_id = GraphId(entry.key[len(OPEN_PREFIX) :])
         if now - wire.convert(entry.data, OpenRecord).at > MAX_SUBMISSION_S:
-            await give_up(store, graph_id, Version(entry.version))
+            await abandon_submission(store, graph_id, Version(entry.version))
 
 
-async def give_up(store: StateClient, graph_id: GraphId, opened: Version) -> None:
+async def abandon_submission(store: StateClient, graph_id: GraphId, opened: Version) -> None:
     """Delete the opening record with version `opened`.
 
-    The same transaction stores a note that the parts are to be deleted, so that a process which
-    stops in between leaves nothing behind.
+    The same transaction stores a note that marks the parts for deletion, so that nothing is left
+    behind if the process stops before it has deleted them.
     """
     key = records.open_key(graph_id)
     note = transactions.put(records.stale_key(graph_id, opened), {})
     await store.commit(
         [(key, opened)], [note, transactions.delete(key)], priority=transactions.BACKGROUND
     )
-    log.info("graph_given_up", graph=graph_id)
+    log.info("graph_submission_abandoned", graph=graph_id)
 
 
-async def delete_stale(store: StateClient) -> None:
-    """Delete the parts of all submissions that were given up."""
-    notes, _ = await store.list_all(STALE)
+async def delete_abandoned_parts(store: StateClient) -> None:
+    """Delete the parts of all abandoned submissions."""
+    notes, _ = await store.list_all(STALE_PREFIX)
     for note in notes:
-        graph_id, _, opened = note.key[len(STALE) :].rpartition(".")
+        graph_id, _, opened = note.key[len(STALE_PREFIX) :].rpartition(".")
         await delete_parts(store, GraphId(graph_id), Version(int(opened)))
 
 
 async def delete_parts(store: StateClient, graph_id: GraphId, opened: Version) -> None:
-    """Delete the stored parts of a submission that was given up, and last the note that says so."""
+    """Delete the stored parts of an abandoned submission, then the note that marks them."""
     batch_size = min(MAX_DELETIONS_PER_TRANSACTION, store.strictest_limits.txn_ops)
     entries, _ = await store.list_all(f"{PART}{graph_id}/{opened}/")
     deletions = [transactions.delete(Key(entry.key)) for entry in entries]
@@ -95,7 +103,7 @@
             [],
             deletions[start : start + batch_size],
             priority=transactions.BACKGROUND,
-            patience=DELETE_PATIENCE_S,
+            patience=MAX_DELETE_WAIT_S,
         )
     note_deletion = transactions.delete(records.stale_key(graph_id, opened))
     await store.commit([], [note_deletion], priority=transactions.BACKGROUND)
