--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -38,9 +38,9 @@
         drained = killed = late = False
         deadline = time.monotonic() + 75
         while time.monotonic() < deadline:
-            poll = await example.ask(cluster, "GET", "/v1/graphs/graph-7")
+            poll = await example.send_request(cluster, "GET", "/v1/graphs/graph-7")
             state = msgspec.msgpack.decode(poll.body)
-            page = await example.ask(cluster, "GET", "/v1/graphs/graph-7/tasks")
+            page = await example.send_request(cluster, "GET", "/v1/graphs/graph-7/tasks")
             for task in msgspec.msgpack.decode(page.body)["tasks"]:
                 if task["phase"] in FINAL:
                     heard[task["name"]].add(task["phase"])
@@ -59,8 +59,10 @@
         assert state["phase"] == "done" and state["done"] == 50
         assert drained and killed and late
         assert all(answers == {"done"} for answers in heard.values()), heard
-        assert 0 < cluster.most_cores["red"] <= MAXIMUM
-        assert len(cluster.ends) == 50 and all("done" in ends for ends in cluster.ends.values())
+        assert 0 < cluster.peak_cores["red"] <= MAXIMUM
+        assert len(cluster.exit_causes) == 50 and all(
+            "done" in causes for causes in cluster.exit_causes.values()
+        )
         children = [child for child in cluster.children if child is not None]
         folder = cluster.folder
     assert all(child.poll() is not None for child in children)
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""What developers run; nothing of it is part of the service."""
+"""Tools for developers, not part of the service."""
--- a/umberward/local/__init__.py
+++ b/umberward/local/__init__.py
@@ -1,1 +1,1 @@
-"""A cluster on one machine to try umberward on: stand-ins by the protocol, controllers for real."""
+"""A cluster on one machine: real controllers, and simulated services that follow the protocol."""
--- a/umberward/local/child.py
+++ b/umberward/local/child.py
@@ -1,6 +1,6 @@
-"""Runs the command line as a child that ends with its parent, however that ends.
+"""Runs the command line in a child process that exits with its parent, even if that is killed.
 
-The parent keeps the other end of standard input open as long as it lives.
+The parent holds the other end of standard input; end of file means that the parent has exited.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 import threading
 
 
-def _wait_for_the_parent() -> None:
+def _exit_with_parent() -> None:
     while os.read(0, 1024):
         pass
     os._exit(0)
 
 
 if __name__ == "__main__":
-    threading.Thread(target=_wait_for_the_parent, daemon=True).start()
+    threading.Thread(target=_exit_with_parent, daemon=True).start()
     runpy.run_module("umberward", run_name="__main__")
--- a/umberward/local/cloudcore.py
+++ b/umberward/local/cloudcore.py
@@ -1,7 +1,7 @@
-"""The semantics of the cloud provider, without I/O, for the local cluster and the tests.
+"""A model of the cloud provider, without I/O, for the local cluster and the tests.
 
-Rentals are idempotent by a claim; machines take a while to boot; capacity may be limited; the list
-of machines lags behind; spot machines may be taken back after a notice.
+A claim makes a rental idempotent, machines take time to boot, capacity may be limited, the list of
+machines lags behind, and spot machines may be reclaimed after a notice.
 
 Times are seconds of the caller's monotonic clock; this module never reads a clock itself.
 """
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from umberward.local.errors import StandInError
+from umberward.local.errors import SimulatedServiceError
 from umberward.protocol.wire import (
     MAX_DELETIONS_PER_REQUEST,
     MAX_MACHINES_PER_REQUEST,
@@ -20,31 +20,31 @@
     MachineType,
 )
 
-BOOT_TIME_FACTORS = (0.6, 1.5)  # least and most, of the nominal boot time
-NOTICE_FACTORS = (0.5, 1.5)  # least and most, of the nominal notice before a machine is taken back
+BOOT_TIME_FACTORS = (0.6, 1.5)  # minimum and maximum, relative to the nominal boot time
+RECLAIM_NOTICE_FACTORS = (0.5, 1.5)  # minimum and maximum, relative to the nominal notice
 
 
-class NoCapacityError(StandInError):
-    """The cloud has no machine of the requested type, zone and price left."""
+class NoCapacityError(SimulatedServiceError):
+    """The cloud has no more machines of the requested type, zone and price."""
 
 
-class MalformedRequestError(StandInError):
-    """A request names something unknown or asks for too much at once: status 400."""
+class MalformedRequestError(SimulatedServiceError):
+    """A request names something unknown or exceeds a limit (status 400)."""
 
 
 class InvalidRentalError(MalformedRequestError):
     """A rental of an unknown type, in a zone without that type, or of too many machines."""
 
     def __init__(self, machine_type: str, zone: str, count: int) -> None:
-        """The arguments are those of the request."""
+        """Describe the rejected request."""
         super().__init__(f"{machine_type} in {zone}, {count} times")
 
 
 class TooManyDeletionsError(MalformedRequestError):
-    """A deletion names too many machines."""
+    """A request deletes too many machines."""
 
     def __init__(self, count: int) -> None:
-        """`count`: how many names the request has."""
+        """`count`: the number of machines in the request."""
         super().__init__(f"{count} names")
 
 
@@ -57,14 +57,14 @@
     zone: str
     spot: bool
     rented_at: float
-    up_at: float  # when it has booted
+    up_at: float  # when it will have booted
     up: bool = False
     address: str = ""
-    taken_at: float | None = None  # when the cloud takes it back, once that is announced
+    reclaim_at: float | None = None  # when the cloud reclaims it; None until that is announced
 
 
 class Capacity(NamedTuple):
-    """What the cloud has a limit for: machines of one type, in one zone, spot or not."""
+    """The kind of machine that a capacity limit applies to: type, zone, and spot or not."""
 
     machine_type: str
     zone: str
@@ -72,28 +72,28 @@
 
 
 class CloudTick(NamedTuple):
-    """What has happened since the tick before."""
+    """Machines that have booted or were reclaimed since the previous tick."""
 
     booted: list[Machine]
-    taken_back: list[Machine]
+    reclaimed: list[Machine]
 
 
 class MachineListPage(NamedTuple):
     """A page of the list of machines."""
 
     machines: list[CloudMachine]
-    more: bool  # whether the list goes on after this page
+    more: bool  # whether another page follows
 
 
 class MachineListSnapshot(NamedTuple):
-    """The list of machines as it was at one moment."""
+    """The list of machines at one point in time."""
 
     taken_at: float
     machines: list[CloudMachine]
 
 
 class CloudCore:
-    """The cloud's machines, rentals and limits."""
+    """The cloud's machines, rentals and capacity limits."""
 
     def __init__(
         self,
@@ -102,21 +102,22 @@
         rng: random.Random,
         speed: float,
     ) -> None:
-        """`list_lag_s`: how far the list lags behind; `speed`: how much faster machines boot."""
+        """`list_lag_s`: the age of the list that is returned; `speed`: speed-up factor of boots."""
         self.machine_types = {machine_type.name: machine_type for machine_type in machine_types}
         self.list_lag_s = list_lag_s
         self.rng = rng
         self.speed = speed
         self.machines: dict[str, Machine] = {}
-        self.claims: dict[str, list[str]] = {}  # claim -> the machines that it has rented
-        self.capacity: dict[Capacity, int] = {}  # kinds of machines without an entry: no limit
-        self.rented = 0  # machines so far
-        self.past: list[MachineListSnapshot] = []  # oldest first, the first being the one shown
+        self.claims: dict[str, list[str]] = {}  # claim -> ids of the machines rented by it
+        self.capacity: dict[Capacity, int] = {}  # kinds without an entry are unlimited
+        self.total_rented = 0  # machines rented since the start
+        # Oldest first; the first one is what requests get.
+        self.list_snapshots: list[MachineListSnapshot] = []
 
     def rent(self, claim: str, kind: Capacity, count: int, now: float) -> list[str]:
-        """Rent at most `count` machines, fewer if the capacity ends; returns their ids.
+        """Rent up to `count` machines, as far as the capacity suffices; returns their ids.
 
-        The same claim once more rents nothing and returns the same ids.
+        A claim that was used before rents nothing and returns the same ids again.
         Raises NoCapacityError or MalformedRequestError.
         """
         if claim in self.claims:
@@ -143,8 +144,8 @@
 
     def _add_machine(self, machine_type: MachineType, kind: Capacity, now: float) -> str:
         """Start to boot one machine; returns its id."""
-        self.rented += 1
-        machine_id = f"i-{self.rented:06d}"
+        self.total_rented += 1
+        machine_id = f"i-{self.total_rented:06d}"
         boot_s = machine_type.boot_s * self.rng.uniform(*BOOT_TIME_FACTORS) / self.speed
         self.machines[machine_id] = Machine(
             machine_id, machine_type, kind.zone, kind.spot, now, now + boot_s
@@ -152,9 +153,9 @@
         return machine_id
 
     def delete(self, machine_ids: list[str]) -> list[Machine]:
-        """Delete machines; returns those deleted. Unknown ids are ignored.
+        """Delete machines; returns the deleted ones. Unknown ids are ignored.
 
-        Raises MalformedRequestError for more ids than one request may have.
+        Raises MalformedRequestError if there are more ids than one request may have.
         """
         if len(machine_ids) > MAX_DELETIONS_PER_REQUEST:
             raise TooManyDeletionsError(len(machine_ids))
@@ -164,49 +165,57 @@
             if machine_id in self.machines
         ]
 
-    def take_back(self, count: int, notice_s: float, now: float, zone: str = "") -> list[Machine]:
-        """Announce that machines will be taken back, after about `notice_s` seconds.
+    def reclaim_machines(
+        self, count: int, notice_s: float, now: float, zone: str = ""
+    ) -> list[Machine]:
+        """Announce that up to `count` machines will be reclaimed in about `notice_s` seconds.
 
-        At most `count` running ones: spot machines or, with a zone, any machines of that zone.
+        Chooses booted spot machines or, if `zone` is given, any booted machines of that zone.
         """
         candidates = [
             machine
             for machine in self.machines.values()
             if machine.up
-            and machine.taken_at is None
+            and machine.reclaim_at is None
             and (machine.zone == zone if zone else machine.spot)
         ]
         for machine in candidates[:count]:
-            machine.taken_at = now + notice_s * self.rng.uniform(*NOTICE_FACTORS)
+            machine.reclaim_at = now + notice_s * self.rng.uniform(*RECLAIM_NOTICE_FACTORS)
         return candidates[:count]
 
     def tick(self, now: float) -> CloudTick:
-        """Boot and take back the machines that are due, and add to the history of the list."""
-        taken_back = [
+        """Finish due boots, reclaim due machines, and take a snapshot of the list of machines."""
+        reclaimed = [
             machine
             for machine in self.machines.values()
-            if machine.taken_at is not None and machine.taken_at <= now
+            if machine.reclaim_at is not None and machine.reclaim_at <= now
         ]
-        for machine in taken_back:
+        for machine in reclaimed:
             del self.machines[machine.id]
         booted = [
             machine for machine in self.machines.values() if not machine.up and machine.up_at <= now
         ]
         for machine in booted:
             machine.up = True
-        self.past.append(MachineListSnapshot(now, self._current_list(now)))
-        while len(self.past) > 1 and self.past[1].taken_at <= now - self.list_lag_s:
-            del self.past[0]
-        return CloudTick(booted, taken_back)
-
-    def listed(self, start: str, most: int) -> MachineListPage:
-        """A page of the list as it was `list_lag_s` ago: ids after `start`, in their order."""
-        machines = self.past[0].machines if self.past else []
+        self.list_snapshots.append(MachineListSnapshot(now, self._current_list(now)))
+        while (
+            len(self.list_snapshots) > 1
+            and self.list_snapshots[1].taken_at <= now - self.list_lag_s
+        ):
+            del self.list_snapshots[0]
+        return CloudTick(booted, reclaimed)
+
+    def list_page(self, start: str, most: int) -> MachineListPage:
+        """A page of up to `most` machines of the list as of `list_lag_s` ago, sorted by id.
+
+        `start`: the last id of the previous page.
+        """
+        machines = self.list_snapshots[0].machines if self.list_snapshots else []
         following = [machine for machine in machines if machine.machine_id > start]
         return MachineListPage(following[:most], len(following) > most)
 
     def _current_list(self, now: float) -> list[CloudMachine]:
-        """All machines in the order of their ids, with their ages in seconds."""
+        """All machines, sorted by id, with their ages in seconds."""
         return [
             CloudMachine(
                 machine.id,
--- a/umberward/local/cluster.py
+++ b/umberward/local/cluster.py
@@ -1,4 +1,5 @@
-"""A whole cluster on the loopback: stand-ins in this process, controllers in child processes.
+"""A whole cluster on the loopback: services and workers are simulated in this process, controllers
+run in child processes.
 
 Times are seconds of this process's monotonic clock.
 """
@@ -44,36 +45,36 @@
 
 HOST = "127.0.0.1"
 TICK_S = 0.05
-RESTART_DELAY_S = 2.0  # between the end of a controller and its next start
+RESTART_DELAY_S = 2.0  # from the exit of a controller to its restart
 MIN_RUN_S = 0.02
 DEFAULT_RUN_S = 5.0  # of tasks without an expected run time
-MAX_FAILING_RUN_S = 0.2  # of tasks on a machine that fails them
+MAX_FAILING_RUN_S = 0.2  # run time of tasks on a machine that fails its tasks
 LIST_LAG_S = 2.0
 CLOUD_RPS = 5.0
 CLIENT_SOCKETS = 600
-READY_TIMEOUT_S = 30.0  # by then all controllers must be ready
+READY_TIMEOUT_S = 30.0  # from the start of the controllers until all are ready
 READY_POLL_S = 0.1
 READY_REQUEST_TIMEOUT_S = 1.0
 
 
 class NotReadyError(RuntimeError):
-    """The controllers have not become ready in time."""
+    """The controllers did not become ready in time."""
 
     def __init__(self, last_log_line: str) -> None:
-        """`last_log_line`: of a controller, empty for none."""
-        super().__init__(f"no controller is ready after {READY_TIMEOUT_S:.0f} s{last_log_line}")
+        """`last_log_line`: of a controller, or empty."""
+        super().__init__(f"controllers not ready after {READY_TIMEOUT_S:.0f} s{last_log_line}")
 
 
 class LocalCluster:
-    """The stand-ins, the controllers' processes, and what was seen of the tasks."""
+    """The simulated services, the controllers' processes, and a record of the tasks' runs."""
 
     worker_core: type[WorkerCore] = WorkerCore
 
     def __init__(self, plan: ClusterPlan, folder: Path) -> None:
-        """Nothing runs yet. `folder`: for the controllers' settings and logs."""
+        """Start nothing yet. `folder`: where the controllers' settings and logs go."""
         self.plan = plan
         self.folder = folder
-        self.processes: dict[str, subprocess.Popen[bytes]] = {}  # functions of graphs' tasks
+        self.processes: dict[str, subprocess.Popen[bytes]] = {}  # by graph task: its function
         self.rng = random.Random(plan.seed)
         self.zones = sorted({zone for machine_type in plan.machines for zone in machine_type.zones})
         self.workers_said = plan.workers
@@ -94,29 +95,29 @@
         self.start_at = [0.0] * plan.controllers
         self.come_back_s = [RESTART_DELAY_S] * plan.controllers
         self.mates = Mates()
-        self.workers: dict[str, tuple[WorkerServer, curio.Task]] = {}  # by machine
+        self.workers: dict[str, tuple[WorkerServer, curio.Task]] = {}  # by machine id
         self.client = Client(CLIENT_SOCKETS)
         self.descriptions = JobDescriptions(self.state.core)
         self.sick: set[str] = set()  # machines that fail the tasks that they start
-        self.to_execute: list[tuple[str, str]] = []  # machine, task
-        self.running_on: dict[str, str] = {}  # task -> its machine
-        self.dying: list[curio.Task] = []  # servers of deleted machines, still to be cancelled
-        self.most_cores: dict[str, float] = {}  # team -> the most cores that it has used at once
-        self.started_at: dict[str, float] = {}  # task -> when it first ran
+        self.functions_to_start: list[tuple[str, str]] = []  # pairs of machine id and task id
+        self.machine_by_task: dict[str, str] = {}  # for tasks whose function runs
+        self.servers_to_cancel: list[curio.Task] = []  # of the workers of deleted machines
+        self.peak_cores: dict[str, float] = {}  # team -> the most cores in use at once
+        self.started_at: dict[str, float] = {}  # task -> when its first run started
         self.done_at: dict[str, float] = {}  # task -> when it first completed
-        self.ends: dict[str, list[str]] = {}  # task -> how its attempts ended
-        self.group = TaskScope()  # owns the tasks of the stand-ins
+        self.exit_causes: dict[str, list[str]] = {}  # task -> causes of its attempts' ends
+        self.group = TaskScope()  # runs all tasks of this process that belong to the cluster
 
     def _addresses(self, count: int) -> list[Address]:
-        """Addresses on which nobody listens."""
+        """Addresses that no socket listens on."""
         return free_ports(count)
 
-    # ---- as a whole --------------------------------------------------------------------
+    # ---- start and stop ----------------------------------------------------------------
 
     @classmethod
     @contextlib.asynccontextmanager
     async def running(cls, plan: ClusterPlan) -> AsyncIterator[LocalCluster]:
-        """A cluster that is ready; all its processes and files are gone afterwards."""
+        """Yield a cluster that is ready; afterwards stop its processes and delete its files."""
         folder = Path(tempfile.mkdtemp(prefix="umberward-local-"))
         cluster = cls(plan, folder)
         try:
@@ -132,7 +133,7 @@
         self._write_settings()
         for server in [*self.state.servers, self.cloud.server, self.store.server]:
             await self.group.spawn(server.run)
-        await self.group.spawn(self._clockwork)
+        await self.group.spawn(self._run_ticks)
         deadline = time.monotonic() + READY_TIMEOUT_S
         while not await self._ready():
             if time.monotonic() > deadline:
@@ -150,7 +151,7 @@
 
     def _end(self) -> None:
         for process in [*self.children, *self.processes.values()]:
-            _stop(process)
+            _kill_process(process)
 
     async def _ready(self) -> bool:
         for address in self.listen:
@@ -165,7 +166,7 @@
         return True
 
     def _last_log_line(self) -> str:
-        """The last line of the log of the first controller that has one."""
+        """The last log line of the first controller that has logged anything, or empty."""
         for name in self.names:
             path = self.folder / f"{name}.log"
             lines = path.read_text().splitlines() if path.exists() else []
@@ -211,19 +212,19 @@
             },
         }
 
-    # ---- time --------------------------------------------------------------------------
+    # ---- ticks -------------------------------------------------------------------------
 
-    async def _clockwork(self) -> None:
-        """Advance all stand-ins at each tick."""
+    async def _run_ticks(self) -> None:
+        """Advance all simulated parts periodically, until cancelled."""
         while True:
             now = time.monotonic()
             await self._tick_state(now)
             await self._tick_cloud(now)
             self._tick_workers(now)
-            self._note_use()
-            self._execute()
-            while self.dying:
-                await self.dying.pop().cancel(blocking=False)
+            self._record_peak_cores()
+            self._run_functions()
+            while self.servers_to_cancel:
+                await self.servers_to_cancel.pop().cancel(blocking=False)
             self._restart_controllers(now)
             await curio.sleep(TICK_S)
 
@@ -231,7 +232,7 @@
         revision = self.state.core.revision
         if not self.state.down:
             self.state.core.tick(now)
-            await self.state.deliver()
+            await self.state.execute_due_transactions()
         if self.state.core.revision != revision:
             await self.state.notify()
 
@@ -239,30 +240,30 @@
         happened = self.cloud.core.tick(now)
         for machine in happened.booted:
             await self._up(machine, now)
-        self._gone(happened.taken_back)
+        self._gone(happened.reclaimed)
 
     def _tick_workers(self, now: float) -> None:
         for worker, _ in self.workers.values():
             worker.core.tick(now)
             machine = self.cloud.core.machines.get(worker.core.host)
-            if machine is not None and worker.core.notice_at != machine.taken_at:
-                worker.core.notice_at = machine.taken_at
+            if machine is not None and worker.core.notice_at != machine.reclaim_at:
+                worker.core.notice_at = machine.reclaim_at
                 worker.core.changes += 1
 
     def _restart_controllers(self, now: float) -> None:
-        """Start the controllers that have ended and whose delay is over."""
+        """Restart each controller that has exited, once its restart delay has passed."""
         for number, child in enumerate(self.children):
             if child is not None and child.poll() is not None:
                 self.children[number] = None
                 self.start_at[number] = now + self.come_back_s[number]
                 self._child_ended(number, child.returncode)
             if self.children[number] is None and now >= self.start_at[number]:
-                self.children[number] = self._child(number)
+                self.children[number] = self._start_controller(number)
 
     def _child_ended(self, number: int, code: int) -> None:
-        """A controller's process has ended, and is started again in a while."""
+        """Handle the exit of a controller, which is restarted later; subclasses override this."""
 
-    def _child(self, number: int) -> subprocess.Popen[bytes]:
+    def _start_controller(self, number: int) -> subprocess.Popen[bytes]:
         name = self.names[number]
         with (self.folder / f"{name}.log").open("ab") as log_file:
             return subprocess.Popen(
@@ -303,7 +304,7 @@
 
     def _worker(self, machine: Machine, now: float) -> WorkerServer:
         core = self._core(machine, now)
-        core.exited = self._exited
+        core.exited = self._record_exit
         report_s = self.workers_said.report_s
         return WorkerServer(core, self.nodes, report_s, self.client, self.rng)
 
@@ -317,13 +318,13 @@
             worker, task = self.workers.pop(machine.id, (None, None))
             if worker is not None:
                 worker.core.end_session()
-                # Its connections end with its server.
-                self.dying.append(task)
+                # Cancelling the server closes its connections.
+                self.servers_to_cancel.append(task)
 
-    # ---- what runs ---------------------------------------------------------------------
+    # ---- tasks -------------------------------------------------------------------------
 
     def _fate(self, host: str, name: str, spec: JobSpec) -> Fate:
-        """How the task ends that starts on that machine."""
+        """Decide how a task that starts to run on machine `host` will end."""
         self.started_at.setdefault(name, time.monotonic())
         if spec.kind == wire.SERVICE:
             return Fate(float("inf"))
@@ -331,23 +332,23 @@
         if host in self.sick:
             return Fate(min(seconds, MAX_FAILING_RUN_S), "error")
         if self.store.whole(name + CALL):
-            self.to_execute.append((host, name))
+            self.functions_to_start.append((host, name))
             return Fate(float("inf"))
         return Fate(max(MIN_RUN_S, seconds))
 
-    def _exited(self, name: str, cause: str) -> None:
-        self.ends.setdefault(name, []).append(cause)
-        _stop(self.processes.pop(name, None))
+    def _record_exit(self, name: str, cause: str) -> None:
+        self.exit_causes.setdefault(name, []).append(cause)
+        _kill_process(self.processes.pop(name, None))
         if cause == wire.DONE:
             self.done_at.setdefault(name, time.monotonic())
 
-    def _execute(self) -> None:
-        """Start the functions of graphs' tasks in processes of their own, and note those that end.
+    def _run_functions(self) -> None:
+        """Start the functions of graphs' tasks, and end the tasks whose function has returned.
 
-        A worker of a deployment also runs each function in a process of its own.
+        Each function runs in its own process, as on a worker of a deployment.
         """
-        for host, name in self.to_execute:
-            _stop(self.processes.pop(name, None))
+        for host, name in self.functions_to_start:
+            _kill_process(self.processes.pop(name, None))
             command = [sys.executable, "-m", "umberward.local.execute"]
             null = subprocess.DEVNULL
             self.processes[name] = subprocess.Popen(
@@ -356,49 +357,49 @@
                 stdout=null,
                 stderr=null,
             )
-            self.running_on[name] = host
-        self.to_execute.clear()
+            self.machine_by_task[name] = host
+        self.functions_to_start.clear()
         for name, process in list(self.processes.items()):
             code = process.poll()
             if code is not None:
                 del self.processes[name]
-                worker, _ = self.workers.get(self.running_on.pop(name), (None, None))
+                worker, _ = self.workers.get(self.machine_by_task.pop(name), (None, None))
                 if worker is not None:
                     worker.core.finish(name, wire.DONE if code == 0 else "error")
 
-    def _note_use(self) -> None:
+    def _record_peak_cores(self) -> None:
         used: dict[str, float] = {}
         for worker, _ in self.workers.values():
             for task in worker.core.running_tasks.values():
                 if task.spec is not None:
                     used[task.spec.team] = used.get(task.spec.team, 0.0) + task.spec.cores
         for team, cores in used.items():
-            self.most_cores[team] = max(self.most_cores.get(team, 0.0), cores)
+            self.peak_cores[team] = max(self.peak_cores.get(team, 0.0), cores)
 
     def describe(self, job_id: str) -> JobSpec | None:
-        """A job's description, None if there is no such job."""
+        """A job's description, or None if there is no such job."""
         return self.descriptions.find(job_id)
 
     # ---- faults ------------------------------------------------------------------------
 
     async def _cause_faults(self) -> None:
-        """Begin each fault of the plan at its time."""
+        """Start each fault of the plan at its time."""
         ready_at = time.monotonic()
         for fault in sorted(self.plan.troubles, key=lambda fault: fault.at):
             await curio.sleep(max(0.0, ready_at + fault.at - time.monotonic()))
             await self.group.spawn(self.cause, fault)
 
     async def cause(self, fault: Fault) -> None:
-        """Begin a fault, and end it when its time is over."""
+        """Start a fault, and end it after its duration."""
         log.info("trouble", what=fault.what)
         machine_ids = [worker.core.host for worker, _ in self.workers.values()][: fault.count]
         if fault.what == "crash":
             self.crash(fault.controller)
         elif fault.what == "drain":
             count = len(self.workers)
-            self.cloud.core.take_back(count, fault.seconds, time.monotonic(), fault.zone)
+            self.cloud.core.reclaim_machines(count, fault.seconds, time.monotonic(), fault.zone)
         elif fault.what == "take":
-            self.cloud.core.take_back(fault.count, fault.seconds, time.monotonic())
+            self.cloud.core.reclaim_machines(fault.count, fault.seconds, time.monotonic())
         elif fault.what == "delete":
             self._gone(self.cloud.core.delete(machine_ids))
         elif fault.what == "sick":
@@ -423,19 +424,19 @@
             self.state.refused.discard(fault.controller)
 
     def crash(self, number: int | None = None) -> None:
-        """Kill one controller, or all without a number."""
+        """Kill one controller, or all if `number` is None."""
         for index, child in enumerate(self.children):
             if child is not None and number in (None, index):
                 child.kill()
 
     @property
     def leader(self) -> int | None:
-        """The number of the controller that leads, by its record in the state service."""
+        """The number of the leading controller, by the leader key in the state service."""
         found = self.state.core.keys.get("leader")
         return None if found is None else self.names.index(found.data["node"])
 
     def status(self) -> str:
-        """One line with the counts of everything that runs."""
+        """A one-line summary with counts of controllers, machines, tasks, jobs and graphs."""
         alive = sum(child is not None for child in self.children)
         tasks = sum(len(worker.core.running_tasks) for worker, _ in self.workers.values())
         core = self.state.core
@@ -449,15 +450,15 @@
         )
 
 
-def _stop(process: subprocess.Popen[bytes] | None) -> None:
-    """Kill a process, if there is one, and wait for its end."""
+def _kill_process(process: subprocess.Popen[bytes] | None) -> None:
+    """Kill a process, if there is one, and wait until it has exited."""
     if process is not None:
-        process.kill()  # of one that has ended already it does nothing
+        process.kill()  # no effect if it has exited already
         process.wait()
 
 
 def free_ports(count: int) -> list[Address]:
-    """Ports of the loopback on which nobody listens now, all different."""
+    """Different ports of the loopback that no socket listens on now."""
     probes = []
     for _ in range(count):
         probe = socket.socket()
--- a/umberward/local/cluster_plan.py
+++ b/umberward/local/cluster_plan.py
@@ -1,4 +1,4 @@
-"""What a local cluster consists of, and the faults that it is to suffer."""
+"""The configuration of a local cluster, and the faults to inject into it."""
 
 from __future__ import annotations
 
@@ -19,13 +19,14 @@
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True):
-    """A fault that begins `at` so many seconds after the cluster is ready and lasts `for` so many.
+    """A fault that starts `at` seconds after the cluster is ready and lasts `for` seconds.
 
-    crash: controllers (all without `controller`) are killed; state_down, cloud_down: the service is
-    unavailable; refuse: the state service refuses one controller; lost, late: transactions get no
-    response and are executed all the same, or some time later; drain: the cloud announces that it
-    will take back all machines of `zone`; take: the same for `count` spot machines; delete:
-    `count` machines disappear at once; sick: `count` machines fail the tasks that they start.
+    crash: one controller (all if `controller` is not set) is killed; state_down, cloud_down: the
+    service is unavailable; refuse: the state service refuses one controller; lost, late:
+    transactions get no response, but are executed, at once or after a delay; drain: the cloud
+    announces that it will reclaim all machines of `zone`; take: the same for `count` spot machines;
+    delete: `count` machines are deleted without notice; sick: `count` machines fail the tasks that
+    they start.
     """
 
     at: float
@@ -48,7 +49,7 @@
 
 
 class ClusterPlan(msgspec.Struct):
-    """What a local cluster consists of; `speed`: how much faster machines boot and tasks run."""
+    """The configuration of a local cluster; `speed`: speed-up factor of boots and tasks."""
 
     controllers: int = 3
     machines: list[MachineType] = msgspec.field(default_factory=lambda: list(MACHINES))
@@ -60,5 +61,5 @@
     seed: int = 1
     graphs: bool = True
     workers: WorkerTimes = WORKERS
-    properties: dict[str, str] = {}  # operators' settings, besides the one that enables graphs
-    log_level: str = ""  # of the controllers; empty: as in this process
+    properties: dict[str, str] = {}  # operators' settings besides `graphs.enabled`
+    log_level: str = ""  # of the controllers; empty: LOG_LEVEL of this process
--- a/umberward/local/errors.py
+++ b/umberward/local/errors.py
@@ -1,7 +1,7 @@
-"""The base of the errors that the stand-ins of the local cluster raise."""
+"""The base class of the errors that the simulated services of the local cluster raise."""
 
 from __future__ import annotations
 
 
-class StandInError(Exception):
-    """A stand-in for a service of the platform cannot do what it was asked for."""
+class SimulatedServiceError(Exception):
+    """A simulated service of the platform can't carry out a request."""
--- a/umberward/local/example.py
+++ b/umberward/local/example.py
@@ -1,4 +1,4 @@
-"""An example of each kind of work, sent to a local cluster and followed to its end."""
+"""Submits an example of each kind of work to a local cluster and waits until each has ended."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from umberward.protocol.wire import ARRAY, GANG, SERVICE, JobSpec
 
 RETRY_S = 0.5
-MAX_WAIT_S = 90.0  # for a response, and for each job's end
+MAX_WAIT_S = 90.0  # for a response, and for the end of each job or graph
 REQUEST_TIMEOUT_S = 5.0
 
 
 class NoAnswerError(RuntimeError):
-    """No controller has answered a request in time."""
+    """No controller answered a request in time."""
 
     def __init__(self, method: str, path: str) -> None:
         """`method`, `path`: of the request."""
@@ -31,7 +31,7 @@
 
 
 def job(number: int, kind: str, task_count: int, **fields: object) -> JobSpec:
-    """A small job; `fields` have the names that they have on the wire."""
+    """A small job; `fields` override its defaults, under their names on the wire."""
     base: dict[str, Any] = {
         "uid": f"req-{number:06d}",
         "jobclass": f"example-{kind}",
@@ -55,14 +55,16 @@
 
 
 def graph(width: int = 6) -> File:
-    """A graph that fans out to `width` tasks and in to one."""
+    """A graph that fans out from one task to `width` tasks and in to one."""
     middle = [Task(f"map-{index}", ["split"], expect_s=2.0) for index in range(width)]
     last = Task("reduce", [task.name for task in middle], num_cpus=2.0, expect_s=2.0)
     return File(Options(team="red"), [Task("split", expect_s=1.0), *middle, last])
 
 
-async def ask(cluster: LocalCluster, method: str, path: str, body: bytes = b"") -> Response:
-    """Send a request as a user does: to the next controller if one is busy or does not answer.
+async def send_request(
+    cluster: LocalCluster, method: str, path: str, body: bytes = b""
+) -> Response:
+    """Send a request, retrying with the next controller if one is overloaded or does not answer.
 
     Raises NoAnswerError.
     """
@@ -82,42 +84,42 @@
 
 
 async def send_graph(cluster: LocalCluster, graph_id: str, file: File) -> Response:
-    """Send a graph in as many parts as it takes; returns the response to the last one sent."""
+    """Send a graph in as many parts as needed; returns the response to the last part sent."""
     for part in files.parts(GraphId(graph_id), file):
-        response = await ask(cluster, "POST", "/v1/graphs", wire.encode(part))
+        response = await send_request(cluster, "POST", "/v1/graphs", wire.encode(part))
         if response.status not in (HTTPStatus.OK, HTTPStatus.CREATED, HTTPStatus.ACCEPTED):
             break
     return response
 
 
 async def wait_for(cluster: LocalCluster, path: str, phases: tuple[str, ...]) -> dict[str, Any]:
-    """Poll a job or graph until its phase is one of these, or the time is over; its last state."""
+    """Poll a job or graph until it is in one of `phases` or time is up; returns its last state."""
     deadline = time.monotonic() + MAX_WAIT_S
     while True:
-        response = await ask(cluster, "GET", path)
+        response = await send_request(cluster, "GET", path)
         state: dict[str, Any] = msgspec.msgpack.decode(response.body)
         if state.get("phase") in phases or time.monotonic() > deadline:
             return state
         await curio.sleep(RETRY_S)
 
 
-async def run(cluster: LocalCluster, say: Callable[[str], object]) -> bool:
-    """Run one of each kind of work and `say` how each ends; True: all ended as they should."""
+async def run(cluster: LocalCluster, print_line: Callable[[str], object]) -> bool:
+    """Run one of each kind of work and print how each ends; True if all ended as expected."""
     array, gang = job(1, ARRAY, 12), job(2, GANG, 3, same_place=True)
     service = job(3, SERVICE, 2, rank="production", expect_s=0.0)
     for spec in (array, gang, service):
-        await ask(cluster, "POST", "/v1/jobs", wire.encode(spec))
+        await send_request(cluster, "POST", "/v1/jobs", wire.encode(spec))
     await send_graph(cluster, "graph-1", graph())
-    ended = await wait_for(cluster, f"/v1/jobs/{service.job_id}", ("running",))
-    say(f"service {service.job_id}: {ended['phase']}")
-    await ask(cluster, "POST", f"/v1/jobs/{service.job_id}/cancel")
-    succeeded = ended["phase"] == "running"
+    state = await wait_for(cluster, f"/v1/jobs/{service.job_id}", ("running",))
+    print_line(f"service {service.job_id}: {state['phase']}")
+    await send_request(cluster, "POST", f"/v1/jobs/{service.job_id}/cancel")
+    succeeded = state["phase"] == "running"
     for label, path in (
         (f"array {array.job_id}", f"/v1/jobs/{array.job_id}"),
         (f"gang {gang.job_id}", f"/v1/jobs/{gang.job_id}"),
         ("graph graph-1", "/v1/graphs/graph-1"),
     ):
-        ended = await wait_for(cluster, path, ("done", "failed", "cancelled"))
-        say(f"{label}: {ended['phase']}, {ended['done']} tasks done")
-        succeeded = succeeded and ended["phase"] == "done"
+        state = await wait_for(cluster, path, ("done", "failed", "cancelled"))
+        print_line(f"{label}: {state['phase']}, {state['done']} tasks done")
+        succeeded = succeeded and state["phase"] == "done"
     return bool(succeeded)
--- a/umberward/local/execute.py
+++ b/umberward/local/execute.py
@@ -2,8 +2,8 @@
 
     python -m umberward.local.execute STORE TASK
 
-STORE is the address of the store, TASK the task's id. Exit status 0: the task is done; 1: the
-function raised, and its traceback is in the store.
+STORE is the address of the store, TASK the task's id. Exit status 0: the task has succeeded;
+1: the function raised, and its traceback is in the store.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 
 
 async def run(store_address: Address, task_id: str) -> bool:
-    """Run the task's function; False: it raised, and its traceback is stored in place of a result.
+    """Run the task's function; False if it raised: its traceback is stored instead of a result.
 
-    A value that is missing counts as a failure of the function.
+    A missing input value counts as a failure of the function.
     """
     client = Client(STORE_CONNECTIONS)
     try:
@@ -39,7 +39,7 @@
 
 
 async def _call(client: Client, store_address: Address, task_id: str) -> object:
-    """Call the task's function with its inputs; returns what it returns."""
+    """Call the task's function with its inputs; returns its result."""
     call, inputs = cloudpickle.loads(await _fetch(client, store_address, task_id + store.CALL))
     function, args, kwargs = cloudpickle.loads(call)
     values = {}
@@ -48,7 +48,7 @@
         values[name] = cloudpickle.loads(data)
 
     def resolve(argument: object) -> object:
-        """The value of an argument that stands for another task's result, or the argument."""
+        """Replace a placeholder for another task's result by that result."""
         return values[argument.name] if isinstance(argument, Later) else argument
 
     resolved_kwargs = {name: resolve(argument) for name, argument in kwargs.items()}
@@ -57,7 +57,7 @@
 
 
 async def _fetch(client: Client, store_address: Address, name: str) -> bytes:
-    """A value as it is stored. Raises StoreError if there is none."""
+    """Fetch a value from the store. Raises StoreError if there is none."""
     data: bytes | None = await store.get(client, store_address, name)
     if data is None:
         raise store.StoreError(f"{name}: not in the store")  # noqa: TRY003 - users see this text
--- a/umberward/local/job_descriptions.py
+++ b/umberward/local/job_descriptions.py
@@ -1,6 +1,7 @@
 """Descriptions of jobs, read from the records in the state service.
 
-Workers of a deployment read them where users have uploaded them; nobody uploads them here.
+Workers of a deployment read the descriptions that users have uploaded; in a local cluster nobody
+uploads them.
 """
 
 from __future__ import annotations
@@ -13,15 +14,15 @@
 
 
 class JobDescriptions:
-    """Finds the description of each job, of users' own jobs and of those that run graphs' tasks."""
+    """Finds the descriptions of jobs: users' own, and those that run the tasks of graphs."""
 
     def __init__(self, state: StateCore) -> None:
-        """`state`: where the records are."""
+        """`state`: the state service that holds the records."""
         self._state = state
         self._shapes: dict[model.GraphId, Shape] = {}  # a graph's shape never changes
 
     def find(self, job_id: str) -> JobSpec | None:
-        """The description; None: there is no such job."""
+        """The job's description, or None if there is no such job."""
         graph_kind = model.graph_of(job_id)
         if graph_kind is not None:
             graph_id, kind = graph_kind
@@ -43,7 +44,7 @@
         return self._shapes[graph_id].spec(graph_id, graph.options, kind)
 
     def _tasks(self, graph_id: model.GraphId, graph: records.GraphRecord) -> list[model.Task]:
-        """The graph's tasks, from its record or, for a graph sent in parts, from theirs."""
+        """The graph's tasks, from its record or, if it was sent in parts, from those."""
         if not graph.opened:
             return records.unpack(records.decompress(graph.content))
         prefix = f"{records.PART}{graph_id}/{graph.opened}/"
--- a/umberward/local/links.py
+++ b/umberward/local/links.py
@@ -1,8 +1,8 @@
-"""Links between processes that may fail, each direction by itself. No sockets.
+"""Simulated network links with faults, separate for each direction. No sockets.
 
-Whoever carries requests asks this module how each of them fares: it arrives, it is late, it is held
-until the link is whole again, or it is lost; and likewise its response. A request that is late or
-held is carried out even if its sender has long given up.
+This module decides for each request and response whether it arrives, is delayed, is held until the
+link works again, or is lost. A request that is delayed or held is executed even if its sender has
+timed out long before.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 from umberward.protocol.http import Response
 
-HELD_MESSAGE_POLL_S = 0.05  # how often it is looked whether the link of a held message is whole
+HELD_MESSAGE_POLL_S = 0.05  # how often a held message checks whether its link works again
 
-# What may happen to a message, as it stands in `LinkFault.what`.
+# The effects that a fault may have on a message, the values of `LinkFault.what`.
 REFUSED, LOST, HELD, LATE, COPIED = "refuse", "lost", "hold", "late", "copied"
 
 
 class LinkFault(NamedTuple):
-    """What happens to messages from `src` to `dst` whose target begins with `path`.
+    """A fault of the link from `src` to `dst`, for messages whose target starts with `path`.
 
-    The names may have wildcards (`*`). `what` is REFUSED (by a receiver that can refuse a
-    connection), LOST, HELD, LATE by `least` to `most` seconds, or COPIED: the message arrives, and
-    once more after so many seconds. `share`: the part of the messages that LOST, LATE and COPIED
-    happen to, from 0 to 1.
+    `src` and `dst` may have wildcards (`*`). `what` is REFUSED (only by receivers that can refuse a
+    connection), LOST, HELD, LATE (by `least` to `most` seconds) or COPIED (the message arrives, and
+    again `least` to `most` seconds later). `share`: the fraction of messages affected by LOST, LATE
+    and COPIED.
     """
 
     src: str
@@ -39,7 +39,7 @@
     most: float = 0.0
     share: float = 1.0
 
-    def meets(self, src: str, dst: str, target: str) -> bool:
+    def applies_to(self, src: str, dst: str, target: str) -> bool:
         """Whether the fault applies to a message from `src` to `dst` with that target."""
         return (
             target.startswith(self.path)
@@ -49,20 +49,20 @@
 
 
 class Links:
-    """The links between all processes, with the faults that they have now."""
+    """The links between all processes, with their current faults."""
 
     def __init__(self, rng: random.Random, trip_s: float = 0.0) -> None:
-        """`trip_s`: how long a message is under way on a whole link."""
+        """`trip_s`: the latency of a link without faults."""
         self.rng = rng
         self.trip_s = trip_s
-        self.faults: dict[str, LinkFault] = {}  # by a label, by which its owner removes it
+        self.faults: dict[str, LinkFault] = {}  # by label; whoever adds a fault removes it by that
 
     def refuses(self, src: str, dst: str, target: str) -> bool:
         """Whether the receiver refuses the connection."""
         return any(fault.what == REFUSED for fault in self._faults_of(src, dst, target))
 
     async def passes(self, src: str, dst: str, target: str) -> bool:
-        """Wait as long as the message is under way; False: it is lost."""
+        """Wait until a message has arrived; returns False if it is lost."""
         delay_s = self.trip_s
         for fault in self._faults_of(src, dst, target):
             if fault.what == LOST and (fault.share >= 1.0 or self.rng.random() < fault.share):
@@ -76,7 +76,7 @@
         return True
 
     def copied_after(self, src: str, dst: str, target: str) -> float | None:
-        """In how many seconds the message arrives once more; None: it does not."""
+        """The seconds after which the message arrives again, or None if it doesn't."""
         for fault in self._faults_of(src, dst, target):
             if fault.what == COPIED and self.rng.random() < fault.share:
                 return self.rng.uniform(fault.least, fault.most)
@@ -85,9 +85,9 @@
     async def carry(
         self, src: str, dst: str, target: str, deliver: Callable[[], Awaitable[Response | None]]
     ) -> Response | None:
-        """Carry a request to its receiver and the response back; None: nobody gets a response.
+        """Transmit a request and return the response, or None if the sender gets none.
 
-        `deliver` hands the request to the receiver, once it has arrived.
+        `deliver` passes the request to the receiver once it has arrived.
         """
         if not await self.passes(src, dst, target):
             return None
@@ -97,5 +97,5 @@
         return response
 
     def _faults_of(self, src: str, dst: str, target: str) -> Iterator[LinkFault]:
-        """The faults that apply to a message; they may change while the caller waits."""
-        return (fault for fault in list(self.faults.values()) if fault.meets(src, dst, target))
+        """The faults that apply to a message; from a copy, as they may change meanwhile."""
+        return (fault for fault in list(self.faults.values()) if fault.applies_to(src, dst, target))
--- a/umberward/local/servers.py
+++ b/umberward/local/servers.py
@@ -1,6 +1,6 @@
-"""The stand-ins for state service, cloud and workers on HTTP over the loopback.
+"""HTTP servers on the loopback that simulate the state service, the cloud and workers.
 
-The semantics are in the modules `statecore`, `cloudcore` and `workercore`; this module reads the
+Their behaviour is in the modules `statecore`, `cloudcore` and `workercore`; this module reads the
 monotonic clock for them and translates between HTTP and their methods.
 """
 
@@ -21,7 +21,7 @@
 from umberward.core.types import Address, parse_address
 from umberward.local import cloudcore, statecore
 from umberward.local.cloudcore import Capacity, CloudCore, Machine
-from umberward.local.statecore import Rate, StateCore
+from umberward.local.statecore import StateCore, TokenBucket
 from umberward.local.workercore import WorkerCore
 from umberward.protocol import wire
 from umberward.protocol.http import (
@@ -40,37 +40,40 @@
 WORKER_SOCKETS = 16
 MAX_WATCH_S = 60.0
 CLOUD_BURST_S = 2.0
-HEARTBEAT_INTERVAL_SPREAD = 0.25  # the part of the interval by which it varies, both ways
-MIN_HEARTBEAT_GAP_S = 0.5
+HEARTBEAT_INTERVAL_SPREAD = 0.25  # the interval varies by up to this fraction, both ways
+MIN_HEARTBEAT_GAP_S = 0.5  # between two heartbeats, even if there are changes to report
 HEARTBEAT_TIMEOUT_S = 4.0
 RETRY_NEXT_CONTROLLER_S = 1.0
-POLL_S = 0.05  # of a worker for changes, and of an open watch for the end of an outage
-MAX_WATCH_WAIT_S = 1.0  # an open watch looks again after this time, even without a change
-LATE_EXECUTION_S = 4.0  # a late transaction is executed so much later
+POLL_S = 0.05  # how often workers check for changes, and open watches for the end of an outage
+MAX_WATCH_WAIT_S = 1.0  # an open watch checks again after this time, even without a change
+LATE_EXECUTION_S = 4.0  # delay of late transactions
 WITHHELD_RESPONSE_S = 30.0  # longer than any controller waits for a response
 MIN_LEASE_MS, MAX_LEASE_MS = 100, 600_000
 MS_PER_S = 1000
 
-# What may befall all transactions, as it stands in `StateServer.lossy`.
-LOST_RESPONSES = "lost"  # executed, without a response
-LATE_EXECUTION = "late"  # executed later, without a response
+# Faults of all transactions, the values of `StateServer.lossy`.
+LOST_RESPONSES = "lost"  # executed, but not answered
+LATE_EXECUTION = "late"  # executed after a delay and not answered
 
 
 def _query(request: Request) -> dict[str, str]:
-    """The first value of each parameter of the request's query."""
+    """The parameters of the request's query string, the first value of each."""
     return {name: values[0] for name, values in parse_qs(request.query).items()}
 
 
 class BodyNotMapError(TypeError):
-    """A request's body is something else than a map."""
+    """A request's body is not a map."""
 
     def __init__(self) -> None:
-        """The text is the one that the client gets."""
+        """The client gets this text in the response."""
         super().__init__("not a map")
 
 
 def _body(request: Request) -> dict[str, Any]:
-    """The decoded body, an empty map for none. Raises msgspec.DecodeError or BodyNotMapError."""
+    """Decode a request's body; a missing body counts as an empty map.
+
+    Raises msgspec.DecodeError or BodyNotMapError.
+    """
     decoded = msgspec.msgpack.decode(request.body) if request.body else {}
     if not isinstance(decoded, dict):
         raise BodyNotMapError
@@ -82,42 +85,42 @@
 
 
 class LateTransaction(NamedTuple):
-    """A transaction whose execution is delayed."""
+    """A transaction that is to be executed at `due_at`."""
 
     due_at: float
     body: dict[str, Any]
 
 
 class StateServer:
-    """The state service. Each controller has an address of its own, so that one can be refused."""
+    """The state service. It has one address per controller, so that it can refuse just one."""
 
     def __init__(self, core: StateCore, limits: StateLimits, addresses: list[Address]) -> None:
-        """`addresses`: of the controllers, in the order of their numbers."""
+        """`addresses`: the address to listen on for each controller, by controller number."""
         self.core = core
         now = time.monotonic()
-        self.calls = Rate(limits.rps, now)
-        self.writes = Rate(limits.write_rps, now)
+        self.request_bucket = TokenBucket(limits.rps, now)
+        self.writes = TokenBucket(limits.write_rps, now)
         self.down = False
-        self.refused: set[int] = set()  # numbers of the controllers that get no answer but 503
-        self.lossy = ""  # LOST_RESPONSES, LATE_EXECUTION, or empty: transactions are answered
+        self.refused: set[int] = set()  # numbers of controllers whose requests all get 503
+        self.lossy = ""  # LOST_RESPONSES, LATE_EXECUTION, or empty for no fault
         self.late: list[LateTransaction] = []
-        self.changed = curio.Event()  # set at the next change, and then replaced
+        self.changed = curio.Event()  # set at the next change, then replaced by a new event
         self.requests = 0
-        self.over_rate = 0  # requests that were answered with 429
+        self.rate_limited_requests = 0  # answered with 429
         self.servers = [
             Server(address, self._handler(number), SERVICE_SOCKETS)
             for number, address in enumerate(addresses)
         ]
 
     def _handler(self, number: int) -> Handler:
-        """The handler of the requests of one controller."""
+        """The request handler for one controller."""
 
         async def handle(request: Request) -> Response:
             self.requests += 1
             if self.closed(number):
                 return Response(HTTPStatus.SERVICE_UNAVAILABLE)
-            if not self.calls.take(1, time.monotonic()):
-                self.over_rate += 1
+            if not self.request_bucket.take(1, time.monotonic()):
+                self.rate_limited_requests += 1
                 return Response(HTTPStatus.TOO_MANY_REQUESTS)
             try:
                 return await self._serve(request, number)
@@ -127,13 +130,13 @@
         return handle
 
     def closed(self, number: int) -> bool:
-        """Whether the service is unavailable to that controller."""
+        """Whether the service is unavailable to the given controller."""
         return self.down or number in self.refused
 
     def set_down(self, down: bool) -> None:  # noqa: FBT001 - the tests pass it by position
-        """Begin or end an outage; after it every lease has its whole length again."""
+        """Start or end an outage; when it ends, every lease is renewed for its full duration."""
         if self.down and not down:
-            self.core.recovered(time.monotonic())
+            self.core.renew_all_leases(time.monotonic())
         self.down = down
 
     async def _serve(self, request: Request, number: int) -> Response:
@@ -150,7 +153,7 @@
     async def _serve_read(self, request: Request, number: int) -> Response:
         if request.path == "/kv":
             query = _query(request)
-            most = int(query.get("most", statecore.MOST_ENTRIES))
+            most = int(query.get("most", statecore.MAX_PAGE_ENTRIES))
             page = self.core.entries(query.get("prefix", ""), query.get("from", ""), most)
             return Response(HTTPStatus.OK, wire.encode(page))
         if request.path.startswith("/kv/"):
@@ -164,11 +167,11 @@
         if stored is None:
             answer = {"generation": self.core.revision}
             return Response(HTTPStatus.NOT_FOUND, wire.encode(answer))
-        entry = wire.KeyValue(key, stored.data, stored.version, self.core.attached.get(key))
+        entry = wire.KeyValue(key, stored.data, stored.version, self.core.lease_by_key.get(key))
         return Response(HTTPStatus.OK, wire.encode(entry))
 
     async def _watch(self, query: dict[str, str], number: int) -> Response:
-        """Answer with the changes after a revision, as soon as there is one or the time is over."""
+        """Return the changes after a revision, once there are any or the hold time is up."""
         prefix, after = query.get("prefix", ""), int(query.get("from", "0"))
         hold_s = min(float(query.get("hold_ms", "0")) / MS_PER_S, MAX_WATCH_S)
         deadline = time.monotonic() + hold_s
@@ -184,11 +187,11 @@
                     response = wire.WatchResponse(self.core.revision, changes)
                     return Response(HTTPStatus.OK, wire.encode(response))
             else:
-                wait_s = POLL_S  # open watches wait through an outage
+                wait_s = POLL_S  # open watches stay open during an outage
             await curio.ignore_after(min(wait_s, MAX_WATCH_WAIT_S), changed.wait)
 
     async def notify(self) -> None:
-        """Wake up the open watches after a change."""
+        """Wake the open watches after a change."""
         changed, self.changed = self.changed, curio.Event()
         await changed.set()
 
@@ -208,7 +211,7 @@
         conditions = [(condition["path"], condition["stamp"]) for condition in body.get("if") or ()]
         writes = list(body.get("writes") or ())
         if writes and not self.writes.take(len(writes), time.monotonic()):
-            self.over_rate += 1
+            self.rate_limited_requests += 1
             return Response(HTTPStatus.TOO_MANY_REQUESTS)
         try:
             revision = self.core.commit(conditions, writes)
@@ -220,8 +223,8 @@
         await self.notify()
         return Response(HTTPStatus.OK, wire.encode({"generation": revision}))
 
-    async def deliver(self) -> None:
-        """Execute the late transactions that are due."""
+    async def execute_due_transactions(self) -> None:
+        """Execute the delayed transactions that are due."""
         now = time.monotonic()
         due = [transaction.body for transaction in self.late if transaction.due_at <= now]
         self.late = [transaction for transaction in self.late if transaction.due_at > now]
@@ -256,16 +259,20 @@
 
 
 class CloudServer:
-    """The cloud provider's interface for controllers."""
+    """The cloud provider's API for controllers."""
 
     def __init__(
-        self, core: CloudCore, rps: float, address: Address, gone: Callable[[list[Machine]], None]
+        self,
+        core: CloudCore,
+        rps: float,
+        address: Address,
+        on_deleted: Callable[[list[Machine]], None],
     ) -> None:
-        """`rps`: the limit of requests a second; `gone`: called with machines that are deleted."""
+        """`rps`: limit of requests per second; `on_deleted`: called with deleted machines."""
         self.core = core
-        self.rate = Rate(rps, time.monotonic(), CLOUD_BURST_S)
+        self.rate = TokenBucket(rps, time.monotonic(), CLOUD_BURST_S)
         self.down = False
-        self.gone = gone
+        self.on_deleted = on_deleted
         self.server = Server(address, self._serve, SERVICE_SOCKETS)
 
     async def _serve(self, request: Request) -> Response:
@@ -293,7 +300,7 @@
             return self._rent(msgspec.convert(_body(request), _RentalRequest))
         if route == ("POST", "/hosts/delete"):
             machine_ids = msgspec.convert(_body(request)["hosts"], list[str])
-            self.gone(self.core.delete(machine_ids))
+            self.on_deleted(self.core.delete(machine_ids))
             return Response(HTTPStatus.OK, wire.encode({}))
         if route == ("GET", "/hosts"):
             return self._list_machines(_query(request))
@@ -309,7 +316,9 @@
 
     def _list_machines(self, query: dict[str, str]) -> Response:
         requested = int(query.get("most", wire.MAX_MACHINES_PER_PAGE))
-        page = self.core.listed(query.get("from", ""), min(requested, wire.MAX_MACHINES_PER_PAGE))
+        page = self.core.list_page(
+            query.get("from", ""), min(requested, wire.MAX_MACHINES_PER_PAGE)
+        )
         answer = wire.CloudMachinePage(page.machines, page.more)
         return Response(HTTPStatus.OK, wire.encode(answer))
 
@@ -331,7 +340,7 @@
 
 
 class WorkerServer:
-    """One machine's worker: heartbeats to one controller at a time, and direct commands."""
+    """One machine's worker: sends heartbeats to one controller and accepts direct commands."""
 
     def __init__(
         self,
@@ -341,7 +350,7 @@
         client: Client,
         rng: random.Random,
     ) -> None:
-        """`nodes`: the controllers by name; `report_s`: the mean interval of heartbeats."""
+        """`nodes`: the controllers' addresses by name; `report_s`: mean heartbeat interval."""
         self.core = core
         self.nodes = nodes
         self.report_s = report_s
@@ -371,7 +380,7 @@
         return Response(status, wire.encode(core.report()))
 
     async def _send_heartbeats(self) -> None:
-        """Send one in each interval, and one soon after each change."""
+        """Send a heartbeat in each interval, and one soon after each change."""
         reported_changes = 0
         last_sent_at = 0.0
         while True:
@@ -387,10 +396,10 @@
             await self._send_heartbeat()
 
     async def _send_heartbeat(self) -> None:
-        """Send a heartbeat; without an answer the next goes to another controller.
+        """Send a heartbeat; if it fails, switch to another controller for the next one.
 
-        The other is the leader that the controller names, or else the next one in the order of
-        names, after a pause.
+        That is the leader, if the controller's response names it, and otherwise the next controller
+        by name, after a pause.
         """
         incarnation, sent_at = self.core.incarnation, time.monotonic()
         leader = None
@@ -431,7 +440,7 @@
 
 
 class _HeartbeatResponse(msgspec.Struct, rename={"fencing_token": "epoch", "commands": "orders"}):
-    fencing_token: int = -1  # below all valid ones, so that a response without one is dropped
+    fencing_token: int = -1  # lower than any valid token: a response without one is dropped
     commands: list[wire.TaskCommand] = []
 
 
--- a/umberward/local/workercore.py
+++ b/umberward/local/workercore.py
@@ -1,10 +1,10 @@
-"""The semantics of a worker, without I/O, for the local cluster and the tests.
+"""A model of a worker, without I/O, for the local cluster and the tests.
 
 Source: PROTOCOL, "Workers -> controller nodes" and the sections after it: sessions, fencing tokens,
 the worker's lease, images, gangs, checkpoints.
 
-Times are seconds of the caller's monotonic clock, or seconds of duration where the name says so;
-this module never reads a clock itself.
+Times are seconds of the caller's monotonic clock, or durations in seconds; this module never reads
+a clock itself.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 from umberward.protocol import wire
 from umberward.protocol.wire import Heartbeat, JobSpec, MachineType, TaskCommand, TaskStatus
 
-# Causes of a task's end, as they stand in heartbeats.
+# Causes of the end of an attempt, with their values in heartbeats.
 STOPPED = "stopped"  # by a command
-NO_SUCH_TASK = "no_such"  # the job is unknown, or has fewer tasks
+NO_SUCH_TASK = "no_such"  # the job is unknown or has fewer tasks
 ALREADY_RUNNING = "in_use"  # another attempt of the task runs on this machine
-NO_ROOM = "no_room"  # its resources are not free on this machine
-GANG_INCOMPLETE = "alone"  # the other tasks of its gang did not arrive in time
-GANG_PEER_LOST = "mates_gone"  # another task of its gang has ended early
+NO_ROOM = "no_room"  # the machine has too few free resources
+GANG_INCOMPLETE = "alone"  # the other tasks of its gang were not ready in time
+GANG_PEER_LOST = "mates_gone"  # another task of its gang ended early
 
 
 class Fate(NamedTuple):
-    """How a task that starts to run on a machine will end, if nothing stops it."""
+    """How a task that starts to run will end unless it is stopped."""
 
-    seconds: float  # from the start of its run, without time saved by a checkpoint
+    seconds: float  # run time, not reduced by what a checkpoint has saved
     cause: str = wire.DONE
 
 
 class GangAttempt(NamedTuple):
-    """What the tasks of a gang have in common; a new attempt is made of all tasks together."""
+    """Identifies an attempt of a gang: all its tasks are attempted together."""
 
     job_id: str
     attempt: int
@@ -45,17 +45,17 @@
     """One attempt of a task on one machine."""
 
     def __init__(self, name: str, attempt: int, spec: JobSpec | None, now: float) -> None:
-        """The attempt starts with the fetch of its image. `spec`: None if the job is unknown."""
+        """Start with the fetch of the image. `spec`: None if the job is unknown."""
         self.name = name
         self.attempt = attempt
         self.spec = spec
         self.phase = wire.PULLING_IMAGE
         self.phase_since = now
-        self.cause: str | None = None  # of its end
-        self.stored: bool | None = None  # whether a checkpoint was stored before its end
-        self.remaining_s = 0.0  # of the image fetch, the run, or the checkpoint
-        self.ends_as = wire.DONE  # the cause of its end, if nothing stops it
-        self.peer_loss_noticed_at = math.inf  # when it notices that its gang is incomplete
+        self.cause: str | None = None  # why it ended
+        self.stored: bool | None = None  # whether a checkpoint was stored before it ended
+        self.remaining_s = 0.0  # until the image fetch, the run or the checkpoint is complete
+        self.planned_cause = wire.DONE  # why it will end unless it is stopped
+        self.peer_loss_noticed_at = math.inf  # when it notices that a task of its gang has ended
 
     @property
     def over(self) -> bool:
@@ -64,24 +64,24 @@
 
     @property
     def required_spec(self) -> JobSpec:
-        """The job's description, of a task that was started and so has one."""
+        """The job's description; only for a task whose job is known."""
         assert self.spec is not None
         return self.spec
 
     @property
     def resources(self) -> Resources:
-        """What the task occupies while it is alive."""
+        """The resources that the task reserves until it ends."""
         spec = self.required_spec
         return Resources(spec.cores, spec.accelerators, spec.mem_gb)
 
     @property
     def is_gang_member(self) -> bool:
-        """Whether the task runs only together with the others of its job."""
+        """Whether the task belongs to a gang, whose tasks only run together."""
         return self.spec is not None and self.spec.kind == wire.GANG
 
     @property
     def gang_attempt(self) -> GangAttempt:
-        """The gang that the attempt is part of, if its job is one."""
+        """The attempt of the gang that this attempt belongs to, if its job is a gang."""
         return GangAttempt(self.name.rpartition("/")[0], self.attempt)
 
     def exit(self, cause: str, *, stored: bool | None = None) -> None:
@@ -90,16 +90,16 @@
 
 
 class Mates:
-    """The tasks of gangs on all machines, and the progress that tasks have saved.
+    """The gangs, checkpoints and completed tasks of all machines.
 
-    One instance is shared by all workers: the tasks of a gang find each other by their attempt, and
-    a checkpoint can be read from every machine.
+    All workers share one instance: the tasks of a gang run on several machines, and checkpoints can
+    be read from any machine.
     """
 
     def __init__(self) -> None:
-        """No task has started yet."""
+        """Start without any tasks."""
         self.gangs: dict[GangAttempt, dict[str, Task]] = {}
-        self.saved: dict[str, float] = {}  # task -> seconds of its run that need no repeating
+        self.saved_run_s: dict[str, float] = {}  # task -> run time saved by its checkpoint
         self.done: set[str] = set()  # tasks that have completed on any machine
 
     def join(self, task: Task) -> None:
@@ -107,7 +107,7 @@
         self.gangs.setdefault(task.gang_attempt, {})[task.name] = task
 
     def leave(self, task: Task, now: float, notice_s: float) -> None:
-        """Remove a task that has ended early; those that run notice it after `notice_s`."""
+        """Remove a task that has ended early; the running ones notice that after `notice_s`."""
         peers = self.gangs.get(task.gang_attempt, {})
         peers.pop(task.name, None)
         if task.phase == wire.RUNNING:
@@ -115,8 +115,8 @@
                 if peer.phase == wire.RUNNING:
                     peer.peer_loss_noticed_at = min(peer.peer_loss_noticed_at, now + notice_s)
 
-    def complete(self, task: Task) -> bool:
-        """Whether all tasks of the gang have fetched their image, so that they can run."""
+    def is_complete(self, task: Task) -> bool:
+        """Whether all tasks of the gang have started and fetched their image."""
         peers = self.gangs.get(task.gang_attempt, {})
         return len(peers) == task.required_spec.task_count and all(
             peer.phase in (wire.WAITING_FOR_GANG, wire.RUNNING) for peer in peers.values()
@@ -144,11 +144,11 @@
         now: float,
         speed: float = 1.0,
     ) -> None:
-        """A worker without tasks, at the start of its first session.
+        """Start the first session, without any tasks.
 
-        `host`: the machine's id; `address`: where the worker takes direct commands;
-        `describe`: fetches a job's description by its id, as users have uploaded it;
-        `fate`: decides how a task ends; `speed`: how much faster images and checkpoints are.
+        `host`: the machine's id; `address`: where the worker accepts direct commands;
+        `describe`: finds a job's description by its id, as users have uploaded it;
+        `fate`: decides how a task ends; `speed`: speed-up factor of image fetches and checkpoints.
         """
         self.host = host
         self.address = address
@@ -161,21 +161,20 @@
         self.fate = fate
         self.speed = speed
         self.now = now
-        self.incarnation = 1  # the incarnation: the number of the session
-        self.sequence = 0  # the sequence number of the session's last heartbeat
+        self.incarnation = 1  # number of the current session
+        self.sequence = 0  # number of the session's last heartbeat
         self.fencing_token = 0  # the highest fencing token seen
-        self.lease_renewed_at = (
-            now  # when the last answered heartbeat was sent, or the session began
-        )
-        self.tasks: dict[tuple[str, int], Task] = {}  # by name and attempt
-        self.running_tasks: dict[str, Task] = {}  # those of them that are not over, by name
+        # When the last answered heartbeat was sent, or the session started.
+        self.lease_renewed_at = now
+        self.tasks: dict[tuple[str, int], Task] = {}  # by name and attempt, until forgotten
+        self.running_tasks: dict[str, Task] = {}  # the tasks that have not ended, by name
         self.reserved = NO_RESOURCES
         self.images: set[str] = set()
-        self.notice_at: float | None = None  # when the cloud takes the machine back
-        self.changes = 0  # counts what a heartbeat is due for
-        self.exited: Callable[[str, str], None] = _ignore_exit  # called with each task and cause
+        self.notice_at: float | None = None  # when the cloud reclaims the machine, once announced
+        self.changes = 0  # number of changes so far; after each, a heartbeat is due
+        self.exited: Callable[[str, str], None] = _ignore_exit  # called with the task and the cause
 
-    # ---- time ----------------------------------------------------------------------------
+    # ---- ticks ---------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
         """Advance all tasks to `now`, or end the session if the worker's lease has expired."""
@@ -188,7 +187,7 @@
                 self._advance(task, elapsed_s)
 
     def end_session(self) -> None:
-        """End all tasks without a report and begin the next session."""
+        """End all tasks without reporting them, and start the next session."""
         for task in self.running_tasks.values():
             self.mates.leave(task, self.now, self.times.gang_peer_s)
         self.tasks.clear()
@@ -203,7 +202,7 @@
         if task.phase == wire.PULLING_IMAGE:
             self._pull_image(task, elapsed_s)
         elif task.phase == wire.WAITING_FOR_GANG:
-            if self.mates.complete(task):
+            if self.mates.is_complete(task):
                 self._enter_phase(task, wire.RUNNING)
             elif self.now - task.phase_since > self.times.gang_wait_s:
                 self._exit(task, GANG_INCOMPLETE)
@@ -229,9 +228,9 @@
         task.remaining_s -= elapsed_s
         if task.remaining_s > 0:
             return
-        if task.ends_as == wire.DONE:
+        if task.planned_cause == wire.DONE:
             self.mates.done.add(task.name)
-        self._exit(task, task.ends_as)
+        self._exit(task, task.planned_cause)
 
     def _enter_phase(self, task: Task, phase: str) -> None:
         task.phase, task.phase_since = phase, self.now
@@ -240,13 +239,13 @@
             self._begin_run(task)
 
     def _begin_run(self, task: Task) -> None:
-        """Decide how the run ends; it ends at once if the task's work is already done."""
+        """Start the run and decide how it will end; a task completed before ends at once."""
         if task.name in self.mates.done:
             self._exit(task, wire.DONE)
             return
         fate = self.fate(task.name, task.required_spec)
-        task.remaining_s = fate.seconds - self.mates.saved.get(task.name, 0.0)
-        task.ends_as = fate.cause
+        task.remaining_s = fate.seconds - self.mates.saved_run_s.get(task.name, 0.0)
+        task.planned_cause = fate.cause
         if task.remaining_s <= 0:
             self._run(task, 0.0)
 
@@ -256,7 +255,7 @@
         cause: str,
         stored: bool | None = None,  # noqa: FBT001 - overriders pass it by position
     ) -> None:
-        """End a task; subclasses extend this to record the end."""
+        """End a task; subclasses override this to record it."""
         if cause != wire.DONE:
             self.mates.leave(task, self.now, self.times.gang_peer_s)
         task.exit(cause, stored=stored)
@@ -266,10 +265,10 @@
         self.exited(task.name, cause)
 
     def finish(self, name: str, cause: str) -> None:
-        """End a running task whose duration could not be known beforehand; others stay."""
+        """End a task whose run time was not known in advance; no effect unless it is running."""
         task = self.running_tasks.get(name)
         if task is not None and task.phase == wire.RUNNING:
-            task.remaining_s, task.ends_as = 0.0, cause
+            task.remaining_s, task.planned_cause = 0.0, cause
             self._run(task, 0.0)
 
     # ---- commands ------------------------------------------------------------------------
@@ -281,10 +280,10 @@
         fencing_token: int,
         commands: Sequence[TaskCommand],
     ) -> bool:
-        """Take in the response to the heartbeat that was sent at `sent_at`.
+        """Handle the response to the heartbeat that was sent at `sent_at`.
 
-        Renews the worker's lease, counted from when the heartbeat was sent, and executes the
-        commands. False: dropped, as its token is too low or its session is over.
+        Renews the worker's lease, counted from `sent_at`, and executes the commands. Returns False
+        if the response was dropped: its token is too low, or its session has ended.
         """
         if not self._accepts(fencing_token, incarnation):
             return False
@@ -294,7 +293,7 @@
         return True
 
     def direct(self, fencing_token: int, incarnation: int, commands: Sequence[TaskCommand]) -> bool:
-        """Execute commands sent outside of a heartbeat; False: refused, nothing was executed."""
+        """Execute commands sent outside of a heartbeat response; False if they were rejected."""
         if not self._accepts(fencing_token, incarnation):
             return False
         self._observe_token(fencing_token)
@@ -305,13 +304,13 @@
         return fencing_token >= self.fencing_token and incarnation == self.incarnation
 
     def _observe_token(self, fencing_token: int) -> None:
-        """Note the token; a new one is due to be confirmed by a heartbeat."""
+        """Adopt a higher token; a heartbeat is then due to confirm it."""
         if fencing_token > self.fencing_token:
             self.fencing_token = fencing_token
             self.changes += 1
 
     def execute(self, commands: Sequence[TaskCommand]) -> None:
-        """Execute commands in their order; those for unknown or ended attempts have no effect."""
+        """Execute commands in order; those for unknown or ended attempts have no effect."""
         for command in commands:
             self._execute(command)
 
@@ -329,7 +328,7 @@
             self._kill(task, command.grace_s or 0.0)
 
     def start(self, name: str, attempt: int) -> None:
-        """Start an attempt of a task; one that cannot start ends at once with the cause."""
+        """Start an attempt of a task; if that is not possible, it ends at once with a cause."""
         job_id, _, number = name.rpartition("/")
         spec = self.describe(job_id)
         task = self.tasks[(name, attempt)] = Task(name, attempt, spec, self.now)
@@ -356,12 +355,12 @@
         return self.machine_type.capacity.minus(self.reserved)
 
     def _kill(self, task: Task, grace_s: float) -> None:
-        """Stop a task, after a checkpoint if it takes any and `grace_s` is long enough for one."""
+        """Stop a task, after a checkpoint if its job takes any and one fits into `grace_s`."""
         spec = task.required_spec
         can_checkpoint = spec.checkpoint_interval_s > 0 and grace_s >= spec.checkpoint_cost_s
         if task.phase == wire.RUNNING and can_checkpoint:
             run_s = self.fate(task.name, spec).seconds
-            self.mates.saved[task.name] = max(0.0, run_s - task.remaining_s)
+            self.mates.saved_run_s[task.name] = max(0.0, run_s - task.remaining_s)
             task.remaining_s = spec.checkpoint_cost_s / self.speed
             task.phase = wire.CHECKPOINTING
             self.changes += 1
@@ -369,7 +368,7 @@
             self._exit(task, STOPPED)
 
     def report(self) -> Heartbeat:
-        """The next heartbeat, with the state of all attempts that were not forgotten."""
+        """Make the next heartbeat, with the state of all attempts that were not forgotten."""
         self.sequence += 1
         return Heartbeat(
             self.host,
