--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop does not look at sockets for each message between actors."""
+"""The event loop polls sockets rarely while tasks are ready, and actors answer all requests."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
         return message
 
 
-def test_messages_cost_no_system_call_each() -> None:
+def test_messages_between_actors_rarely_poll_sockets() -> None:
     selector = BatchingSelector()
 
     async def main() -> None:
@@ -26,58 +26,58 @@
         await running.cancel()
 
     curio.run(main, selector=selector)
-    assert selector.polls < 150  # 600 and more without it
+    assert selector.polls < 150  # at least 600 without the selector
 
 
-def test_a_question_before_which_nothing_stands_changes_no_task() -> None:
-    """It is answered in the task that asks; what stands in the queue comes first all the same."""
+def test_a_request_to_an_idle_actor_switches_no_task() -> None:
+    """With an empty queue the asking task handles the message; otherwise queue order is kept."""
     order = []
 
-    class Notes(Actor):
+    class RecordingActor(Actor):
         async def handle(self, message: Any) -> Any:
             order.append(message)
             task = await curio.current_task()
             return task.id
 
     async def main() -> None:
-        notes = Notes()
-        running = await curio.spawn(notes.run, daemon=True)
+        recorder = RecordingActor()
+        running = await curio.spawn(recorder.run, daemon=True)
         await curio.sleep(0)
-        mine = (await curio.current_task()).id
-        assert await notes.ask("first") == mine
-        await notes.tell("second")
-        assert await notes.ask("third") == running.id
+        own_id = (await curio.current_task()).id
+        assert await recorder.ask("first") == own_id
+        await recorder.tell("second")
+        assert await recorder.ask("third") == running.id
         await running.cancel()
-        assert await notes.ask("late") is None
+        assert await recorder.ask("late") is None
 
     curio.run(main)
     assert order == ["first", "second", "third"]
 
 
-def test_who_asks_an_actor_that_ends_is_answered() -> None:
+def test_a_request_to_an_ending_actor_is_answered() -> None:
     async def main() -> Any:
         echo = Echo()
-        asking = await curio.spawn(echo.ask, 1)
+        request_task = await curio.spawn(echo.ask, 1)
         running = await curio.spawn(echo.run, daemon=True)
         await running.cancel()
-        return await curio.timeout_after(1.0, asking.join)
+        return await curio.timeout_after(1.0, request_task.join)
 
     assert curio.run(main) in (1, None)
 
 
-def test_sockets_are_looked_at_though_tasks_are_always_ready() -> None:
+def test_sockets_are_polled_while_tasks_are_always_ready() -> None:
     async def busy() -> None:
         while True:
             await curio.sleep(0)
 
     async def main() -> bytes:
-        spinning = await curio.spawn(busy, daemon=True)
-        ours, theirs = curio.socket.socketpair()
-        receiving = await curio.spawn(ours.recv, 10)
+        busy_task = await curio.spawn(busy, daemon=True)
+        receiving_socket, sending_socket = curio.socket.socketpair()
+        receiving = await curio.spawn(receiving_socket.recv, 10)
         await curio.sleep(0.01)
-        await theirs.sendall(b"heard")
-        found: bytes = await curio.timeout_after(2.0, receiving.join)
-        await spinning.cancel()
-        return found
+        await sending_socket.sendall(b"heard")
+        received: bytes = await curio.timeout_after(2.0, receiving.join)
+        await busy_task.cancel()
+        return received
 
     assert curio.run(main, selector=BatchingSelector()) == b"heard"
--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -1,4 +1,4 @@
-"""The cluster on the loopback, with real processes: a graph through a drain and a kill."""
+"""The cluster on the loopback, with real processes: a graph runs during a drain and a kill."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from umberward.local.cluster import ClusterPlan, Fault, LocalCluster
 
 FINAL = ("done", "failed", "not_run", "cancelled")
-MAXIMUM = 12.0
+MAX_CORES = 12.0
 
 
-def fifty() -> File:
-    """Ten rows of five; each task needs two of the row before."""
+def fifty_task_graph() -> File:
+    """A graph of ten rows of five tasks; each task needs two of the previous row."""
     tasks = []
     for row in range(10):
         for column in range(5):
@@ -29,12 +29,12 @@
     return File(Options(team="red", reclaimable=True), tasks)
 
 
-async def through_troubles() -> None:
-    plan = ClusterPlan(teams=[TeamQuota("red", cpus_max=MAXIMUM), TeamQuota("blue")], speed=4.0)
+async def run_graph_with_faults() -> None:
+    plan = ClusterPlan(teams=[TeamQuota("red", cpus_max=MAX_CORES), TeamQuota("blue")], speed=4.0)
     async with LocalCluster.running(plan) as cluster:
-        file = fifty()
+        file = fifty_task_graph()
         assert (await example.send_graph(cluster, "graph-7", file)).status == 201
-        heard: dict[str, set[str]] = {task.name: set() for task in file.tasks}
+        final_phases: dict[str, set[str]] = {task.name: set() for task in file.tasks}
         drained = killed = late = False
         deadline = time.monotonic() + 75
         while time.monotonic() < deadline:
@@ -43,7 +43,7 @@
             page = await example.send_request(cluster, "GET", "/v1/graphs/graph-7/tasks")
             for task in msgspec.msgpack.decode(page.body)["tasks"]:
                 if task["phase"] in FINAL:
-                    heard[task["name"]].add(task["phase"])
+                    final_phases[task["name"]].add(task["phase"])
             if state["done"] >= 5 and not drained:
                 drained = True
                 await cluster.cause(Fault(0.0, "drain", 2.0, zone="a"))
@@ -58,8 +58,8 @@
             await curio.sleep(0.2)
         assert state["phase"] == "done" and state["done"] == 50
         assert drained and killed and late
-        assert all(answers == {"done"} for answers in heard.values()), heard
-        assert 0 < cluster.peak_cores["red"] <= MAXIMUM
+        assert all(phases == {"done"} for phases in final_phases.values()), final_phases
+        assert 0 < cluster.peak_cores["red"] <= MAX_CORES
         assert len(cluster.exit_causes) == 50 and all(
             "done" in causes for causes in cluster.exit_causes.values()
         )
@@ -69,12 +69,12 @@
     assert not folder.exists()
 
 
-def test_a_graph_of_fifty_tasks_through_a_drain_and_a_kill() -> None:
-    curio.run(through_troubles)
+def test_a_graph_completes_despite_a_drain_and_a_killed_leader() -> None:
+    curio.run(run_graph_with_faults)
 
 
-def test_local_ends_with_its_processes() -> None:
-    """Killed without warning, it leaves no controller behind."""
+def test_controllers_exit_with_their_parent() -> None:
+    """The controllers exit even if the command is killed without warning."""
     command = [sys.executable, "-m", "umberward", "local", "--controllers", "1"]
     parent = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
     assert parent.stdout is not None
@@ -85,21 +85,21 @@
     parent.wait()
     deadline = time.monotonic() + 10
     while "no answer" not in subprocess.run(status, capture_output=True, text=True).stderr:
-        assert time.monotonic() < deadline, "a controller goes on"
+        assert time.monotonic() < deadline, "a controller still runs"
         time.sleep(0.2)
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, expected_error",
     [
         ("[[troubles]]\nat = 1\nwhat = 'flood'\n", "Invalid enum value 'flood'"),
         ("[[troubles]]\nwhat = 'crash'\n", "missing required field `at`"),
         ("troubles = 3\n", "Expected `array`"),
     ],
 )
-def test_bad_troubles(tmp_path, text: str, said: str) -> None:  # type: ignore[no-untyped-def]
+def test_invalid_fault_files(tmp_path, text: str, expected_error: str) -> None:  # type: ignore[no-untyped-def]
     path = tmp_path / "troubles.toml"
     path.write_text(text)
     command = [sys.executable, "-m", "umberward", "local", "--troubles", str(path)]
-    found = subprocess.run(command, capture_output=True, text=True)
-    assert found.returncode == 1 and said in found.stderr
+    completed = subprocess.run(command, capture_output=True, text=True)
+    assert completed.returncode == 1 and expected_error in completed.stderr
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log's two forms, and that what is below the level costs no line."""
+"""The two log formats, the level, and the rate limit of repeated events."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 @pytest.fixture(autouse=True)
-def quiet_again() -> object:
+def reset_logging() -> object:
     yield
     log.configure("error", "lines", keep=False)
 
 
-def test_lines_for_people(capsys: pytest.CaptureFixture[str]) -> None:
+def test_line_format(capsys: pytest.CaptureFixture[str]) -> None:
     log.configure("info", "lines", keep=False)
     logger = log.logger("umberward.x")
     logger.debug("not_said")
@@ -27,7 +27,7 @@
     assert capsys.readouterr().err == "INFO umberward.x: moves task=req-1/2 reason='dear machine'\n"
 
 
-def test_libraries_say_it_in_the_same_form(capsys: pytest.CaptureFixture[str]) -> None:
+def test_library_records_have_the_same_format(capsys: pytest.CaptureFixture[str]) -> None:
     log.configure("info", "json", keep=False)
     logging.getLogger("curio.kernel").warning("took %d s", 3)
     logging.getLogger("curio.kernel").debug("not said")
@@ -40,7 +40,7 @@
     }
 
 
-def test_one_object_a_line(capsys: pytest.CaptureFixture[str]) -> None:
+def test_json_format(capsys: pytest.CaptureFixture[str]) -> None:
     log.configure("error", "json", keep=False)
     logger = log.logger("umberward.x")
     logger.info("not_said")
@@ -49,9 +49,9 @@
     except ValueError:
         logger.exception("failed", task=TaskId(JobId("req-1"), 2), tries=3)
     (line,) = capsys.readouterr().err.splitlines()
-    found = msgspec.json.decode(line)
-    assert "ValueError: two" in found.pop("exception")
-    assert found == {
+    fields = msgspec.json.decode(line)
+    assert "ValueError: two" in fields.pop("exception")
+    assert fields == {
         "level": "error",
         "logger": "umberward.x",
         "event": "failed",
@@ -60,27 +60,27 @@
     }
 
 
-def test_repeated_events_are_counted_and_not_written() -> None:
-    said: list[dict[str, Any]] = []
+def test_repeated_events_are_rate_limited() -> None:
+    written: list[dict[str, Any]] = []
     now = 10.0
 
     class Log:
         def info(self, event: str, **fields: Any) -> None:
-            said.append({"event": event, **fields})
+            written.append({"event": event, **fields})
 
-    bounded = RateLimitedLog(Log(), 2, lambda: now)
+    limited_log = RateLimitedLog(Log(), 2, lambda: now)
     for number in range(5):
-        bounded.info("given_up", number=number)
-    bounded.info("other")
-    assert said == [
+        limited_log.info("given_up", number=number)
+    limited_log.info("other")
+    assert written == [
         {"event": "given_up", "number": 0},
         {"event": "given_up", "number": 1},
         {"event": "other"},
     ]
     now += 1.0
-    bounded.info("given_up", number=5)
-    bounded.info("given_up", number=6)
-    assert said[3:] == [
+    limited_log.info("given_up", number=5)
+    limited_log.info("given_up", number=6)
+    assert written[3:] == [
         {"event": "given_up", "number": 5, "left_out": 3},
         {"event": "given_up", "number": 6},
     ]
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -1,4 +1,4 @@
-"""A placement is released once: what it used is given back, and no more."""
+"""Releasing a placement returns exactly the resources that it used, once."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def _gang_not_sent() -> Scheduler:
-    """A gang of three whose mark is not committed yet stands on one machine."""
+    """A scheduler with a gang of three placed on one machine, whose mark is not committed yet."""
     game = ScenarioPlayer()
     game.do_team("cpus_max=8")
     game.do_machine("m1", "small", "a")
@@ -22,14 +22,14 @@
     assert scheduler is not None
     job_records.apply_changes(scheduler, world.store.core.news("", world.seen_revision))
     scheduler.run_pass(Instant(world.now))
-    held = scheduler.machines[MachineId("m1")].placements.values()
-    assert len(held) == 3 and not any(placement.sent for placement in held)
+    placements = scheduler.machines[MachineId("m1")].placements.values()
+    assert len(placements) == 3 and not any(placement.sent for placement in placements)
     return scheduler
 
 
 @pytest.mark.parametrize("what", ["session over", "machine gone"])
 def test_a_gang_that_was_not_sent_is_released_once(what: str) -> None:
-    """Found by a soak (quota): the team was credited with more than it had used, and got more."""
+    """A double release credited the team with more than it used; found by a soak (quota)."""
     scheduler = _gang_not_sent()
     machine = scheduler.machines[MachineId("m1")]
     if what == "machine gone":
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""A task scope ends its tasks, whatever they do meanwhile; so do the tests' controllers."""
+"""A task scope ends all of its tasks, whatever they do; so do the simulated controllers."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     curio.run(main)
 
 
-def test_a_failure_and_a_finish_leave_the_others_running() -> None:
+def test_other_tasks_run_on_after_a_failure_or_a_finish() -> None:
     ended: list[str] = []
 
     async def fail() -> None:
@@ -97,7 +97,7 @@
 
 
 def test_no_message_outlives_the_controllers() -> None:
-    """A worker's report is due while the kernel shuts down, and its link holds messages."""
+    """A worker's heartbeat is due while the kernel shuts down, and its link holds messages."""
     world = SimulatedControllers(size=1)
 
     async def slow_to_end() -> None:
@@ -107,7 +107,7 @@
             await curio.sleep(2.0 * world.cluster.workers.report_s)
 
     async def spawn_slow_to_end() -> None:
-        # The newest task is the first that the kernel cancels, and it waits for its end.
+        # The kernel cancels the newest task first and waits until it has ended.
         await curio.spawn(slow_to_end, daemon=True)
         await curio.sleep(0)
 
--- a/umberward/cli/asking.py
+++ b/umberward/cli/asking.py
@@ -1,4 +1,4 @@
-"""What the commands that send requests to a controller have in common."""
+"""Shared code of the commands that send requests to a controller."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class HostPort(click.ParamType[Address]):
-    """An address on the command line, as HOST:PORT."""
+    """The type of command line parameters of the form HOST:PORT."""
 
     name = "host:port"
 
     def convert(
         self, value: str, param: click.Parameter | None, ctx: click.Context | None
     ) -> Address:
-        """The address; ends with click's own message for anything else."""
+        """Parse the address; fails with click's usage error if it is invalid."""
         try:
             return parse_address(value)
         except ValueError as error:
@@ -41,7 +41,7 @@
     required=True,
     envvar="UMBERWARD_SERVER",
     type=HostPort(),
-    help="A controller, or the load balancer before them.",
+    help="Address of a controller or of a load balancer in front of the controllers.",
 )
 
 
@@ -58,8 +58,8 @@
     return response
 
 
-def show(response: Response) -> None:
-    """Print the response's body as JSON. Raises click.ClickException unless it was accepted."""
+def print_response(response: Response) -> None:
+    """Print the response's body as JSON. Raises click.ClickException for an error status."""
     try:
         text = msgspec.json.encode(msgspec.msgpack.decode(response.body)).decode()
     except msgspec.DecodeError:
@@ -71,8 +71,8 @@
     raise click.ClickException(f"status {response.status}{retry} {text}".rstrip())
 
 
-def read_list(path: Path, name: str, kind: type[Content]) -> Content:
-    """What a TOML file has under that name, as `kind`. Raises click.ClickException."""
+def read_toml_value(path: Path, name: str, kind: type[Content]) -> Content:
+    """Read the top-level key `name` of a TOML file as `kind`. Raises click.ClickException."""
     try:
         content = tomllib.loads(path.read_text(encoding="utf-8")).get(name)
         return msgspec.convert(content, kind)
--- a/umberward/cli/graph.py
+++ b/umberward/cli/graph.py
@@ -11,7 +11,13 @@
 import click
 import msgspec
 
-from umberward.cli.asking import ACCEPTED_STATUSES, ask, read_list, server_option, show
+from umberward.cli.asking import (
+    ACCEPTED_STATUSES,
+    ask,
+    print_response,
+    read_toml_value,
+    server_option,
+)
 from umberward.core.types import Address
 from umberward.protocol import wire
 
@@ -21,9 +27,9 @@
     from umberward.graphs.model import File
     from umberward.protocol.wire import MachineType
 
-GRAPHS = "/v1/graphs"
-FAILED = 1  # exit status: a graph that was waited for has not ended as done
-INVALID_FILE = 2  # exit status
+GRAPHS_PATH = "/v1/graphs"
+EXIT_NOT_DONE = 1  # with --wait: the graph has failed or was cancelled
+EXIT_INVALID_FILE = 2
 POLL_INTERVAL_S = 1.0
 
 
@@ -44,16 +50,16 @@
 @click.option(
     "--config",
     type=click.Path(path_type=Path),
-    help="A controller's settings file: are the team and its maximum right?",
+    help="A controller's settings file, to check the graph's team and its quota.",
 )
 @click.option(
     "--machines",
     type=click.Path(path_type=Path),
-    help="Machine types as `umberward local` takes them: can they hold each task?",
+    help="Machine types as for `umberward local`, to check that each task fits on one.",
 )
 @click.argument("file", type=click.Path(path_type=Path))
 def check(config: Path | None, machines: Path | None, file: Path) -> None:
-    """Check a graph file (TOML, or JSON by its suffix) without sending it."""
+    """Check a graph file (TOML, or JSON by its suffix) without submitting it."""
     from umberward.core.settings import SettingsError, load
     from umberward.core.types import MachineTypeName
     from umberward.graphs.model import Shape
@@ -68,7 +74,7 @@
     if machines is not None:
         machine_types = {
             MachineTypeName(machine_type.name): machine_type
-            for machine_type in read_list(machines, "machines", list[MachineType])
+            for machine_type in read_toml_value(machines, "machines", list[MachineType])
         }
     loaded = _load(file, teams, machine_types)
     shape = Shape(loaded.tasks)
@@ -79,12 +85,12 @@
 @graph.command()
 @server_option
 @click.option(
-    "--id", "id_option", help="The graph's id, graph-N; the same again is the same graph."
+    "--id", "id_option", help="The graph's id, graph-N; resubmitting with the same id is safe."
 )
-@click.option("--wait", is_flag=True, help="Wait for its end; exit 1 unless all tasks are done.")
+@click.option("--wait", is_flag=True, help="Wait for its end; exit 1 unless it succeeds.")
 @click.argument("file", type=click.Path(path_type=Path))
 def submit(server: Address, id_option: str | None, wait: bool, file: Path) -> None:  # noqa: FBT001 - click passes it by name
-    """Send the graph in FILE, in as many parts as it takes."""
+    """Submit the graph in FILE, in as many parts as needed."""
     from umberward.graphs import files
     from umberward.graphs.model import GRAPH_PREFIX, parse_graph_id
 
@@ -93,37 +99,37 @@
     if graph_id is None:
         raise click.BadParameter("expected graph-N", param_hint="--id")  # noqa: TRY003 - click prints this text
     for part in files.parts(graph_id, loaded):
-        response = ask(server, "POST", GRAPHS, wire.encode(part))
+        response = ask(server, "POST", GRAPHS_PATH, wire.encode(part))
         if response.status not in ACCEPTED_STATUSES:
             break
-    show(response)
+    print_response(response)
     while wait:
         time.sleep(POLL_INTERVAL_S)
-        state = _state(ask(server, "GET", f"{GRAPHS}/{graph_id}").body)
+        state = _state(ask(server, "GET", f"{GRAPHS_PATH}/{graph_id}").body)
         if state.get("phase") in ("done", "failed", "cancelled"):
             click.echo(msgspec.json.encode(state).decode())
-            raise SystemExit(0 if state["phase"] == "done" else FAILED)
+            raise SystemExit(0 if state["phase"] == "done" else EXIT_NOT_DONE)
 
 
 @graph.command()
 @server_option
 @click.argument("graph_id")
 def status(server: Address, graph_id: str) -> None:
-    """Show how far a graph is."""
-    show(ask(server, "GET", f"{GRAPHS}/{graph_id}"))
+    """Show the progress of a graph."""
+    print_response(ask(server, "GET", f"{GRAPHS_PATH}/{graph_id}"))
 
 
 @graph.command()
 @server_option
-@click.option("--phase", help="Only tasks of this phase, such as failed.")
+@click.option("--phase", help="Only tasks in this phase, such as failed.")
 @click.argument("graph_id")
 def tasks(server: Address, phase: str | None, graph_id: str) -> None:
-    """List the tasks of a graph, one JSON object on each line."""
+    """List the tasks of a graph, one JSON object per line."""
     start = 0
     while True:
-        response = ask(server, "GET", f"{GRAPHS}/{graph_id}/tasks?from={start}")
+        response = ask(server, "GET", f"{GRAPHS_PATH}/{graph_id}/tasks?from={start}")
         if response.status != HTTPStatus.OK:
-            show(response)
+            print_response(response)
         page = _state(response.body)
         for task in page["tasks"]:
             if phase in (None, task["phase"]):
@@ -137,8 +143,8 @@
 @server_option
 @click.argument("graph_id")
 def cancel(server: Address, graph_id: str) -> None:
-    """Cancel a graph: what is not over will not run."""
-    show(ask(server, "POST", f"{GRAPHS}/{graph_id}/cancel"))
+    """Cancel a graph; its tasks that have not ended are stopped or not started."""
+    print_response(ask(server, "POST", f"{GRAPHS_PATH}/{graph_id}/cancel"))
 
 
 def _load(
@@ -146,7 +152,7 @@
     teams: Sequence[TeamQuota] | None = None,
     machine_types: dict[MachineTypeName, MachineType] | None = None,
 ) -> File:
-    """Read and check a graph file; ends the command with all that is wrong with it."""
+    """Read and check a graph file; if it is invalid, list all errors and exit."""
     from umberward.graphs import files
 
     try:
@@ -154,11 +160,11 @@
     except files.GraphFileError as error:
         for line in error.lines:
             click.echo(line, err=True)
-        raise SystemExit(INVALID_FILE) from None
+        raise SystemExit(EXIT_INVALID_FILE) from None
 
 
 def _state(body: bytes) -> dict[str, Any]:
-    """The state of a graph in a response; empty if the response has another body."""
+    """Decode the state of a graph from a response; empty if the body is not a map."""
     try:
         state = msgspec.msgpack.decode(body)
     except msgspec.DecodeError:
--- a/umberward/cli/local.py
+++ b/umberward/cli/local.py
@@ -1,4 +1,4 @@
-"""The command `local`: a cluster on this machine, to try everything without the platform."""
+"""The command `local`: runs a cluster on this machine, without a real platform."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import click
 
-from umberward.cli.asking import read_list
+from umberward.cli.asking import read_toml_value
 
 if TYPE_CHECKING:
     import curio
@@ -18,9 +18,9 @@
     from umberward.local.cluster import ClusterPlan, LocalCluster
 
 TERMINAL_STATUS_INTERVAL_S = 0.5
-PLAIN_STATUS_INTERVAL_S = 5.0  # where standard output is no terminal
+PLAIN_STATUS_INTERVAL_S = 5.0  # if standard output is not a terminal
 POLL_S = 0.1
-TERMINATED = 143  # exit status after SIGTERM
+EXIT_TERMINATED = 143  # 128 + SIGTERM
 
 
 @click.command()
@@ -33,12 +33,12 @@
     default=1.0,
     show_default=True,
     type=click.FloatRange(0.1, 100.0),
-    help="How much faster machines boot and tasks run.",
+    help="Speed-up factor of machine boots and tasks.",
 )
 @click.option(
-    "--troubles", type=click.Path(path_type=Path), help="What goes wrong when (TOML): [[troubles]]."
+    "--troubles", type=click.Path(path_type=Path), help="Faults to inject (TOML): [[troubles]]."
 )
-@click.option("--for", "seconds", type=click.FloatRange(0.1), help="End after so many seconds.")
+@click.option("--for", "seconds", type=click.FloatRange(0.1), help="Stop after this time in s.")
 @click.option("--example", is_flag=True, help="Run an example of each kind of work, then end.")
 def local(
     controllers: int,
@@ -48,7 +48,7 @@
     seconds: float | None,
     example: bool,  # noqa: FBT001 - click passes it by name
 ) -> None:
-    """Run a cluster on this machine until Ctrl-C: controllers for real, all else by stand-ins."""
+    """Run a cluster on this machine until Ctrl-C: real controllers, all else simulated."""
     from umberward.core import event_loop, log
     from umberward.local.cluster import ClusterPlan, Fault
     from umberward.protocol.wire import MachineType
@@ -56,11 +56,11 @@
     log.configure("error", "lines")
     plan = ClusterPlan(controllers=controllers, speed=speed)
     if machines is not None:
-        plan.machines = read_list(machines, "machines", list[MachineType])
+        plan.machines = read_toml_value(machines, "machines", list[MachineType])
     if troubles is not None:
-        plan.troubles = read_list(troubles, "troubles", list[Fault])
-    # An exception, unlike the signal itself, lets the cluster end its processes.
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(TERMINATED))
+        plan.troubles = read_toml_value(troubles, "troubles", list[Fault])
+    # Raises SystemExit on SIGTERM, so that the cluster stops its child processes.
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(EXIT_TERMINATED))
     try:
         failed = event_loop.run(_run, plan, seconds, example)
     except KeyboardInterrupt:
@@ -73,7 +73,7 @@
 
 
 async def _run(plan: ClusterPlan, seconds: float | None, example: bool) -> bool:  # noqa: FBT001 - click passes it by name
-    """Run the cluster, and the example if asked for; True: the example did not end well."""
+    """Run the cluster and, if requested, the example; returns whether the example failed."""
     import curio
 
     from umberward.local import example as examples
@@ -82,16 +82,16 @@
     started_at = time.monotonic()
     async with LocalCluster.running(plan) as cluster:
         _show_addresses(cluster)
-        work = await curio.spawn(examples.run, cluster, click.echo) if example else None
+        example_task = await curio.spawn(examples.run, cluster, click.echo) if example else None
         end_at = None if seconds is None else started_at + seconds
-        await _show_status(cluster, work, end_at)
-        if work is None:
+        await _show_status(cluster, example_task, end_at)
+        if example_task is None:
             return False
-        if not work.terminated:
-            await work.cancel()
+        if not example_task.terminated:
+            await example_task.cancel()
             click.echo("the example did not end in time", err=True)
             return True
-        return not await work.join()
+        return not await example_task.join()
 
 
 def _show_addresses(cluster: LocalCluster) -> None:
@@ -102,11 +102,11 @@
 
 
 async def _show_status(
-    cluster: LocalCluster, work: curio.Task | None, end_at: float | None
+    cluster: LocalCluster, example_task: curio.Task | None, end_at: float | None
 ) -> None:
-    """Print the status again and again until the work is over or the time has come.
+    """Print the status periodically until the example has ended or time is up.
 
-    On a terminal each status replaces the one before. `end_at`: by the monotonic clock.
+    On a terminal each status overwrites the previous one. `end_at`: by the monotonic clock.
     """
     import curio
 
@@ -114,7 +114,7 @@
     interval_s = TERMINAL_STATUS_INTERVAL_S if is_terminal else PLAIN_STATUS_INTERVAL_S
     shown_at = 0.0
     while end_at is None or time.monotonic() < end_at:
-        if work is not None and work.terminated:
+        if example_task is not None and example_task.terminated:
             break
         if time.monotonic() - shown_at > interval_s:
             shown_at = time.monotonic()
--- a/umberward/cli/main.py
+++ b/umberward/cli/main.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from umberward import __version__
-from umberward.cli.asking import ask, server_option, show
+from umberward.cli.asking import ask, print_response, server_option
 from umberward.cli.graph import graph
 from umberward.cli.load import load as load_command
 from umberward.cli.local import local
@@ -21,8 +21,8 @@
 from umberward.core.types import Address
 from umberward.protocol import wire
 
-GC_THRESHOLD_OBJECTS = 10_000  # created since the last collection of the youngest generation
-INVALID_SETTINGS = 2  # exit status
+GC_THRESHOLD_OBJECTS = 10_000  # allocations that trigger a collection of the youngest generation
+EXIT_INVALID_SETTINGS = 2
 
 _config = click.option(
     "--config",
@@ -61,8 +61,8 @@
     from umberward.control.controller import Controller
     from umberward.core import event_loop
 
-    # Objects made for a message are freed with it by reference counts alone, so most collections
-    # would find nothing.
+    # Reference counting alone frees the objects of each message, so that most collections find
+    # nothing.
     gc.set_threshold(GC_THRESHOLD_OBJECTS)
     event_loop.run(Controller(settings).run)
 
@@ -71,7 +71,7 @@
 @_config
 @_properties
 def check(config: Path, properties: Path | None) -> None:
-    """Check a settings file and say what it holds."""
+    """Check a settings file and print a summary of it."""
     settings = _load(config, properties)
     platform = settings.platform
     click.echo(
@@ -100,41 +100,41 @@
         if not isinstance(body, dict):
             raise click.ClickException("not a JSON object")  # noqa: TRY003 - click prints this text
         body["waits_on"] = [*(body.get("waits_on") or ()), *after]
-    show(ask(server, "POST", "/v1/jobs", wire.encode(body)))
+    print_response(ask(server, "POST", "/v1/jobs", wire.encode(body)))
 
 
 @main.command()
 @server_option
 @click.argument("job_id")
 def status(server: Address, job_id: str) -> None:
-    """Show the state of a job, what it waits for, and which job's cancellation ended it."""
-    show(ask(server, "GET", f"/v1/jobs/{job_id}"))
+    """Show the state of a job, the jobs it waits for, and the job whose cancellation ended it."""
+    print_response(ask(server, "GET", f"/v1/jobs/{job_id}"))
 
 
 @main.command()
 @server_option
 @click.argument("job_id")
 def cancel(server: Address, job_id: str) -> None:
-    """Cancel a job, and with it all jobs that wait for it."""
-    show(ask(server, "POST", f"/v1/jobs/{job_id}/cancel"))
+    """Cancel a job and all jobs that depend on it."""
+    print_response(ask(server, "POST", f"/v1/jobs/{job_id}/cancel"))
 
 
 def _load(config: Path, properties: Path | None) -> Settings:
-    """Read the settings; ends the command with exit status 2 if they are invalid."""
+    """Read the settings; exits with status 2 if they are invalid."""
     try:
         return load(config, properties)
     except SettingsError as error:
         click.echo(f"umberward: {error}", err=True)
-        sys.exit(INVALID_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
 
 
-def _log_to_stderr(form: str) -> None:
-    """Log in that form, from the level in LOG_LEVEL; ends the command if there is none such."""
+def _log_to_stderr(log_format: str) -> None:
+    """Log in the given format, from the level in LOG_LEVEL; exits with 2 if that is unknown."""
     from umberward.core import log
 
     level = os.environ.get("LOG_LEVEL", "info").lower()
     if level not in log.LEVELS:
         names = ", ".join(log.LEVELS)
         click.echo(f"umberward: LOG_LEVEL: {level!r} is none of {names}", err=True)
-        sys.exit(INVALID_SETTINGS)
-    log.configure(level, form)
+        sys.exit(EXIT_INVALID_SETTINGS)
+    log.configure(level, log_format)
--- a/umberward/cli/soak.py
+++ b/umberward/cli/soak.py
@@ -1,4 +1,4 @@
-"""The command `soak`: a cluster on the loopback under load and drawn faults, checked."""
+"""The command `soak`: checks a cluster on the loopback under load and random faults."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 import click
 import msgspec
 
-TERMINATED = 143  # exit code after SIGTERM
-BROKEN, BAD_INPUT, HARNESS_FAILED = 1, 2, 3  # exit codes; 0: no rule was broken
+EXIT_TERMINATED = 143  # 128 + SIGTERM
+EXIT_RULE_BROKEN, EXIT_BAD_INPUT, EXIT_HARNESS_FAILED = 1, 2, 3  # 0: no rule was broken
 
 
 class Seeds(click.ParamType[range]):
-    """Seeds on the command line: one number or a range, such as `7` or `1-50`."""
+    """The type of the command line option for seeds: one number or a range, as `7` or `1-50`."""
 
     name = "seeds"
 
     def convert(
         self, value: str | range, param: click.Parameter | None, ctx: click.Context | None
     ) -> range:
-        """The seeds; ends with click's own message for anything else."""
+        """Parse the seeds; fails with click's usage error if they are invalid."""
         if isinstance(value, range):
             return value
         first, _, last = value.partition("-")
@@ -36,11 +36,11 @@
 
 
 class SeedRun(NamedTuple):
-    """The run of one seed in a process of its own."""
+    """The outcome of one seed, run in a separate process."""
 
     seed: int
     output: str  # what the process printed
-    result: dict[str, Any] | None  # its report; None: the process failed
+    result: dict[str, Any] | None  # its report, or None if the process failed
 
 
 @click.command()
@@ -52,16 +52,20 @@
     help="short, small, medium or large: workers, load and length.",
 )
 @click.option(
-    "--fault", "faults", multiple=True, help="Only this kind of fault; may be given several times."
+    "--fault", "faults", multiple=True, help="Only faults of this kind; may be given several times."
 )
 @click.option(
-    "--jobs", default=1, show_default=True, type=click.IntRange(1, 16), help="Seeds played at once."
+    "--jobs",
+    default=1,
+    show_default=True,
+    type=click.IntRange(1, 16),
+    help="Seeds run in parallel.",
 )
 @click.option("--report", type=click.Path(path_type=Path), help="Write the results as JSON.")
 def soak(seeds: range, size: str, faults: tuple[str, ...], jobs: int, report: Path | None) -> None:
-    """Play drawn faults against a cluster on this machine, and judge it from outside.
+    """Inject random faults into a cluster on this machine and check it from outside.
 
-    Ends with 0 if no rule was broken, 1 if one was, 2 for bad input, 3 if the soak itself failed.
+    Exits with 0 if no rule was broken, 1 if one was, 2 for bad input, 3 if the soak itself failed.
     """
     from umberward.soak import plan
 
@@ -70,15 +74,15 @@
         plan.kinds(list(faults))
     except plan.PlanError as error:
         click.echo(f"soak: {error}", err=True)
-        sys.exit(BAD_INPUT)
-    # An exception, unlike the signal itself, lets the soak end its processes.
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(TERMINATED))
+        sys.exit(EXIT_BAD_INPUT)
+    # Raises SystemExit on SIGTERM, so that the soak stops its child processes.
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(EXIT_TERMINATED))
     if len(seeds) == 1:
-        sys.exit(_run_here(seeds[0], size, faults, report))
+        sys.exit(_run_in_this_process(seeds[0], size, faults, report))
     sys.exit(_run_in_processes(seeds, size, faults, jobs, report))
 
 
-def _run_here(seed: int, size: str, faults: tuple[str, ...], report: Path | None) -> int:
+def _run_in_this_process(seed: int, size: str, faults: tuple[str, ...], report: Path | None) -> int:
     """Run one seed in this process and print the result. Returns the exit status."""
     from umberward.core import event_loop, log
     from umberward.soak import plan
@@ -90,22 +94,22 @@
         result = event_loop.run(run.play)
     except (RuntimeError, OSError) as error:
         click.echo(f"soak: seed {seed}: the soak failed: {error}", err=True)
-        return HARNESS_FAILED
+        return EXIT_HARNESS_FAILED
     if report is not None:
         report.write_bytes(msgspec.json.format(msgspec.json.encode([result])) + b"\n")
-    click.echo(_line(msgspec.to_builtins(result)))
+    click.echo(_summary_line(msgspec.to_builtins(result)))
     for line in result.timeline:
         click.echo(f"    {line}")
     if result.broken:
-        chosen = "".join(f" --fault {name}" for name in faults)
-        click.echo(f"again: umberward soak --seeds {seed} --size {size}{chosen}")
-    return BROKEN if result.broken else 0
+        fault_options = "".join(f" --fault {name}" for name in faults)
+        click.echo(f"again: umberward soak --seeds {seed} --size {size}{fault_options}")
+    return EXIT_RULE_BROKEN if result.broken else 0
 
 
 def _run_in_processes(
     seeds: range, size: str, faults: tuple[str, ...], jobs: int, report: Path | None
 ) -> int:
-    """Run each seed in a process of its own; none outlives this one. Returns the exit status."""
+    """Run each seed in a child process, all of which end with this one; returns the exit status."""
     running: list[subprocess.Popen[str]] = []
     with tempfile.TemporaryDirectory(prefix="umberward-soak-") as folder:
 
@@ -132,7 +136,7 @@
             finally:
                 pool.shutdown(wait=False, cancel_futures=True)
                 for process in running:
-                    process.terminate()  # of one that has ended already it does nothing
+                    process.terminate()  # no effect if it has exited already
     results = [run.result for run in runs if run.result is not None]
     if report is not None:
         report.write_bytes(msgspec.json.format(msgspec.json.encode(results)) + b"\n")
@@ -145,10 +149,10 @@
         f" {sum(result['kills'] for result in results)} kills,"
         f" {sum(result['takeovers'] for result in results)} takeovers"
     )
-    return HARNESS_FAILED if failed else BROKEN if broken else 0
+    return EXIT_HARNESS_FAILED if failed else EXIT_RULE_BROKEN if broken else 0
 
 
-def _line(result: dict[str, Any]) -> str:
+def _summary_line(result: dict[str, Any]) -> str:
     """One line with the result of one seed."""
     rules = sorted({rule for _, rule, *_ in result["broken"]})
     return (
--- a/umberward/load/__init__.py
+++ b/umberward/load/__init__.py
@@ -1,1 +1,1 @@
-"""An open-loop load for any controllers: how they answer when users do not wait for each other."""
+"""Generates an open-loop load and measures how controllers respond to it."""
