--- a/tests/test_regress.py
+++ b/tests/test_regress.py
@@ -1,4 +1,4 @@
-"""The comparison of the bench's figures, on a journal written for it."""
+"""The comparison of the bench's scores, with a journal made for these tests."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 JOURNAL = Path(__file__).parent / "journal"
 
 
-def test_falls_and_broken_rules_speak_against_landing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_falling_scores_and_broken_rules_are_objections(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(regress, "JOURNAL", JOURNAL)
     result = CliRunner().invoke(regress.main, ["compare"])
     calm, storm = result.output.splitlines()[1:]
@@ -26,30 +26,30 @@
     assert result.exit_code == 1
 
 
-def test_what_is_within_noise_may_land(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_changes_within_noise_are_no_objection(monkeypatch: pytest.MonkeyPatch) -> None:
     found = entries.read(JOURNAL)
     before = entries.last_full(found, "a")
     assert before is not None and before.id == "aaaa0001"
     now = found[1]
     now.days = now.days[:1]
-    assert [row.wrong for row in entries.compare(now, before)] == [""]
+    assert [row.objections for row in entries.compare(now, before)] == [""]
 
 
-def test_a_run_that_is_not_over_is_no_result(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unfinished_run_is_no_result(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(regress, "JOURNAL", JOURNAL)
     result = CliRunner().invoke(regress.main, ["compare", "aaaa0003"])
     assert "no result: the run did not finish" in result.output
     assert result.exit_code == 1
 
 
-def test_without_the_kit(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_missing_kit_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(regress, "BENCH", Path("no/such/bench"))
     result = CliRunner().invoke(regress.main, ["quick", "--why", "x"])
     assert result.exit_code == 2
     assert result.output.count("\n") == 1 and "kit" in result.output
 
 
-def test_a_file_that_is_no_entry(tmp_path: Path) -> None:
+def test_an_invalid_entry_file_is_rejected(tmp_path: Path) -> None:
     (tmp_path / "x.json").write_text("{}")
     with pytest.raises(ValueError, match="x.json"):
         entries.read(tmp_path)
@@ -79,27 +79,27 @@
 }
 
 
-def test_a_site_half_again_as_large(tmp_path: Path) -> None:
+def test_a_site_scaled_by_half(tmp_path: Path) -> None:
     source = tmp_path / "town.toml"
     source.write_text(tomli_w.dumps(SITE))
     (tmp_path / "wire.json").write_text("{}")
-    made = sites.write(source, tmp_path / "made", 1.5, 0.2, 9)
-    grown = tomllib.loads(made.read_text())
-    assert (made.parent / grown["wire"]).exists()
-    assert grown["name"] == "town-x1.5" and grown["nodes"] == {"count": 3, "restart_delay_s": 0.2}
-    assert grown["capacity"] == [{"type": "t", "zone": "z", "count": 10, "spot": 6}]
-    assert grown["machines"][0]["count"] == 4 and grown["machines"][0]["spot"] is False
-    assert grown["jobs"][0]["initial"] == 8 and grown["jobs"][0]["arrivals"]["rate"] == 0.75
-    assert [fault["count"] for fault in grown["day"][1]["faults"]] == [6, 2]
-    assert sites.days(made, rough=True) == ["storm"]
-    assert sites.days(made, rough=False) == ["calm", "storm"]
-    (drawn,) = sites.write_days(made, [3])
+    scaled_path = sites.write(source, tmp_path / "made", 1.5, 0.2, 9)
+    scaled = tomllib.loads(scaled_path.read_text())
+    assert (scaled_path.parent / scaled["wire"]).exists()
+    assert scaled["name"] == "town-x1.5" and scaled["nodes"] == {"count": 3, "restart_delay_s": 0.2}
+    assert scaled["capacity"] == [{"type": "t", "zone": "z", "count": 10, "spot": 6}]
+    assert scaled["machines"][0]["count"] == 4 and scaled["machines"][0]["spot"] is False
+    assert scaled["jobs"][0]["initial"] == 8 and scaled["jobs"][0]["arrivals"]["rate"] == 0.75
+    assert [fault["count"] for fault in scaled["day"][1]["faults"]] == [6, 2]
+    assert sites.days(scaled_path, roughest_only=True) == ["storm"]
+    assert sites.days(scaled_path, roughest_only=False) == ["calm", "storm"]
+    (drawn,) = sites.write_days(scaled_path, [3])
     (day,) = tomllib.loads(drawn.read_text())["day"]
     assert {fault["kind"] for fault in day["faults"]} == {"machine_die", "node_crash"}
     assert all(60.0 <= fault["at_s"] <= 140.0 for fault in day["faults"])
 
 
-def test_a_class_or_team_that_is_served_too_little(tmp_path: Path) -> None:
+def test_the_least_served_class_or_team(tmp_path: Path) -> None:
     path = tmp_path / "report.json"
     path.write_text(
         msgspec.json.encode(
@@ -116,14 +116,14 @@
         ).decode()
     )
     found = served.read(path)
-    assert found.least() == served.Part("red", 0.45)
-    assert served.judge(found.least()) == "failed: 0.45 of red served"
-    assert served.judge(served.Part("sums", 0.5)) == "near: 0.50 of sums served"
-    assert served.judge(served.Part("sums", 0.6)) == ""
+    assert found.least_served() == served.ServedShare("red", 0.45)
+    assert served.objections(found.least_served()) == "failed: 0.45 of red served"
+    assert served.objections(served.ServedShare("sums", 0.5)) == "near: 0.50 of sums served"
+    assert served.objections(served.ServedShare("sums", 0.6)) == ""
     assert found.processor_s == 11.0 and not found.broken
 
 
-def test_what_the_journal_says_of_classes() -> None:
+def test_the_least_served_class_by_the_journal() -> None:
     day = entries.Day(
         "d",
         aims=[
@@ -133,7 +133,7 @@
             ("submit 200 ms: 0.1 (aim 0.99)", 0.0),
         ],
     )
-    assert served.least_by_aims(day) == served.Part("lists", 0.6)
+    assert served.least_served_by_aims(day) == served.ServedShare("lists", 0.6)
 
 
 LOG = """
@@ -147,49 +147,52 @@
 """.splitlines()
 
 
-def test_the_largest_of_each_class_are_judged_for_themselves() -> None:
+def test_the_largest_jobs_of_each_class_are_checked_separately() -> None:
     gang, web = largest.read(LOG)
-    # Of two gangs the larger one counts, though the other was served.
-    assert gang == largest.Largest("gang", 1, 0.0, 259.0)
-    # Services never end: what began is served.
-    assert web == largest.Largest("web", 1, 1.0, 1.5)
-    assert largest.judge([web]) == ""
-    assert largest.judge([gang]) == (
+    # Only the larger of the two gangs counts, although the other one was served.
+    assert gang == largest.LargestJobs("gang", 1, 0.0, 259.0)
+    # Services never end; one that has started counts as served.
+    assert web == largest.LargestJobs("web", 1, 1.0, 1.5)
+    assert largest.objections([web]) == ""
+    assert largest.objections([gang]) == (
         "failed: 0.00 of the largest of gang served; one of the largest of gang began after 259 s"
     )
     assert largest.summary([gang, web]) == "0.00 gang, began by 259 s gang"
 
 
-def test_what_was_cancelled_is_not_asked_for() -> None:
+def test_cancelled_jobs_are_not_expected_to_be_done() -> None:
     log = [*LOG[:4], "3.0 n INFO umberward.control.users: cancelled_by_user job=req-1"]
-    assert largest.read(log)[0] == largest.Largest("gang", 1, 1.0, 0.0)
+    assert largest.read(log)[0] == largest.LargestJobs("gang", 1, 1.0, 0.0)
 
 
-def test_a_cancellation_that_nobody_logged_counts_all_the_same() -> None:
-    assert largest.read(LOG[:4], {"gang": 1})[0].share == 0.0  # one of two is missing besides
-    assert largest.read(LOG[:5], {"gang": 1})[0] == largest.Largest("gang", 1, 1.0, 0.0)
+def test_unlogged_cancellations_are_taken_from_the_bench() -> None:
+    # Without a log line of either job's start, only one of the two can be cancelled.
+    assert largest.read(LOG[:4], {"gang": 1})[0].share == 0.0
+    assert largest.read(LOG[:5], {"gang": 1})[0] == largest.LargestJobs("gang", 1, 1.0, 0.0)
 
 
-def test_one_that_began_and_was_cancelled_unlogged_must_still_begin_in_time() -> None:
+def test_a_started_job_cancelled_without_a_log_line_must_have_started_in_time() -> None:
     gang = largest.read(LOG, {"gang": 1})[0]
-    assert gang == largest.Largest("gang", 1, 1.0, 259.0)
-    # Not one more is excused than the bench counts as cancelled.
+    assert gang == largest.LargestJobs("gang", 1, 1.0, 259.0)
+    # No more jobs are exempt than the bench counts as cancelled.
     assert largest.read(LOG, {"gang": 0})[0].share == 0.0
 
 
-def test_days_of_meetings_follow_from_the_deployment() -> None:
+def test_days_of_meetings_are_derived_from_the_deployment() -> None:
     site = {**SITE, "workers": {"lease_s": 10.0, "cancel_s": 30.0}}
     site["capacity"] = [{"count": 60, "spot": 40}]
-    made = meetings.days(site, seed=3, pairs=2)
-    assert [drawn.day["name"] for drawn in made[-2:]] == ["pair-3-0", "pair-3-1"]
-    assert len(made) == len(meetings.MEETINGS) + 2
-    gap = made[0].day
-    assert made[0].variant == ""
+    planned_days = meetings.days(site, seed=3, pairs=2)
+    assert [planned.day["name"] for planned in planned_days[-2:]] == ["pair-3-0", "pair-3-1"]
+    assert len(planned_days) == len(meetings.COMBINATIONS) + 2
+    gap = planned_days[0].day
+    assert planned_days[0].variant == ""
     outages = [fault for fault in gap["faults"] if fault["kind"] == "state_outage"]
     assert all(fault["for_s"] > 30.0 for fault in outages) and len(outages) == 2
     ends = max(fault["at_s"] + fault.get("for_s", 0.0) for fault in gap["faults"])
-    assert gap["duration_s"] == ends + meetings.LAST_S
-    assert made == meetings.days(site, seed=3, pairs=2) != meetings.days(site, seed=4, pairs=2)
+    assert gap["duration_s"] == ends + meetings.FAULT_FREE_END_S
+    assert (
+        planned_days == meetings.days(site, seed=3, pairs=2) != meetings.days(site, seed=4, pairs=2)
+    )
 
 
 @pytest.mark.parametrize("variant", sites.VARIANTS)
@@ -201,11 +204,11 @@
     assert changed != site
     field = {"limited": "teams", "quick-boots": "machine_types", "small-jobs": "jobs"}[variant]
     assert {**changed, field: None} == {**site, field: None}
-    if variant == "limited":  # half of what all teams have together
-        assert changed["teams"][0]["cpus_max"] == sites.LIMIT * 7 * 8.0 / 2
+    if variant == "limited":  # each of the two teams gets half
+        assert changed["teams"][0]["cpus_max"] == sites.TEAM_LIMIT_SHARE * 7 * 8.0 / 2
 
 
-def test_an_unknown_meeting_ends_with_a_line(
+def test_unknown_names_are_reported_in_one_line(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     kit = tmp_path / "kit"
@@ -217,13 +220,13 @@
     monkeypatch.setattr(regress, "KIT", kit)
     monkeypatch.setattr(regress, "BENCH", kit)
     monkeypatch.setattr(regress, "SITES", tmp_path / "sites")
-    given = ["meetings", "--why", "x"]
-    for words in (
-        [*given, "--day", "nonsense"],
-        [*given, "--only", "nonsense"],
-        [*given, "--seed", "nonsense"],
+    required_args = ["meetings", "--why", "x"]
+    for args in (
+        [*required_args, "--day", "nonsense"],
+        [*required_args, "--only", "nonsense"],
+        [*required_args, "--seed", "nonsense"],
         ["nonsense"],
     ):
-        result = CliRunner().invoke(regress.main, words)
+        result = CliRunner().invoke(regress.main, args)
         assert result.exit_code == 2 and result.output.count("\n") == 1
         assert "nonsense" in result.output
--- a/tools/regress/__init__.py
+++ b/tools/regress/__init__.py
@@ -1,1 +1,1 @@
-"""The bench as the regression test: plays the deployments that a landing asks for, and compares."""
+"""Regression test: runs the deployments required before a landing in the bench, and compares."""
--- a/tools/regress/entries.py
+++ b/tools/regress/entries.py
@@ -1,4 +1,4 @@
-"""Journal entries of the bench, as far as figures are compared. No I/O but reading files."""
+"""Journal entries of the bench, and the comparison of their scores. No I/O but reading files."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 import msgspec
 
-NOISE = 0.03  # smaller changes of a figure mean nothing
-PROCESSOR_S = 200.0  # what a day may take in the processes' own code; at 400 it counts for nothing
+SCORE_NOISE = 0.03  # smaller changes of a score are noise
+MAX_PROCESSOR_S = 200.0  # of a day, in the processes' own code; at 400 s it counts for nothing
 
 
 class Spent(msgspec.Struct):
-    """Processor time in seconds: in the processes' own code, and in the kernel for them."""
+    """Processor time in seconds: in the processes' own code, and in the kernel."""
 
     processes: list[float] = []
 
@@ -23,17 +23,17 @@
 
     name: str
     score: float | None = None
-    rules: dict[str, Any] = {}  # the rules that were broken
+    rules: dict[str, Any] = {}  # broken rules
     fault: Any = None  # why the day has no result
     spent: Spent | None = None
-    aims: list[tuple[str, float]] = []  # what was reached, and its worth
+    aims: list[tuple[str, float]] = []  # objectives: text with the reached value, and its worth
 
 
 class Entry(msgspec.Struct):
     """One deployment in one run of the bench."""
 
     id: str
-    at: list[str]  # when it began and ended; the end is empty while it runs
+    at: list[str]  # start and end; the end is empty while it runs
     cmd: str
     argv: list[str]
     site: str | None = None
@@ -43,37 +43,37 @@
     days: list[Day] = []
 
     @property
-    def over(self) -> bool:
-        """Whether the run came to its end."""
+    def finished(self) -> bool:
+        """Whether the run ended without an error."""
         return len(self.at) > 1 and bool(self.at[1]) and self.error is None
 
     @property
     def full(self) -> bool:
-        """Whether it scored all standard days of the deployment."""
-        return self.cmd == "score" and self.over and "--quick" not in self.argv
+        """Whether the run scored all standard days of the deployment."""
+        return self.cmd == "score" and self.finished and "--quick" not in self.argv
 
 
-class Part(NamedTuple):
-    """A class or a team, and the share of its jobs that was served."""
+class ServedShare(NamedTuple):
+    """A class of jobs or a team, and the share of its jobs that was served."""
 
     who: str
     share: float
 
 
 class Row(NamedTuple):
-    """One day now, against the last full score of its deployment."""
+    """The comparison of one day with the last full score of its deployment."""
 
     site: str
     day: str
     before: float | None
     now: float | None
     processor_s: float | None
-    wrong: str  # what speaks against landing; empty: nothing
-    least: Part | None = None  # who was served least, if that is known
+    objections: str  # reasons against landing, or empty
+    least_served: ServedShare | None = None  # None if unknown
 
 
 def read(folder: Path) -> list[Entry]:
-    """All entries, oldest first. Raises ValueError for a file that is none."""
+    """All entries, oldest first. Raises ValueError if a file is not an entry."""
     found = []
     for path in sorted(folder.glob("*.json")):
         try:
@@ -84,28 +84,34 @@
 
 
 def last_full(entries: Iterable[Entry], site: str) -> Entry | None:
-    """The newest full score of the deployment, if there is any."""
+    """The newest full score of the deployment, or None."""
     found = [entry for entry in entries if entry.full and entry.site == site]
     return found[-1] if found else None
 
 
 def compare(now: Entry, before: Entry | None) -> list[Row]:
-    """Day by day; days that only one of the two has are compared with nothing."""
-    old = {day.name: day.score for day in before.days} if before is not None else {}
+    """Compare day by day; a day without a previous score has nothing to be compared with."""
+    previous_scores = {day.name: day.score for day in before.days} if before is not None else {}
     rows = []
     for day in now.days:
-        wrong = []
+        objections = []
         if day.rules:
-            wrong.append("broken: " + ", ".join(sorted(day.rules)))
+            objections.append("broken: " + ", ".join(sorted(day.rules)))
         if day.fault is not None or day.score is None:
-            wrong.append(f"no result: {day.fault}")
-        was = old.get(day.name)
-        if was is not None and day.score is not None and day.score < was - NOISE:
-            wrong.append(f"fell by {was - day.score:.2f}")
+            objections.append(f"no result: {day.fault}")
+        previous_score = previous_scores.get(day.name)
+        if (
+            previous_score is not None
+            and day.score is not None
+            and day.score < previous_score - SCORE_NOISE
+        ):
+            objections.append(f"fell by {previous_score - day.score:.2f}")
         spent = sum(day.spent.processes) if day.spent is not None else None
-        if spent is not None and spent > PROCESSOR_S:
-            wrong.append(f"{spent:.0f} s of processor time")
-        rows.append(Row(now.site or "?", day.name, was, day.score, spent, "; ".join(wrong)))
-    if not now.days or not now.over:
+        if spent is not None and spent > MAX_PROCESSOR_S:
+            objections.append(f"{spent:.0f} s of processor time")
+        rows.append(
+            Row(now.site or "?", day.name, previous_score, day.score, spent, "; ".join(objections))
+        )
+    if not now.days or not now.finished:
         rows.append(Row(now.site or "?", "-", None, None, None, f"no result: {now.error}"))
     return rows
--- a/tools/regress/served.py
+++ b/tools/regress/served.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from tools.regress.entries import Day, Part, Spent
+from tools.regress.entries import Day, ServedShare, Spent
 
-FAILED_PART = 0.5  # a day on which any class or team gets less counts for nothing
-NEAR_PART = 0.6  # ... and below this it is marked
+FAILED_SHARE = 0.5  # a day that serves less of any class or team counts for nothing
+MARKED_SHARE = 0.6  # a day that serves less of any class or team is marked
 
-# An aim in the journal, as "wait payslip-portal 1.0 s: 0.94 (aim 0.95)".
+# An objective in the journal, such as "wait payslip-portal 1.0 s: 0.94 (aim 0.95)".
 _AIM = re.compile(r"(?:wait|finished|deadline) (\S+) .*?: ([0-9.]+) ")
 
 
@@ -23,7 +23,7 @@
     started: int
     done: int
     cancelled: int
-    up: float | None = None  # for services, of the time that replicas should have been up
+    up: float | None = None  # only services: the share of the required uptime of replicas
 
 
 class Team(msgspec.Struct):
@@ -33,23 +33,23 @@
     started: int
 
 
-class Broken(msgspec.Struct):
+class BrokenRules(msgspec.Struct):
     """How often each rule was broken, by its name."""
 
     by_kind: dict[str, int] = {}
 
 
 class Report(msgspec.Struct):
-    """What the bench writes with ``run --report``, as far as it is read here."""
+    """The report that the bench writes with ``run --report``, without unused fields."""
 
     classes: dict[str, JobClass]
-    rules_broken: Broken
+    rules_broken: BrokenRules
     spent: Spent
     teams: dict[str, Team] = {}
 
     @property
     def broken(self) -> bool:
-        """Whether any rule was."""
+        """Whether any rule was broken."""
         return bool(self.rules_broken.by_kind)
 
     @property
@@ -57,47 +57,53 @@
         """Processor time of all controllers' own code."""
         return sum(self.spent.processes)
 
-    def least(self) -> Part | None:
-        """The class or team that was served least; services by their time, others when done."""
-        parts = [Part(name, _share(kind)) for name, kind in self.classes.items() if kind.jobs]
+    def least_served(self) -> ServedShare | None:
+        """The class or team that was served least: services by uptime, other jobs by completion."""
+        parts = [
+            ServedShare(name, _served_share(kind))
+            for name, kind in self.classes.items()
+            if kind.jobs
+        ]
         parts += [
-            Part(name, team.started / team.jobs) for name, team in self.teams.items() if team.jobs
+            ServedShare(name, team.started / team.jobs)
+            for name, team in self.teams.items()
+            if team.jobs
         ]
         return min(parts, key=lambda part: part.share, default=None)
 
 
-def _share(kind: JobClass) -> float:
+def _served_share(kind: JobClass) -> float:
     started = kind.started / kind.jobs
     if kind.up is not None:
         return min(started, kind.up)
-    # Users cancel some, before or after their start: those are not asked for any more.
-    asked = max(1, kind.jobs - kind.cancelled)
-    return min(1.0, started, kind.done / asked)
+    # Jobs that users cancel, before or after their start, are not expected to be done.
+    expected = max(1, kind.jobs - kind.cancelled)
+    return min(1.0, started, kind.done / expected)
 
 
 def read(path: Path) -> Report:
-    """Raises ValueError for a file that is none."""
+    """Read a report. Raises ValueError if the file is not one."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Report)
     except msgspec.DecodeError as error:
         raise ValueError(f"{path}: {error}") from None
 
 
-def least_by_aims(day: Day) -> Part | None:
-    """The same from the journal alone: of each class, the widest of its aims."""
+def least_served_by_aims(day: Day) -> ServedShare | None:
+    """The least served class by the journal alone, each class by its best reached objective."""
     widest: dict[str, float] = {}
     for text, _ in day.aims:
-        found = _AIM.match(text)
-        if found is not None:
-            name, share = found[1], float(found[2])
+        match = _AIM.match(text)
+        if match is not None:
+            name, share = match[1], float(match[2])
             widest[name] = max(widest.get(name, 0.0), share)
-    parts = [Part(name, share) for name, share in widest.items()]
+    parts = [ServedShare(name, share) for name, share in widest.items()]
     return min(parts, key=lambda part: part.share, default=None)
 
 
-def judge(part: Part | None) -> str:
-    """What it says against landing; empty: nothing."""
-    if part is None or part.share >= NEAR_PART:
+def objections(part: ServedShare | None) -> str:
+    """The reason against landing, or an empty string."""
+    if part is None or part.share >= MARKED_SHARE:
         return ""
-    word = "failed" if part.share < FAILED_PART else "near"
+    word = "failed" if part.share < FAILED_SHARE else "near"
     return f"{word}: {part.share:.2f} of {part.who} served"
--- a/tools/regress/sites.py
+++ b/tools/regress/sites.py
@@ -1,4 +1,4 @@
-"""Deployments of our own size, made from the users' site files, which stay as they are."""
+"""Deployments of other sizes, derived from the users' site files. Those files do not change."""
 
 from __future__ import annotations
 
@@ -11,62 +11,68 @@
 
 import tomli_w
 
-DRAWN = 4  # troubles of a drawn day
+DRAWN_FAULTS = 4  # number of faults of a random day
 
 
-def grow(site: dict[str, Any], factor: float, restart_s: float, seed: int) -> dict[str, Any]:
-    """The same deployment with `factor` times the machines, jobs and failing machines.
+def scale_site(site: dict[str, Any], factor: float, restart_s: float, seed: int) -> dict[str, Any]:
+    """The deployment with `factor` times as many machines, jobs and failing machines.
 
-    A process that ends is back after `restart_s` seconds.
+    A controller that exits is restarted after `restart_s` seconds.
     """
-    grown = {**site, "name": f"{site['name']}-x{factor:g}", "seed": seed}
-    grown["nodes"] = {**site["nodes"], "restart_delay_s": restart_s}
+    scaled = {**site, "name": f"{site['name']}-x{factor:g}", "seed": seed}
+    scaled["nodes"] = {**site["nodes"], "restart_delay_s": restart_s}
     for table, counts in (("capacity", ("count", "spot")), ("machines", ("count",))):
         if table in site:
-            grown[table] = [_times(row, counts, factor) for row in site[table]]
-    grown["jobs"] = [
-        {**_times(job, ("initial",), factor), "arrivals": _faster(job["arrivals"], factor)}
+            scaled[table] = [_scale_fields(row, counts, factor) for row in site[table]]
+    scaled["jobs"] = [
+        {
+            **_scale_fields(job, ("initial",), factor),
+            "arrivals": _scale_rate(job["arrivals"], factor),
+        }
         for job in site["jobs"]
     ]
-    grown["day"] = [
-        {**day, "faults": [_fault(fault, factor) for fault in day.get("faults", [])]}
+    scaled["day"] = [
+        {**day, "faults": [_scale_fault(fault, factor) for fault in day.get("faults", [])]}
         for day in site["day"]
     ]
-    return grown
+    return scaled
 
 
-def _times(row: dict[str, Any], keys: tuple[str, ...], factor: float) -> dict[str, Any]:
+def _scale_fields(row: dict[str, Any], keys: tuple[str, ...], factor: float) -> dict[str, Any]:
     return {key: round(value * factor) if key in keys else value for key, value in row.items()}
 
 
-def _faster(arrivals: dict[str, Any], factor: float) -> dict[str, Any]:
+def _scale_rate(arrivals: dict[str, Any], factor: float) -> dict[str, Any]:
     return {**arrivals, "rate": arrivals["rate"] * factor}
 
 
-def _fault(fault: dict[str, Any], factor: float) -> dict[str, Any]:
-    """Machines that fail keep their part of the fleet; controllers are as many as before."""
+def _scale_fault(fault: dict[str, Any], factor: float) -> dict[str, Any]:
+    """Scale the number of failing machines with the fleet; the number of controllers stays."""
     machines = fault["kind"].startswith("machine_")
-    return _times(fault, ("count",), factor) if machines else fault
+    return _scale_fields(fault, ("count",), factor) if machines else fault
 
 
 def _limited(site: dict[str, Any]) -> dict[str, Any]:
-    """Each team may use so little that it is at its limit in bursts."""
+    """Give each team a quota so low that bursts reach it."""
     cores = {row["name"]: row["cpus"] for row in site["machine_types"]}
-    all_ = sum(row["count"] * cores[row["type"]] for row in site["capacity"])
-    teams = [{**team, "cpus_max": LIMIT * all_ / team["count"]} for team in site["teams"]]
+    total_cores = sum(row["count"] * cores[row["type"]] for row in site["capacity"])
+    teams = [
+        {**team, "cpus_max": TEAM_LIMIT_SHARE * total_cores / team["count"]}
+        for team in site["teams"]
+    ]
     return {**site, "teams": teams}
 
 
 def _quick_boots(site: dict[str, Any]) -> dict[str, Any]:
-    """New machines are up within two seconds."""
+    """Let new machines boot within two seconds."""
     return {**site, "machine_types": [{**row, "boot_s": 1.3} for row in site["machine_types"]]}
 
 
 def _small_jobs(site: dict[str, Any]) -> dict[str, Any]:
-    """Jobs of one short task come four a second, besides all others."""
-    like = next(job for job in site["jobs"] if job["kind"] == "array")
+    """Add jobs of one short task, which arrive at four per second."""
+    template = next(job for job in site["jobs"] if job["kind"] == "array")
     more = {
-        **like,
+        **template,
         "name": "small-jobs",
         "cpus": 1.0,
         "memory_gb": 1.0,
@@ -80,7 +86,7 @@
     return {**site, "jobs": [*site["jobs"], more]}
 
 
-LIMIT = 0.7  # of all cores, for all teams together
+TEAM_LIMIT_SHARE = 0.7  # quotas of all teams together, as a share of all cores
 VARIANTS: dict[str, Callable[[dict[str, Any]], dict[str, Any]]] = {
     "limited": _limited,
     "quick-boots": _quick_boots,
@@ -91,48 +97,48 @@
 def write(
     source: Path, folder: Path, factor: float, restart_s: float, seed: int, variant: str = ""
 ) -> Path:
-    """Write the grown deployment and its wire file into `folder`; the path of the first."""
-    site = read(source)
-    grown = grow(site, factor, restart_s, seed)
+    """Write the scaled deployment and its wire file to `folder`; returns the deployment's path."""
+    site = read_site(source)
+    scaled = scale_site(site, factor, restart_s, seed)
     if variant:
-        grown = {**VARIANTS[variant](grown), "name": f"{grown['name']}-{variant}"}
+        scaled = {**VARIANTS[variant](scaled), "name": f"{scaled['name']}-{variant}"}
     folder.mkdir(parents=True, exist_ok=True)
     shutil.copyfile(source.parent / site["wire"], folder / site["wire"])
-    path = folder / f"{grown['name']}.toml"
-    path.write_text(tomli_w.dumps(grown))
+    path = folder / f"{scaled['name']}.toml"
+    path.write_text(tomli_w.dumps(scaled))
     return path
 
 
-def draw(site: dict[str, Any], seed: int) -> dict[str, Any]:
-    """A day with troubles that the deployment knows from its own days, at other times."""
+def draw_day(site: dict[str, Any], seed: int) -> dict[str, Any]:
+    """A day with random faults from the deployment's own days, at random times."""
     rng = random.Random(f"{site['name']} {seed}")
-    known = [fault for day in site["day"] for fault in day.get("faults", [])]
+    known_faults = [fault for day in site["day"] for fault in day.get("faults", [])]
     first, last = site["warmup_s"] + 10.0, site["duration_s"] - 60.0
-    chosen = rng.sample(known, min(DRAWN, len(known)))
+    chosen = rng.sample(known_faults, min(DRAWN_FAULTS, len(known_faults)))
     faults = [{**fault, "at_s": round(rng.uniform(first, last), 1)} for fault in chosen]
     faults.sort(key=lambda fault: fault["at_s"])
     return {"name": f"drawn-{seed}", "slot": "scale", "light": True, "seed": seed, "faults": faults}
 
 
 def write_days(site: Path, seeds: list[int]) -> list[Path]:
-    """Write a file for each drawn day beside the site file."""
-    found = read(site)
-    return [write_day(site, draw(found, seed)) for seed in seeds]
+    """Write a file for the random day of each seed next to the site file."""
+    found = read_site(site)
+    return [write_day(site, draw_day(found, seed)) for seed in seeds]
 
 
-def read(site: Path) -> dict[str, Any]:
-    """A site file as it stands."""
+def read_site(site: Path) -> dict[str, Any]:
+    """Read a site file."""
     return tomllib.loads(site.read_text())
 
 
 def write_day(site: Path, day: dict[str, Any]) -> Path:
-    """Write a file for the day beside the site file."""
+    """Write a file for the day next to the site file."""
     path = site.with_name(f"{site.stem}-{day['name']}.toml")
     path.write_text(tomli_w.dumps({"day": [day]}))
     return path
 
 
-def days(site: Path, *, rough: bool) -> list[str]:
-    """The names of the standard days; `rough`: of those that are marked as the two roughest."""
-    found = read(site)["day"]
-    return [day["name"] for day in found if day.get("light") or not rough]
+def days(site: Path, *, roughest_only: bool) -> list[str]:
+    """The names of the standard days, or only of those marked as the two roughest."""
+    found = read_site(site)["day"]
+    return [day["name"] for day in found if day.get("light") or not roughest_only]
