--- a/tests/test_regress.py
+++ b/tests/test_regress.py
@@ -166,7 +166,7 @@
 
 
 def test_unlogged_cancellations_are_taken_from_the_bench() -> None:
-    # Without a log line of either job's start, only one of the two can be cancelled.
+    # Neither gang has started, and the bench counts only one of them as cancelled.
     assert largest.read(LOG[:4], {"gang": 1})[0].share == 0.0
     assert largest.read(LOG[:5], {"gang": 1})[0] == largest.LargestJobs("gang", 1, 1.0, 0.0)
 
--- a/tools/regress/meetings.py
+++ b/tools/regress/meetings.py
@@ -15,7 +15,7 @@
 
 FIRST_FAULT_DELAY_S = 20.0  # from the end of the warm-up to the first fault
 FAULT_FREE_END_S = 60.0  # from the last fault to the end of the day
-REPETITION_DELAY_S = 75.0  # between the two runs of a combination, besides `cancel_s`
+REPETITION_DELAY_S = 75.0  # from a combination's first run to its second, plus `cancel_s`
 SLOW_STATE_SERVICE = {"state_slow": 0.3, "state_slow_times": 60.0}
 
 
--- a/umberward/cli/graph.py
+++ b/umberward/cli/graph.py
@@ -1,4 +1,4 @@
-"""The command line for task graphs: schema, check, submit, status, tasks, cancel."""
+"""The commands for task graphs: schema, check, submit, status, tasks, cancel."""
 
 from __future__ import annotations
 
--- a/umberward/local/workercore.py
+++ b/umberward/local/workercore.py
@@ -35,7 +35,7 @@
 
 
 class GangAttempt(NamedTuple):
-    """Identifies an attempt of a gang: all its tasks are attempted together."""
+    """Identifies an attempt of a gang; each new attempt starts all tasks of the gang again."""
 
     job_id: str
     attempt: int
