--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its judge against histories that break each rule, its faults, and a short run."""
+"""The soak: its checker on histories that violate each rule, its faults, and a short run."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from umberward.core.settings import TeamQuota
 from umberward.local.links import HELD, LinkFault
 from umberward.soak import plan
-from umberward.soak.checker import LEFT_WAITING_S, UNTOLD_S, Checker
+from umberward.soak.checker import MAX_START_AFTER_CANCEL_S, STARVATION_LIMIT_S, Checker
 from umberward.soak.cluster import SoakCluster
 from umberward.soak.history import (
     Answered,
@@ -42,20 +42,25 @@
 JOB, TASK = "req-000001", "req-000001/0"
 
 
-def judged(*events: Event, until: float = 0.0, calm: bool = False) -> list[str]:
-    """The rules that the history breaks, each named once."""
+def broken_rules(*events: Event, until: float = 0.0, faults_over: bool = False) -> list[str]:
+    """The names of the rules that the history violates, without duplicates."""
     checker = Checker([TeamQuota("red", cpus_max=4.0), TeamQuota("blue")], CANCEL_S)
-    for event in (machine("m1"), machine("m2"), machine("m3", zone="b", spot=True), *events):
+    for event in (
+        machine_up("m1"),
+        machine_up("m2"),
+        machine_up("m3", zone="b", spot=True),
+        *events,
+    ):
         checker.observe(event)
-        checker.tick(event.at)
-    if calm:
-        checker.look_for_waiting(events[-1].at)
-        checker.look_for_waiting(until)
-    checker.tick(until)
+        checker.check_deadlines(event.at)
+    if faults_over:
+        checker.check_waiting_jobs(events[-1].at)
+        checker.check_waiting_jobs(until)
+    checker.check_deadlines(until)
     return sorted({broken.rule for broken in checker.broken})
 
 
-def machine(host: str, zone: str = "a", spot: bool = False) -> MachineUp:
+def machine_up(host: str, zone: str = "a", spot: bool = False) -> MachineUp:
     return MachineUp(0.0, host, "small", zone, spot, 4.0)
 
 
@@ -81,52 +86,62 @@
     return TaskStarted(at, host, 1, task, attempt, at if sent_at is None else sent_at)
 
 
-def ends(at: float, host: str = "m1", attempt: int = 1, cause: str = "done") -> TaskEnded:
+def task_ended(at: float, host: str = "m1", attempt: int = 1, cause: str = "done") -> TaskEnded:
     return TaskEnded(at, host, TASK, attempt, cause)
 
 
-def told(
+def answer(
     at: float, phase: str, kind: str = "poll", status: int = 200, asked_at: float | None = None
 ) -> Answered:
     asked = at - 0.1 if asked_at is None else asked_at
     return Answered(at, kind, JOB, "keeper-0", asked, status, phase)
 
 
-ACCEPTED = (job(), told(1.2, "pending", "submit", 201))
-CANCELLED = (*ACCEPTED, CancelAsked(2.0, JOB), told(2.1, "cancelled", "cancel"))
+ACCEPTED = (job(), answer(1.2, "pending", "submit", 201))
+CANCELLED = (*ACCEPTED, CancelAsked(2.0, JOB), answer(2.1, "cancelled", "cancel"))
 
-KEPT: dict[str, tuple[Event, ...]] = {
-    "a plain job": (*ACCEPTED, starts(2.0), ends(3.0), told(4.0, "done"), told(5.0, "done")),
+ALLOWED_HISTORIES: dict[str, tuple[Event, ...]] = {
+    "a plain job": (
+        *ACCEPTED,
+        starts(2.0),
+        task_ended(3.0),
+        answer(4.0, "done"),
+        answer(5.0, "done"),
+    ),
     "again after its end": (
         *ACCEPTED,
         starts(2.0),
-        ends(3.0, cause="stopped"),
+        task_ended(3.0, cause="stopped"),
         starts(4.0, "m2", 2),
     ),
     "again after a session": (*ACCEPTED, starts(2.0), SessionOver(3.0, "m1"), starts(4.0, "m2", 2)),
-    "late, in flight": (*CANCELLED, starts(3.0, sent_at=2.0), ends(4.0, cause="stopped")),
-    "older answer to an older question": (*CANCELLED, told(2.2, "pending", asked_at=1.5)),
-    "a question without an answer": (*ACCEPTED, told(2.0, "", status=0)),
-    "refused": (job(why_unfit="cores"), told(1.2, "", "submit", 422)),
+    "late, in flight": (*CANCELLED, starts(3.0, sent_at=2.0), task_ended(4.0, cause="stopped")),
+    "older answer to an older question": (*CANCELLED, answer(2.2, "pending", asked_at=1.5)),
+    "a question without an answer": (*ACCEPTED, answer(2.0, "", status=0)),
+    "refused": (job(why_unfit="cores"), answer(1.2, "", "submit", 422)),
     "a gang that is done by one": (
         job(2, shape="ensemble"),
-        told(1.2, "pending", "submit", 201),
+        answer(1.2, "pending", "submit", 201),
         starts(2.0),
-        ends(3.0),
-        told(4.0, "done"),
+        task_ended(3.0),
+        answer(4.0, "done"),
     ),
     "killed by the soak": (ProcessEnded(1.0, "keeper-0", -9, True),),
 }
 
-BROKEN: dict[str, tuple[str, tuple[Event, ...]]] = {
+VIOLATING_HISTORIES: dict[str, tuple[str, tuple[Event, ...]]] = {
     "two at once": ("ran_twice", (*ACCEPTED, starts(2.0), starts(3.0, "m2", 2))),
     "the same attempt anew": (
         "restarted",
-        (*ACCEPTED, starts(2.0), ends(3.0, cause="stopped"), starts(4.0)),
+        (*ACCEPTED, starts(2.0), task_ended(3.0, cause="stopped"), starts(4.0)),
     ),
     "sent after a cancellation": (
         "ran_cancelled",
-        (*CANCELLED, starts(2.2 + UNTOLD_S), ends(2.3 + UNTOLD_S)),
+        (
+            *CANCELLED,
+            starts(2.2 + MAX_START_AFTER_CANCEL_S),
+            task_ended(2.3 + MAX_START_AFTER_CANCEL_S),
+        ),
     ),
     "runs on after a cancellation": (
         "ran_cancelled",
@@ -134,7 +149,7 @@
             *ACCEPTED,
             starts(1.5),
             *CANCELLED[2:],
-            told(2.2 + CANCEL_S + 1.0, "", status=0),
+            answer(2.2 + CANCEL_S + 1.0, "", status=0),
         ),
     ),
     "goes on after it hung": (
@@ -147,28 +162,28 @@
             MachineStill(20.0, "m1", False),
         ),
     ),
-    "forgotten": ("forgotten", (*ACCEPTED, told(2.0, "", status=404))),
-    "a repeat refused": ("forgotten", (*ACCEPTED, told(2.0, "", "submit", 422))),
-    "older answer": ("went_back", (*CANCELLED, told(3.0, "running"))),
+    "forgotten": ("forgotten", (*ACCEPTED, answer(2.0, "", status=404))),
+    "a repeat refused": ("forgotten", (*ACCEPTED, answer(2.0, "", "submit", 422))),
+    "older answer": ("went_back", (*CANCELLED, answer(3.0, "running"))),
     "done and cancelled": (
         "went_back",
         (
             *ACCEPTED,
             starts(2.0),
-            ends(3.0),
-            told(4.0, "done"),
+            task_ended(3.0),
+            answer(4.0, "done"),
             CancelAsked(4.1, JOB),
-            told(5.0, "cancelled"),
+            answer(5.0, "cancelled"),
         ),
     ),
-    "accepted anew": ("went_back", (*CANCELLED, told(3.0, "cancelled", "submit", 201))),
-    "cancelled by nobody": ("went_back", (*ACCEPTED, told(2.0, "cancelled"))),
-    "done too soon": ("not_done", (*ACCEPTED, told(2.0, "done"))),
-    "invented": ("invented", (told(2.0, "pending"),)),
+    "accepted anew": ("went_back", (*CANCELLED, answer(3.0, "cancelled", "submit", 201))),
+    "cancelled by nobody": ("went_back", (*ACCEPTED, answer(2.0, "cancelled"))),
+    "done too soon": ("not_done", (*ACCEPTED, answer(2.0, "done"))),
+    "invented": ("invented", (answer(2.0, "pending"),)),
     "runs and was refused": ("invented", (job(why_unfit="cores"), starts(2.0))),
     "accepted though unfit": (
         "accepted",
-        (job(why_unfit="cores"), told(1.2, "pending", "submit", 201)),
+        (job(why_unfit="cores"), answer(1.2, "pending", "submit", 201)),
     ),
     "over its limit": (
         "quota",
@@ -188,36 +203,36 @@
 }
 
 
-@pytest.mark.parametrize("what", KEPT)
-def test_what_keeps_the_rules_is_not_called_broken(what: str) -> None:
-    assert judged(*KEPT[what]) == []
+@pytest.mark.parametrize("what", ALLOWED_HISTORIES)
+def test_allowed_history_has_no_violation(what: str) -> None:
+    assert broken_rules(*ALLOWED_HISTORIES[what]) == []
 
 
-@pytest.mark.parametrize("what", BROKEN)
-def test_each_broken_rule_is_seen(what: str) -> None:
-    rule, events = BROKEN[what]
-    assert judged(*events, until=events[-1].at) == [rule]
+@pytest.mark.parametrize("what", VIOLATING_HISTORIES)
+def test_each_violation_is_detected(what: str) -> None:
+    rule, events = VIOLATING_HISTORIES[what]
+    assert broken_rules(*events, until=events[-1].at) == [rule]
 
 
-def test_who_waits_beside_a_machine_with_room_is_seen() -> None:
-    long = ACCEPTED[-1].at + LEFT_WAITING_S + 1.0
-    assert judged(*ACCEPTED, until=long, calm=True) == ["left_waiting"]
-    assert judged(*ACCEPTED, starts(2.0), until=long, calm=True) == []
-    all_gone = [MachineGone(1.5, host) for host in ("m1", "m2", "m3")]
-    assert judged(*ACCEPTED, *all_gone, until=50.0, calm=True) == []
+def test_job_waiting_beside_free_machine_is_detected() -> None:
+    until = ACCEPTED[-1].at + STARVATION_LIMIT_S + 1.0
+    assert broken_rules(*ACCEPTED, until=until, faults_over=True) == ["left_waiting"]
+    assert broken_rules(*ACCEPTED, starts(2.0), until=until, faults_over=True) == []
+    all_deleted = [MachineGone(1.5, host) for host in ("m1", "m2", "m3")]
+    assert broken_rules(*ACCEPTED, *all_deleted, until=50.0, faults_over=True) == []
 
 
-def test_a_seed_draws_the_same_faults_each_time() -> None:
+def test_same_seed_draws_same_faults() -> None:
     size = plan.size("small")
     drawn = [plan.draw(seed, size, plan.kinds([])) for seed in (1, 1, 2)]
     assert drawn[0] == drawn[1] != drawn[2]
-    many = [plan.draw(seed, size, list(plan.Kind)) for seed in range(200)]
-    known = {fault.kind for one in many for fault in one.faults}
-    assert known == set(plan.Kind)
+    plans = [plan.draw(seed, size, list(plan.FaultKind)) for seed in range(200)]
+    drawn_kinds = {fault.kind for drawn_plan in plans for fault in drawn_plan.faults}
+    assert drawn_kinds == set(plan.FaultKind)
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("arguments", "option"),
     [
         (["--seeds", "x"], "--seeds"),
         (["--seeds", "5-1"], "--seeds"),
@@ -225,29 +240,29 @@
         (["--fault", "rain"], "--fault"),
     ],
 )
-def test_bad_input_ends_with_one_line_and_2(words: list[str], said: str) -> None:
-    result = CliRunner().invoke(cli.main, ["soak", *words])
+def test_invalid_option_exits_with_status_2(arguments: list[str], option: str) -> None:
+    result = CliRunner().invoke(cli.main, ["soak", *arguments])
     assert result.exit_code == 2
-    assert said in result.output.strip().splitlines()[-1]
+    assert option in result.output.strip().splitlines()[-1]
 
 
-def test_a_soak_that_fails_itself_is_no_verdict(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A worker of the soak that ends is neither a broken rule nor a good run."""
+def test_harness_failure_gives_no_result(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A worker task of the soak that ends is neither a violation nor a successful run."""
     from umberward.soak import cluster
 
     def failing(self: cluster.SoakCluster) -> None:
         raise cluster.HarnessError("the worker of m-000001 has ended")
 
-    monkeypatch.setattr(cluster.SoakCluster, "look", failing)
+    monkeypatch.setattr(cluster.SoakCluster, "observe", failing)
     result = CliRunner().invoke(cli.main, ["soak", "--seeds", "1", "--size", "short"])
     assert result.exit_code == 3
     assert "the soak failed: the worker of m-000001 has ended" in result.output
 
 
-def test_a_soak_that_is_ended_leaves_no_process_behind() -> None:
-    words = [sys.executable, "-m", "umberward", "soak", "--seeds", "1-2", "--size", "short"]
-    soak = subprocess.Popen([*words, "--jobs", "2"], start_new_session=True)
-    time.sleep(4.0)  # its seeds have their controllers by then
+def test_terminated_soak_leaves_no_process() -> None:
+    arguments = [sys.executable, "-m", "umberward", "soak", "--seeds", "1-2", "--size", "short"]
+    soak = subprocess.Popen([*arguments, "--jobs", "2"], start_new_session=True)
+    time.sleep(4.0)  # by then each seed has started its controllers
     soak.terminate()
     assert soak.wait(20.0) == 143
     until = time.monotonic() + 20.0
@@ -258,44 +273,44 @@
             return
         time.sleep(0.1)
     os.killpg(soak.pid, signal.SIGKILL)
-    raise AssertionError("processes of the soak go on")
+    raise AssertionError("processes of the soak are still running")
 
 
-@pytest.mark.parametrize("held", [True, False], ids=["held by its link", "never answered"])
-def test_no_message_of_a_worker_outlives_the_run(
-    held: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("hold_link", [True, False], ids=["held by its link", "never answered"])
+def test_no_worker_message_outlives_the_run(
+    hold_link: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A worker's first report is due while the kernel shuts down, and stays under way."""
+    """A worker's first heartbeat is due while the kernel shuts down, and stays in flight."""
 
-    async def without_controllers(cluster: SoakCluster) -> None:
+    async def start_nothing(cluster: SoakCluster) -> None:
         pass
 
-    async def slow_to_end() -> None:
+    async def end_slowly() -> None:
         try:
             await curio.sleep(60.0)
         finally:
-            await curio.sleep(2.0 * plan.TIMES.report_s)
+            await curio.sleep(2.0 * plan.WORKER_TIMES.report_s)
 
-    async def until_a_worker_runs(run: Run, cluster: SoakCluster) -> None:
-        if held:
+    async def run_one_worker(run: Run, cluster: SoakCluster) -> None:
+        if hold_link:
             cluster.links.faults["all"] = LinkFault("*", "*", HELD)
         else:
             for address in cluster.listen:
-                silent.enter_context(socket.create_server(address))
+                silent_servers.enter_context(socket.create_server(address))
         await cluster.add_machines(1)
         await curio.sleep(0.05)
-        # The newest task is the first that the kernel cancels, and it waits for its end.
-        await curio.spawn(slow_to_end, daemon=True)
+        # The kernel cancels the newest task first, and waits until it has ended.
+        await curio.spawn(end_slowly, daemon=True)
         await curio.sleep(0.01)
 
-    monkeypatch.setattr(SoakCluster, "_start", without_controllers)
-    monkeypatch.setattr(Run, "_play", until_a_worker_runs)
-    with contextlib.ExitStack() as silent:
+    monkeypatch.setattr(SoakCluster, "_start", start_nothing)
+    monkeypatch.setattr(Run, "_run_plan", run_one_worker)
+    with contextlib.ExitStack() as silent_servers:
         result = event_loop.run(Run(plan.draw(1, plan.size("short"), [])).play)
     assert not result.broken
 
 
-def test_a_short_soak_keeps_the_rules(tmp_path: Path) -> None:
+def test_short_soak_has_no_violation(tmp_path: Path) -> None:
     report = tmp_path / "soak.json"
     result = CliRunner().invoke(
         cli.main, ["soak", "--seeds", "1", "--size", "short", "--report", str(report)]
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""A thousand machines on one controller's sockets: nobody who needs one for a lease is refused."""
+"""1000 machines share one controller's socket budget: none may be refused a lease renewal."""
 
 from __future__ import annotations
 
@@ -11,87 +11,89 @@
 from umberward.protocol import http
 from umberward.protocol.http import Client, Request, Response, Server, SocketBudget
 
-HERE = Address("127.0.0.1", 29440)
-MACHINES = 1000
-# What a controller of 1,280 sockets has for workers, users and direct commands, and for these last.
-SHARED, OF_CLIENT = 1176, 426
+SERVER_ADDRESS = Address("127.0.0.1", 29440)
+MACHINE_COUNT = 1000
+# Of a controller with 1,280 sockets: for workers, users and direct commands, and for the last.
+SHARED_SOCKETS, MAX_CLIENT_SOCKETS = 1176, 426
 
 
-class Played:
+class TakeoverSimulation:
     def __init__(self) -> None:
-        self.sockets = SocketBudget(SHARED, OF_CLIENT)
+        self.sockets = SocketBudget(SHARED_SOCKETS, MAX_CLIENT_SOCKETS)
         self.client = Client(self.sockets)
-        self.server = Server(HERE, self.serve, self.sockets, self.client)
+        self.server = Server(SERVER_ADDRESS, self.serve, self.sockets, self.client)
         self.most = 0
 
     async def serve(self, request: Request) -> Response:
         if request.path == "/hello":
             assert request.origin is not None
             await self.server.name_connection(request.origin, request.query)
-        self.most = max(self.most, SHARED - self.sockets.left)
+        self.most = max(self.most, SHARED_SOCKETS - self.sockets.left)
         return Response(200)
 
-    async def play(self) -> int:
-        """How many of two reports of each machine are answered, while all else is at its worst."""
+    async def count_answered_reports(self) -> int:
+        """Count the answered ones of two heartbeats of each machine, under the worst other load."""
         running = [await curio.spawn(self.server.run, daemon=True)]
-        addresses = [Address("127.0.0.1", HERE.port + 1 + n) for n in range(110)]
-        for address in addresses:
-            other = Server(address, _answer, 8)
-            running.append(await curio.spawn(other.run, daemon=True))
+        worker_addresses = [Address("127.0.0.1", SERVER_ADDRESS.port + 1 + n) for n in range(110)]
+        for address in worker_addresses:
+            worker_server = Server(address, _respond_ok, 8)
+            running.append(await curio.spawn(worker_server.run, daemon=True))
         await curio.sleep(0.1)
-        # Direct commands have left 440 kept connections, or as many as there may be, ...
-        await _together([self.client.request(address, "POST", "/do") for address in addresses * 4])
-        # ... users keep theirs between two polls, ...
+        # Direct commands leave 440 idle connections, or as many as the budget allows.
+        await _gather(
+            [self.client.request(address, "POST", "/do") for address in worker_addresses * 4]
+        )
+        # Users keep their connections between two polls.
         users = [Client(1) for _ in range(300)]
-        await _together([user.request(HERE, "GET", "/v1/jobs/req-1") for user in users])
-        # ... and the machines come twice: nobody has told us that their first connection is dead.
+        await _gather([user.request(SERVER_ADDRESS, "GET", "/v1/jobs/req-1") for user in users])
+        # Each machine connects twice: the controller cannot know that the first connection is dead.
         answered = 0
-        kept = []
+        open_clients = []
         for _ in range(2):
-            workers = [Client(1) for _ in range(MACHINES)]
-            kept.append(workers)
-            answers = await _together(
+            workers = [Client(1) for _ in range(MACHINE_COUNT)]
+            open_clients.append(workers)
+            responses = await _gather(
                 [
-                    worker.request(HERE, "POST", f"/hello?m{number}", timeout=8.0)
+                    worker.request(SERVER_ADDRESS, "POST", f"/hello?m{number}", timeout=8.0)
                     for number, worker in enumerate(workers)
                 ]
             )
-            answered += sum(1 for answer in answers if answer is not None)
-        # What is left still serves for direct commands.
-        assert (await self.client.request(addresses[0], "POST", "/do")).status == 200
+            answered += sum(1 for response in responses if response is not None)
+        # Direct commands still get a socket.
+        assert (await self.client.request(worker_addresses[0], "POST", "/do")).status == 200
         for task in running:
             await task.cancel()
         return answered
 
 
-async def _answer(_: Request) -> Response:
+async def _respond_ok(_: Request) -> Response:
     return Response(200)
 
 
-async def _together(asked: list[Any]) -> list[Response | None]:
-    async def one(request: Any) -> Response | None:
+async def _gather(requests: list[Any]) -> list[Response | None]:
+    async def send(request: Any) -> Response | None:
         try:
-            found: Response = await request
-            return found
+            response: Response = await request
+            return response
         except (http.RequestNotSentError, http.NoResponseError):
             return None
 
-    tasks = [await curio.spawn(one, request) for request in asked]
+    tasks = [await curio.spawn(send, request) for request in requests]
     return [await task.join() for task in tasks]
 
 
-def test_a_take_over_of_a_thousand_machines() -> None:
-    played = Played()
-    assert curio.run(played.play) == 2 * MACHINES
-    assert played.server.refused == 0
-    assert played.most <= SHARED
+def test_takeover_with_1000_machines_refuses_none() -> None:
+    simulation = TakeoverSimulation()
+    assert curio.run(simulation.count_answered_reports) == 2 * MACHINE_COUNT
+    assert simulation.server.refused == 0
+    assert simulation.most <= SHARED_SOCKETS
 
 
-def test_without_room_made_machines_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_eviction_machines_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     async def none(_: Server) -> bool:
         return False
 
     monkeypatch.setattr(Server, "_evict", none)
     monkeypatch.setattr(http.server, "SOCKET_POLLS", 1)
-    played = Played()
-    assert curio.run(played.play) < 2 * MACHINES
+    simulation = TakeoverSimulation()
+    assert curio.run(simulation.count_answered_reports) < 2 * MACHINE_COUNT
--- a/tests/test_stored_bytes.py
+++ b/tests/test_stored_bytes.py
@@ -1,7 +1,7 @@
-"""Records and messages as an earlier version has encoded them: read, and written alike again.
+"""Records and messages encoded by an earlier version are decoded, and encode to the same bytes.
 
-tests/records/encoded.json holds the bytes of one of each kind, in hexadecimal, with a value for
-every field. They are not to be written anew: an earlier version may have left them, or send them.
+tests/records/encoded.json holds one of each kind in hexadecimal, with a value for every field. Do
+not regenerate it: an earlier version may have stored such bytes, or may still send them.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     ).items()
 }
 
-IN_MSGPACK: dict[str, Any] = {
+MSGPACK_TYPES: dict[str, Any] = {
     "job live": wire.JobRecord,
     "job past": wire.FinalJobRecord,
     "leader": wire.LeaderRecord,
@@ -46,50 +46,50 @@
     "order": wire.TaskCommand,
 }
 GRAPH_TASKS = "graph tasks"
-IN_CBOR: dict[str, Any] = {
+CBOR_TYPES: dict[str, Any] = {
     "peer hints": failover_snapshot.FailoverSnapshot,
     "peer cancelled": CancelledJobs,
     "peer loan": Delegation,
 }
 
 
-def test_each_stored_kind_is_read() -> None:
-    assert set(ENCODED) == {*IN_MSGPACK, *IN_CBOR, GRAPH_TASKS}
+def test_every_encoded_record_is_covered() -> None:
+    assert set(ENCODED) == {*MSGPACK_TYPES, *CBOR_TYPES, GRAPH_TASKS}
 
 
-@pytest.mark.parametrize("name", IN_MSGPACK)
-def test_what_an_earlier_version_stored(name: str) -> None:
-    kind, body = IN_MSGPACK[name], ENCODED[name]
+@pytest.mark.parametrize("name", MSGPACK_TYPES)
+def test_records_of_earlier_version_round_trip(name: str) -> None:
+    kind, body = MSGPACK_TYPES[name], ENCODED[name]
     data = msgspec.msgpack.decode(body)
-    made = wire.convert(data, kind)
-    assert wire.encode(made) == body
-    _has_every_field(data, kind)
+    decoded = wire.convert(data, kind)
+    assert wire.encode(decoded) == body
+    _check_every_field_encoded(data, kind)
 
 
-@pytest.mark.parametrize("name", IN_CBOR)
-def test_what_another_controller_sends(name: str) -> None:
-    kind, body = IN_CBOR[name], ENCODED[name]
+@pytest.mark.parametrize("name", CBOR_TYPES)
+def test_messages_of_another_controller_round_trip(name: str) -> None:
+    kind, body = CBOR_TYPES[name], ENCODED[name]
     data = cbor2.loads(body)
-    made = msgspec.convert(data, kind)
-    assert cbor2.dumps(msgspec.to_builtins(made)) == body
-    _has_every_field(data, kind)
+    decoded = msgspec.convert(data, kind)
+    assert cbor2.dumps(msgspec.to_builtins(decoded)) == body
+    _check_every_field_encoded(data, kind)
 
 
-def _has_every_field(data: dict[str, Any], kind: Any) -> None:
+def _check_every_field_encoded(data: dict[str, Any], kind: Any) -> None:
     assert list(data) == [field.encode_name for field in msgspec.structs.fields(kind)]
 
 
-def test_hints_of_another_controller() -> None:
+def test_failover_snapshot_of_another_controller_round_trips() -> None:
     body = ENCODED["peer hints"]
-    found = failover_snapshot.decode_snapshot(body)
-    assert found is not None and failover_snapshot.encode_snapshot(found) == body
+    snapshot = failover_snapshot.decode_snapshot(body)
+    assert snapshot is not None and failover_snapshot.encode_snapshot(snapshot) == body
 
 
-def test_tasks_of_a_stored_graph() -> None:
+def test_stored_graph_tasks_round_trip() -> None:
     body = ENCODED[GRAPH_TASKS]
     assert records.pack(records.unpack(body)) == body
 
 
-@pytest.mark.parametrize("read", [wire.decode_heartbeat, wire.decode_heartbeat_header])
-def test_reports_of_workers(read: Callable[[bytes], Any]) -> None:
-    assert isinstance(read(ENCODED["report"]), msgspec.Struct)
+@pytest.mark.parametrize("decode", [wire.decode_heartbeat, wire.decode_heartbeat_header])
+def test_heartbeat_is_decoded(decode: Callable[[bytes], Any]) -> None:
+    assert isinstance(decode(ENCODED["report"]), msgspec.Struct)
--- a/umberward/soak/__init__.py
+++ b/umberward/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak: a cluster on the loopback under load and drawn faults, and a checker outside of it."""
+"""Soak test: a local cluster under load and random faults, checked from the outside."""
--- a/umberward/soak/cluster.py
+++ b/umberward/soak/cluster.py
@@ -1,4 +1,4 @@
-"""The local cluster of a soak: every link may fail, and what workers do is recorded."""
+"""The local cluster of a soak: every link can fail, and the events of workers are recorded."""
 
 from __future__ import annotations
 
@@ -35,37 +35,38 @@
 from umberward.soak import history, plan
 from umberward.soak.history import Event
 
-STATE, CLOUD = "state", "cloud"
+STATE, CLOUD = "state", "cloud"  # names of the services as ends of links
 WITHHELD_RESPONSE_S = 40.0  # longer than any client waits for a response
-RELAY_TIMEOUT_S = 60.0  # longer than a message may be held
-SOCKETS = 200
-FIRST_NETWORK, NETWORKS, HOSTS, PORT = 10, 240, 250, 9000  # of the loopback: 127.NETWORK.x.HOST
-SPEED = 4.0  # factor by which boots and fetches of images are faster than the machine types say
-RENTABLE = 4  # machines of each kind that may be rented besides those that are there
-CORES_FOR_RED = 8.0  # for each job a second: the team is at its limit all the time
-WORKER_TYPES = ("small", "small", "small", "large")
+RELAY_TIMEOUT_S = 60.0  # longer than a message can be held
+MAX_SERVER_SOCKETS = 200  # of each relay and of each worker
+# Loopback addresses of this process: 127.NETWORK.x.HOST.
+FIRST_NETWORK, NETWORK_COUNT, HOSTS_PER_NETWORK, PORT = 10, 240, 250, 9000
+SPEED = 4.0  # boots and image pulls are faster than specified by this factor
+RENTABLE_PER_POOL = 4  # per machine type, zone and spot or not; initial machines not counted
+RED_QUOTA_CORES = 8.0  # for each job a second; keeps the team at its quota all the time
+INITIAL_MACHINE_TYPES = ("small", "small", "small", "large")
 ENDLESS_S = float("inf")
 
 
 def teams(size: plan.Size) -> list[TeamQuota]:
-    """The teams of a soak: one that is always at its quota, and one without a quota."""
-    return [TeamQuota("red", cpus_max=CORES_FOR_RED * size.jobs_per_s), TeamQuota("blue")]
+    """The teams of a soak: one always at its quota, and one without a quota."""
+    return [TeamQuota("red", cpus_max=RED_QUOTA_CORES * size.jobs_per_s), TeamQuota("blue")]
 
 
 class HarnessError(RuntimeError):
-    """A part of the soak itself has failed, so that the run has no result."""
+    """The soak itself has failed, so the run has no result."""
 
 
 class SoakWorker(WorkerCore):
-    """A worker that records starts and ends; its tasks do not advance while its machine hangs."""
+    """A worker that records task starts and ends; no task advances while the machine hangs."""
 
     record: Callable[[Event], None]
     clock: Callable[[], float]
-    sent_at = 0.0  # when the command that it carries out now was sent
-    still = False
+    sent_at = 0.0  # when the command being carried out was sent
+    still = False  # whether the machine hangs
 
     def tick(self, now: float) -> None:
-        """Advance the tasks; of a machine that hangs only the lease may expire."""
+        """Advance the tasks; while the machine hangs, only its lease can expire."""
         if not self.still:
             super().tick(now)
             return
@@ -74,12 +75,12 @@
             self.record(history.SessionOver(self.clock(), self.host))
 
     def start(self, name: str, attempt: int) -> None:
-        """Start an attempt, and record it unless it was refused."""
-        known = set(self.running_tasks)
+        """Start an attempt and record it unless it was refused."""
+        running_before = set(self.running_tasks)
         now = self.clock()
         super().start(name, attempt)
         task = self.tasks[(name, attempt)]
-        if name in known or task.cause in ("no_such", "in_use", "no_room"):
+        if name in running_before or task.cause in ("no_such", "in_use", "no_room"):
             return
         self.record(
             history.TaskStarted(now, self.host, self.incarnation, name, attempt, self.sent_at)
@@ -92,13 +93,13 @@
         self.record(history.TaskEnded(self.clock(), self.host, task.name, task.attempt, cause))
 
     def end_session(self) -> None:
-        """End all tasks, and record that."""
+        """End all tasks and record it."""
         super().end_session()
         self.record(history.SessionOver(self.clock(), self.host))
 
 
-class LinkedClient:
-    """The client of a worker, each link of which may fail."""
+class FaultInjectingClient:
+    """The HTTP client of a worker, whose links can fail."""
 
     def __init__(
         self,
@@ -106,60 +107,60 @@
         links: Links,
         core: SoakWorker,
         names: dict[Address, str],
-        messages: TaskScope,
+        message_tasks: TaskScope,
     ) -> None:
-        """`messages` owns what is under way: it may arrive long after the request was given up."""
+        """`message_tasks` owns messages in flight, which may arrive after the request timed out."""
         self.client = client
         self.links = links
         self.core = core
         self.host = core.host
         self.names = names
-        self.messages = messages
+        self.message_tasks = message_tasks
 
     async def request(
         self, address: Address, method: str, target: str, body: bytes, timeout: float
     ) -> Response:
-        """Send a request as `Client.request` does, over a link that may lose or delay it.
+        """Send a request as `Client.request` does, over a link that can lose or delay it.
 
-        Raises RequestNotSentError or NoResponseError. A late request arrives all the same.
+        Raises RequestNotSentError or NoResponseError. A delayed request still arrives.
         """
-        answers: list[Response] = []
+        responses: list[Response] = []
         failed: list[RequestNotSentError] = []
-        answered_at: list[float] = []  # when the controller had answered
-        answered = curio.Event()
+        responded_at: list[float] = []  # when the controller had responded
+        settled = curio.Event()
 
         async def deliver() -> Response | None:
             try:
                 response = await self.client.request(address, method, target, body, timeout)
-                answered_at.append(self.core.clock())
+                responded_at.append(self.core.clock())
                 return response
             except RequestNotSentError as error:
                 failed.append(error)
-                await answered.set()
+                await settled.set()
             except NoResponseError:
                 pass
             return None
 
-        async def carry() -> None:
+        async def send_over_link() -> None:
             response = await self.links.carry(self.host, self.names[address], target, deliver)
             if response is not None:
-                answers.append(response)
-                await answered.set()
+                responses.append(response)
+                await settled.set()
 
-        async def copy(after_s: float) -> None:
+        async def send_duplicate(after_s: float) -> None:
             await curio.sleep(after_s)
             with contextlib.suppress(RequestNotSentError, NoResponseError):
                 await self.client.request(address, method, target, body, timeout)
 
-        await self.messages.spawn(carry)
-        again = self.links.copied_after(self.host, self.names[address], target)
-        if again is not None:
-            await self.messages.spawn(copy, again)
-        await curio.ignore_after(timeout, answered.wait)
-        if answers:
-            self.core.sent_at = answered_at[0]  # the worker takes it up at once
-            return answers[0]
-        raise failed[0] if failed else NoResponseError(f"{method} {address}: no answer")
+        await self.message_tasks.spawn(send_over_link)
+        duplicate_after_s = self.links.copied_after(self.host, self.names[address], target)
+        if duplicate_after_s is not None:
+            await self.message_tasks.spawn(send_duplicate, duplicate_after_s)
+        await curio.ignore_after(timeout, settled.wait)
+        if responses:
+            self.core.sent_at = responded_at[0]  # the worker handles the response at once
+            return responses[0]
+        raise failed[0] if failed else NoResponseError(f"{method} {address}: no response")
 
 
 class SoakCluster(LocalCluster):
@@ -168,95 +169,103 @@
     worker_core = SoakWorker
     links: Links
     record: Callable[[Event], None]
-    began: float
-    hosts_used = 0  # of the loopback
+    run_started_at: float
+    hosts_used = 0  # loopback addresses given out
 
     @staticmethod
     def local_plan(of: plan.Plan) -> LocalPlan:
-        """The plan of the local cluster for a soak's plan."""
+        """The plan of the local cluster for a plan of a soak."""
         return LocalPlan(
-            controllers=plan.CONTROLLERS,
+            controllers=plan.CONTROLLER_COUNT,
             teams=teams(of.size),
             seed=of.seed,
             graphs=False,
             speed=SPEED,
-            workers=plan.TIMES,
+            workers=plan.WORKER_TIMES,
             log_level="debug",
             properties={"idle.seconds": "3600", "lease.seconds": "1.5", "silence.seconds": "2"},
         )
 
     def __init__(self, of: LocalPlan, folder: Path) -> None:
-        """Nothing runs yet. `folder`: for the controllers' settings and logs."""
+        """Start nothing yet. `folder`: for the controllers' settings and logs."""
         super().__init__(of, folder)
         self.links = Links(self.rng)
-        self.began = time.monotonic()
+        self.run_started_at = time.monotonic()
         self.record = _ignore_event
-        self.specs: dict[str, JobSpec] = {}  # of all jobs that users have sent
-        self.runs: dict[str, float] = {}  # how long a task of the job runs, in seconds
-        self.killed: set[int] = set()  # controllers that the soak has ended
+        self.specs: dict[str, JobSpec] = {}  # of all jobs that users have submitted
+        self.runs: dict[str, float] = {}  # run time of a task of the job, in seconds
+        self.killed_controllers: set[int] = set()  # controllers that the soak has killed
         self.takeovers = 0
-        self.token: int | None = None  # of who leads
+        self.token: int | None = None  # of the current leader
         self.relays: dict[tuple[str, str], Server] = {}
         for src in self.names:
             for dst in self.names:
                 if src != dst:
-                    relay = Server(self._addresses(1)[0], self._relay(src, dst), SOCKETS)
+                    relay = Server(
+                        self._addresses(1)[0], self._relay_handler(src, dst), MAX_SERVER_SOCKETS
+                    )
                     self.relays[src, dst] = relay
         for number, server in enumerate(self.state.servers):
-            server.handler = self._linked(self.names[number], STATE, server.handler)
-        self.cloud.server.handler = self._linked("keeper-*", CLOUD, self.cloud.server.handler)
+            server.handler = self._link_handler(self.names[number], STATE, server.handler)
+        self.cloud.server.handler = self._link_handler("keeper-*", CLOUD, self.cloud.server.handler)
         self.cloud.core.capacity = {
-            Capacity(machine_type.name, zone, spot): RENTABLE
+            Capacity(machine_type.name, zone, spot): RENTABLE_PER_POOL
             for machine_type in of.machines
             for zone in machine_type.zones
             for spot in (True, False)
         }
 
     def _addresses(self, count: int) -> list[Address]:
-        """Addresses on hosts of the loopback that only this process uses.
+        """Loopback addresses that no other process uses.
 
-        A port of 127.0.0.1 may be taken by an outgoing connection at any time.
+        An outgoing connection may take any port of 127.0.0.1 at any time.
         """
-        network = FIRST_NETWORK + os.getpid() % NETWORKS
-        found = []
+        network = FIRST_NETWORK + os.getpid() % NETWORK_COUNT
+        addresses = []
         for _ in range(count):
             self.hosts_used += 1
-            high, low = divmod(self.hosts_used, HOSTS)
-            found.append(Address(f"127.{network}.{high}.{low + 1}", PORT))
-        return found
+            high, low = divmod(self.hosts_used, HOSTS_PER_NETWORK)
+            addresses.append(Address(f"127.{network}.{high}.{low + 1}", PORT))
+        return addresses
 
     def now(self) -> float:
-        """Seconds since the run began."""
-        return time.monotonic() - self.began
+        """Seconds since the start of the run."""
+        return time.monotonic() - self.run_started_at
 
     # ---- links ---------------------------------------------------------------------------
 
-    def _linked(self, src: str, dst: str, handler: Handler) -> Handler:
+    def _link_handler(self, src: str, dst: str, handler: Handler) -> Handler:
         async def handle(request: Request) -> Response:
-            response = await self.links.carry(src, dst, _target(request), lambda: handler(request))
+            response = await self.links.carry(
+                src, dst, _request_target(request), lambda: handler(request)
+            )
             return response if response is not None else await _withhold_response()
 
         return handle
 
-    def _relay(self, src: str, dst: str) -> Handler:
-        """The handler that forwards requests of one controller to another over their link."""
-        there = self.peers[self.names.index(dst)]
+    def _relay_handler(self, src: str, dst: str) -> Handler:
+        """A handler that forwards requests from one controller to another over their link."""
+        dst_address = self.peers[self.names.index(dst)]
 
         async def forward(request: Request) -> Response:
             try:
                 return await self.client.request(
-                    there, request.method, _target(request), request.body, RELAY_TIMEOUT_S
+                    dst_address,
+                    request.method,
+                    _request_target(request),
+                    request.body,
+                    RELAY_TIMEOUT_S,
                 )
             except (RequestNotSentError, NoResponseError):
                 return await _withhold_response()
 
-        return self._linked(src, dst, forward)
+        return self._link_handler(src, dst, forward)
 
     def _settings(self, number: int) -> dict[str, Any]:
-        found = super()._settings(number)
-        for peer in found["peers"]:
+        settings = super()._settings(number)
+        for peer in settings["peers"]:
             peer["addr"] = str(self.relays[self.names[number], peer["label"]].address)
-        return found
+        return settings
 
     async def _start(self) -> None:
         for relay in self.relays.values():
@@ -266,11 +275,11 @@
     # ---- machines ------------------------------------------------------------------------
 
     async def add_machines(self, count: int) -> None:
-        """Add machines that have booted already, with their workers."""
+        """Add machines that have already booted, with their workers."""
         machine_types = self.cloud.core.machine_types
         for number in range(count):
             now = time.monotonic()
-            machine_type = machine_types[WORKER_TYPES[number % len(WORKER_TYPES)]]
+            machine_type = machine_types[INITIAL_MACHINE_TYPES[number % len(INITIAL_MACHINE_TYPES)]]
             zone = machine_type.zones[number % len(machine_type.zones)]
             machine = Machine(
                 f"m-{number:06d}", machine_type, zone, spot=False, rented_at=now, up_at=now
@@ -293,16 +302,16 @@
             )
         )
         names = {address: name for name, address in self.nodes.items()}
-        client: Any = LinkedClient(self.client, self.links, core, names, self.group)
+        client: Any = FaultInjectingClient(self.client, self.links, core, names, self.group)
         worker = WorkerServer(core, self.nodes, self.workers_said.report_s, client, self.rng)
-        worker.server.sockets.limit = worker.server.sockets.most_of_client = SOCKETS
-        worker.server.handler = self._commanded(core, worker.server.handler)
+        worker.server.sockets.limit = worker.server.sockets.most_of_client = MAX_SERVER_SOCKETS
+        worker.server.handler = self._command_handler(core, worker.server.handler)
         return worker
 
-    def _commanded(self, core: SoakWorker, handler: Handler) -> Handler:
-        """The handler for status requests and direct commands, over the link from the leader.
+    def _command_handler(self, core: SoakWorker, handler: Handler) -> Handler:
+        """A handler for status requests and direct commands, over the link from the leader.
 
-        The sender is taken to be the leader, as nobody else sends them.
+        The sender is assumed to be the leader, as no other controller sends them.
         """
 
         async def handle(request: Request) -> Response:
@@ -329,19 +338,20 @@
             self.record(history.SessionOver(self.now(), machine.id))
             self.record(history.MachineGone(self.now(), machine.id))
 
-    def hang(self, host: str, *, still: bool) -> None:
-        """Let a machine hang (`still`), or go on."""
+    def set_hanging(self, host: str, *, still: bool) -> None:
+        """Make a machine hang (`still`) or resume."""
         worker, _ = self.workers.get(host, (None, None))
         if worker is None:
             return
         core: Any = worker.core
         core.still = still
         if not still:
-            core.tick(time.monotonic())  # its lease may have expired, before any message arrives
+            # Ends its tasks if its lease has expired, before any message arrives.
+            core.tick(time.monotonic())
         self.record(history.MachineStill(self.now(), host, still))
 
     def describe(self, job_id: str) -> JobSpec | None:
-        """The description of a job as its user has sent it."""
+        """The specification of a job as its user submitted it."""
         return self.specs.get(job_id)
 
     def _fate(self, host: str, name: str, spec: JobSpec) -> Fate:
@@ -350,38 +360,38 @@
         return Fate(self.runs[spec.job_id])
 
     def _end(self) -> None:
-        self.killed.update(range(len(self.children)))
+        self.killed_controllers.update(range(len(self.children)))
         super()._end()
 
     # ---- controllers ---------------------------------------------------------------------
 
-    def kill(self, number: int, back_s: float) -> None:
-        """Kill a controller; it is started again `back_s` seconds after its end."""
+    def kill(self, number: int, restart_delay_s: float) -> None:
+        """Kill a controller; it restarts `restart_delay_s` seconds after its exit."""
         child = self.children[number]
         if child is not None:
-            self.come_back_s[number] = back_s
-            self.killed.add(number)
+            self.come_back_s[number] = restart_delay_s
+            self.killed_controllers.add(number)
             child.kill()
 
-    def stop(self, number: int, *, stopped: bool) -> None:
-        """Send SIGSTOP to a controller, or SIGCONT."""
+    def set_stopped(self, number: int, *, stopped: bool) -> None:
+        """Send SIGSTOP (`stopped`) or SIGCONT to a controller."""
         child = self.children[number]
         if child is not None and child.poll() is None:
             child.send_signal(signal.SIGSTOP if stopped else signal.SIGCONT)
 
     def _child_ended(self, number: int, code: int) -> None:
-        by_us = number in self.killed
-        self.killed.discard(number)
+        by_us = number in self.killed_controllers
+        self.killed_controllers.discard(number)
         self.record(history.ProcessEnded(self.now(), self.names[number], code, by_us))
 
-    def look(self) -> None:
-        """Record changes of the leader. Raises HarnessError if a worker's task has ended."""
-        found = self.state.core.keys.get("leader")
-        if found is not None and self.token != found.version:
-            self.token = found.version
+    def observe(self) -> None:
+        """Record a change of leader. Raises HarnessError if a worker's task has ended."""
+        leader_record = self.state.core.keys.get("leader")
+        if leader_record is not None and self.token != leader_record.version:
+            self.token = leader_record.version
             self.takeovers += 1
-            name = str(found.data["node"])
-            self.record(history.LeaderChanged(self.now(), name, found.version))
+            name = str(leader_record.data["node"])
+            self.record(history.LeaderChanged(self.now(), name, leader_record.version))
         for host, (_, task) in list(self.workers.items()):
             if task.terminated and host in self.workers:
                 raise HarnessError(f"the worker of {host} has ended: {task.exception!r}")
@@ -391,7 +401,7 @@
     """The default of `SoakCluster.record`."""
 
 
-def _target(request: Request) -> str:
+def _request_target(request: Request) -> str:
     return f"{request.path}?{request.query}" if request.query else request.path
 
 
--- a/umberward/soak/history.py
+++ b/umberward/soak/history.py
@@ -1,4 +1,4 @@
-"""Events seen from outside of the controllers: by workers, by users, and of processes."""
+"""Events observed outside the controllers: of workers, users, machines and processes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Event(msgspec.Struct):
-    """Something that was seen; `at`: seconds since the run began."""
+    """An observed event; `at`: seconds since the start of the run."""
 
     at: float
 
@@ -14,7 +14,7 @@
 class TaskStarted(Event):
     """A worker has started an attempt of a task.
 
-    `sent_at`: when the command for it was sent, as far as its receiver can tell.
+    `sent_at`: when its command was sent, as closely as the receiver can tell.
     """
 
     host: str
@@ -34,13 +34,13 @@
 
 
 class SessionOver(Event):
-    """All tasks on the machine have ended, by its lease or with the machine."""
+    """All tasks on the machine have ended, because its lease expired or it was deleted."""
 
     host: str
 
 
 class MachineStill(Event):
-    """The machine hangs (`still`), or goes on."""
+    """The machine has begun to hang (`still`) or has resumed."""
 
     host: str
     still: bool
@@ -53,7 +53,7 @@
 
 
 class MachineUp(Event):
-    """The machine has booted and its worker runs."""
+    """The machine has booted and its worker is running."""
 
     host: str
     flavor: str
@@ -63,7 +63,7 @@
 
 
 class Submitted(Event):
-    """A user sends a job's description for the first time. `why_unfit`: empty if it can run."""
+    """A user submits a job for the first time. `why_unfit`: why it can never run, or empty."""
 
     job: str
     owner: str
@@ -78,15 +78,15 @@
 
 
 class CancelAsked(Event):
-    """A user has decided to cancel the job, and sends requests until one is answered."""
+    """A user has decided to cancel the job and sends requests until one succeeds."""
 
     job: str
 
 
 class Answered(Event):
-    """A user's request was answered at `at`.
+    """A user's request was answered or given up.
 
-    `kind`: submit, poll or cancel; `status`: 0 if no answer came; `phase`: of a 200 or 201.
+    `kind`: submit, poll or cancel; `status`: 0 without a response; `phase`: if it is 200 or 201.
     """
 
     kind: str
@@ -98,14 +98,14 @@
 
 
 class LeaderChanged(Event):
-    """Another controller leads, or the same one with a new fencing token."""
+    """Another controller has become leader, or the same one has got a new fencing token."""
 
     controller: str
     token: int
 
 
 class FaultBegan(Event):
-    """A drawn fault begins, for `for_s` seconds; `what`: whom it concerns."""
+    """A fault of the plan begins and lasts `for_s` seconds; `what`: what it affects."""
 
     kind: str
     for_s: float
@@ -113,15 +113,15 @@
 
 
 class ProcessEnded(Event):
-    """The process of a controller has ended; `by_us`: the soak has killed it."""
+    """A controller process has exited; `by_us`: the soak killed it."""
 
     controller: str
     code: int
     by_us: bool
 
 
-def said(event: Event) -> str:
-    """The event as one line of a timeline."""
+def format_event(event: Event) -> str:
+    """Format an event as one line of the timeline."""
     fields = {name: getattr(event, name) for name in event.__struct_fields__ if name != "at"}
     words = " ".join(f"{name}={value}" for name, value in fields.items() if value not in ("", None))
     return f"{event.at:8.3f} {type(event).__name__} {words}"
--- a/umberward/soak/plan.py
+++ b/umberward/soak/plan.py
@@ -1,4 +1,4 @@
-"""The plan of a soak: sizes, and the faults drawn from a seed. No I/O."""
+"""The plan of a soak run: its size, and random faults derived from a seed. No I/O."""
 
 from __future__ import annotations
 
@@ -9,22 +9,24 @@
 
 from umberward.core.settings import WorkerTimes
 
-# Times are shorter than in a deployment, so that more leases end within a run.
-TIMES = WorkerTimes(report_s=0.5, lease_s=4.0, gang_wait_s=8.0, gang_peer_s=2.0, cancel_s=11.0)
-CONTROLLERS = 3
-MAX_SIMULTANEOUS_FAULTS = 3  # that begin together
-FIRST_FAULT_S = 3.0  # from the beginning of the run
-FAULT_DURATIONS_S = (0.05, 0.3, 1.0, 2.5, 6.0)  # how long faults last, and processes stay away
-LONGEST_FAULT_S = 2.0 * TIMES.lease_s
-SERIES = 3  # leaders that are killed one after the other
+# Shorter than in a deployment, so that more leases expire during a run.
+WORKER_TIMES = WorkerTimes(
+    report_s=0.5, lease_s=4.0, gang_wait_s=8.0, gang_peer_s=2.0, cancel_s=11.0
+)
+CONTROLLER_COUNT = 3
+MAX_SIMULTANEOUS_FAULTS = 3  # faults that begin together
+FIRST_FAULT_AT_S = 3.0  # after the start of the run
+FAULT_DURATIONS_S = (0.05, 0.3, 1.0, 2.5, 6.0)  # of faults, and before a killed process restarts
+LONGEST_FAULT_S = 2.0 * WORKER_TIMES.lease_s
+KILLS_IN_SERIES = 3  # leaders killed one after another
 
 
 class PlanError(Exception):
-    """An option of the command line is wrong; its text names the option."""
+    """A command line option is invalid; the text names the option."""
 
 
 class Size(msgspec.Struct, frozen=True):
-    """How many workers there are from the start, jobs a second, and seconds of faults."""
+    """Number of initial workers, mean rate of submissions, and length of the fault phase."""
 
     workers: int
     jobs_per_s: float
@@ -39,29 +41,28 @@
 }
 
 
-class Kind(StrEnum):
-    """Kinds of faults. Who leads, and which machines are concerned, is decided when one begins."""
+class FaultKind(StrEnum):
+    """Kinds of faults. Leader and affected machines are determined when a fault begins."""
 
     KILL_LEADER = "kill-leader"
     KILL_OTHER = "kill-other"
     KILL_ALL = "kill-all"
     KILL_LEADERS_IN_SERIES = "kill-leaders-in-series"
-    STOP_LEADER = "stop-leader"  # SIGSTOP, and SIGCONT later
+    STOP_LEADER = "stop-leader"  # SIGSTOP, later SIGCONT
     STOP_OTHER = "stop-other"
     COMMANDS_LATE = "commands-late"
     COMMANDS_HELD = "commands-held"
     COMMAND_ANSWERS_LOST = "command-answers-lost"
-    REPORTS_LOST = "reports-lost"  # machines that answer status requests and nothing else
-    REPORT_ANSWERS_LOST = (
-        "report-answers-lost"  # nothing from the controllers reaches these machines
-    )
+    REPORTS_LOST = "reports-lost"  # the machines only answer status requests
+    # Nothing from the controllers reaches the machines.
+    REPORT_ANSWERS_LOST = "report-answers-lost"
     REPORTS_COPIED = "reports-copied"
     MACHINES_CUT = "machines-cut"
     MACHINES_HANG = "machines-hang"
     MACHINES_DIE = "machines-die"
     LEADER_CUT_FROM_WORKERS = "leader-cut-from-workers"
     LEADER_CUT_FROM_PEERS = "leader-cut-from-peers"
-    LEADER_ALONE = "leader-alone"  # with its workers: without peers and state service
+    LEADER_ALONE = "leader-alone"  # reaches only its workers, neither peers nor state service
     STATE_REFUSES_LEADER = "state-refuses-leader"
     STATE_SLOW = "state-slow"
     STATE_DOWN = "state-down"
@@ -71,44 +72,44 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """A drawn fault. `at_s`: seconds from the beginning; `machines`: how many it concerns."""
+    """A planned fault. `at_s`: seconds after the start; `machines`: how many it affects."""
 
     at_s: float
-    kind: Kind
+    kind: FaultKind
     for_s: float
     machines: int
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """What one seed plays; the faults are in the order of their times."""
+    """The plan derived from one seed; the faults are sorted by time."""
 
     seed: int
     size: Size
     faults: list[Fault]
 
 
-def kinds(names: list[str]) -> list[Kind]:
-    """The kinds of these names, all kinds without names. Raises PlanError for an unknown name."""
-    unknown = [name for name in names if name not in list(Kind)]
+def kinds(names: list[str]) -> list[FaultKind]:
+    """The kinds with these names, or all if there are none. Raises PlanError if one is unknown."""
+    unknown = [name for name in names if name not in list(FaultKind)]
     if unknown:
-        raise PlanError(f"--fault: no fault is called {unknown[0]!r}")
-    return [Kind(name) for name in names] or list(Kind)
+        raise PlanError(f"--fault: unknown kind of fault {unknown[0]!r}")
+    return [FaultKind(name) for name in names] or list(FaultKind)
 
 
 def size(name: str) -> Size:
-    """The size of that name. Raises PlanError for an unknown one."""
+    """The size with this name. Raises PlanError if it is unknown."""
     if name not in SIZES:
-        raise PlanError(f"--size: {name!r} is none of {', '.join(SIZES)}")
+        raise PlanError(f"--size: {name!r} is not one of {', '.join(SIZES)}")
     return SIZES[name]
 
 
-def draw(seed: int, of: Size, among: list[Kind]) -> Plan:
-    """Draw a plan; the same seed, size and kinds give the same faults at the same times."""
+def draw(seed: int, of: Size, kinds: list[FaultKind]) -> Plan:
+    """Draw a random plan; the same seed, size and kinds give the same faults and times."""
     rng = random.Random(f"soak {seed}")
     faults: list[Fault] = []
-    at_s = FIRST_FAULT_S
+    at_s = FIRST_FAULT_AT_S
     while at_s < of.seconds:
-        for kind in rng.sample(among, min(rng.randint(1, MAX_SIMULTANEOUS_FAULTS), len(among))):
+        for kind in rng.sample(kinds, min(rng.randint(1, MAX_SIMULTANEOUS_FAULTS), len(kinds))):
             duration_s = rng.choice([*FAULT_DURATIONS_S, LONGEST_FAULT_S])
             machines = max(1, round(of.workers * rng.choice((0.1, 0.3, 1.0))))
             faults.append(Fault(round(at_s + rng.uniform(0.0, 2.0), 2), kind, duration_s, machines))
--- a/umberward/soak/runner.py
+++ b/umberward/soak/runner.py
@@ -1,4 +1,4 @@
-"""Runs one seed of a soak from its beginning to the result."""
+"""Runs one seed of a soak and produces its result."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 import msgspec
 
 from umberward.soak import history, plan
-from umberward.soak.checker import Broken, Checker
+from umberward.soak.checker import Checker, Violation
 from umberward.soak.cluster import SoakCluster, teams
-from umberward.soak.faults import Faults
+from umberward.soak.faults import FaultInjector
 from umberward.soak.history import Event
 from umberward.soak.users import Users
 
 CHECK_INTERVAL_S = 0.05
-ALL_KNOWN_S = 75.0  # faults over, within this time each controller answers polls of each job
-MAX_DRAIN_S = 240.0  # faults over, for so long it is checked that the unfinished jobs go on
-TIMELINE = 60  # events of a broken task, and as many lines of each controller's log
-KB = 1024.0
+KNOWN_EVERYWHERE_WITHIN_S = 75.0  # after all faults, for each controller to know each job
+MAX_DRAIN_S = 240.0  # after all faults, how long unfinished jobs are watched
+MAX_TIMELINE_LINES = 60  # of events, and of each controller's log
+KIB_PER_MIB = 1024.0
 
 
 class Result(msgspec.Struct):
     """The result of one seed.
 
-    `processor_s`: of all controllers' processes together; `memory_mb`: of the largest one;
+    `processor_s`: of all controller processes together; `memory_mb`: of the largest one;
     `late_in_flight`, `late_sent_after`: starts after a confirmed cancellation, sent before it and
-    sent after it.
+    after it.
     """
 
     seed: int
@@ -47,7 +47,7 @@
     late_in_flight: int
     late_sent_after: int
     unfinished: int
-    broken: list[Broken]
+    broken: list[Violation]
     processor_s: float
     memory_mb: float
     seconds: float
@@ -58,19 +58,19 @@
     """The run of one plan."""
 
     def __init__(self, of: plan.Plan) -> None:
-        """Nothing runs yet."""
+        """Start nothing yet."""
         self.of = of
-        self.checker = Checker(teams(of.size), plan.TIMES.cancel_s)
+        self.checker = Checker(teams(of.size), plan.WORKER_TIMES.cancel_s)
         self.events: list[Event] = []
         self.kills = 0
-        self.unfinished = 0  # jobs that still went on when the run ended
+        self.unfinished = 0  # jobs not finished when the run ended
 
     async def play(self) -> Result:
         """Run the plan on a cluster of its own.
 
         Raises HarnessError or RuntimeError if the soak itself fails.
         """
-        began = time.monotonic()
+        started_at = time.monotonic()
         folder = Path(tempfile.mkdtemp(prefix="umberward-soak-"))
         cluster = SoakCluster(SoakCluster.local_plan(self.of), folder)
         cluster.record = self._record
@@ -78,10 +78,10 @@
             try:
                 async with cluster.group:
                     await cluster._start()
-                    await self._play(cluster)
+                    await self._run_plan(cluster)
             finally:
                 cluster._end()
-            return self._result(cluster, time.monotonic() - began, folder)
+            return self._result(cluster, time.monotonic() - started_at, folder)
         finally:
             shutil.rmtree(folder, ignore_errors=True)
 
@@ -91,55 +91,59 @@
         if isinstance(event, history.ProcessEnded):
             self.kills += event.by_us
 
-    async def _play(self, cluster: SoakCluster) -> None:
+    async def _run_plan(self, cluster: SoakCluster) -> None:
         rng = random.Random(f"users {self.of.seed}")
         await cluster.add_machines(self.of.size.workers)
-        cluster.began = time.monotonic()
+        cluster.run_started_at = time.monotonic()
         users = Users(cluster, rng, self.of.size.jobs_per_s)
-        faults = Faults(cluster, users)
-        # Whichever ends first ends the run: the scenario, or a part of the soak that fails.
+        faults = FaultInjector(cluster, users)
+        # The run ends with the scenario, or as soon as the monitor fails.
         async with curio.TaskGroup(wait=any) as group:
-            await group.spawn(self._watch, cluster)
-            await group.spawn(self._scenario, cluster, users, faults)
+            await group.spawn(self._monitor, cluster)
+            await group.spawn(self._run_scenario, cluster, users, faults)
         if group.exception is not None:
             raise group.exception
 
-    async def _scenario(self, cluster: SoakCluster, users: Users, faults: Faults) -> None:
+    async def _run_scenario(
+        self, cluster: SoakCluster, users: Users, faults: FaultInjector
+    ) -> None:
         submitting = await cluster.group.spawn(users.run, self.of.size.seconds)
         await faults.run(self.of.faults)
         await submitting.join()
         await faults.end_all()
         await self._drain(cluster, users)
 
-    async def _watch(self, cluster: SoakCluster) -> None:
+    async def _monitor(self, cluster: SoakCluster) -> None:
         while True:
             await curio.sleep(CHECK_INTERVAL_S)
-            cluster.look()
-            self.checker.tick(cluster.now())
+            cluster.observe()
+            self.checker.check_deadlines(cluster.now())
 
     async def _drain(self, cluster: SoakCluster, users: Users) -> None:
-        """Check, faults over, that each controller knows each job, and that each job goes on."""
+        """Check after all faults that each controller knows each job and that all jobs progress."""
         faults_over_at = cluster.now()
-        asked = [(job, name) for job in self.checker.accepted for name in cluster.names]
-        while asked and cluster.now() < faults_over_at + ALL_KNOWN_S:
-            asked = [(job, name) for job, name in asked if await self._unknown(users, job, name)]
-        for job, name in asked:
+        unconfirmed = [(job, name) for job in self.checker.accepted for name in cluster.names]
+        while unconfirmed and cluster.now() < faults_over_at + KNOWN_EVERYWHERE_WITHIN_S:
+            unconfirmed = [
+                (job, name) for job, name in unconfirmed if await self._is_unknown(users, job, name)
+            ]
+        for job, name in unconfirmed:
             self.checker.forgotten(cluster.now(), job, name)
-        await users.cancel_endless()
+        await users.cancel_services()
         while self.checker.unfinished() and cluster.now() < faults_over_at + MAX_DRAIN_S:
             for job in self.checker.unfinished():
-                await users.ask("poll", job)
-            self.checker.look_for_waiting(cluster.now())
+                await users.send_request("poll", job)
+            self.checker.check_waiting_jobs(cluster.now())
             await curio.sleep(0.5)
         self.unfinished = len(self.checker.unfinished())
 
-    async def _unknown(self, users: Users, job: str, name: str) -> bool:
-        return await users.ask("poll", job, name) != HTTPStatus.OK
+    async def _is_unknown(self, users: Users, job: str, name: str) -> bool:
+        return await users.send_request("poll", job, name) != HTTPStatus.OK
 
     # ---- the result ----------------------------------------------------------------------
 
     def _result(self, cluster: SoakCluster, seconds: float, folder: Path) -> Result:
-        used = resource.getrusage(resource.RUSAGE_CHILDREN)
+        usage = resource.getrusage(resource.RUSAGE_CHILDREN)
         kinds = [fault.kind.value for fault in self.of.faults]
         return Result(
             seed=self.of.seed,
@@ -147,35 +151,38 @@
             faults={kind: kinds.count(kind) for kind in sorted(set(kinds))},
             jobs=len(self.checker.jobs),
             starts=self.checker.starts,
-            cancellations=len(self.checker.cancel_asked),
+            cancellations=len(self.checker.cancel_requested),
             kills=self.kills,
             takeovers=cluster.takeovers,
             late_in_flight=self.checker.late_in_flight,
             late_sent_after=self.checker.late_sent_after,
             unfinished=self.unfinished,
             broken=self.checker.broken,
-            processor_s=round(used.ru_utime + used.ru_stime, 1),
-            memory_mb=round(used.ru_maxrss / KB, 1),
+            processor_s=round(usage.ru_utime + usage.ru_stime, 1),
+            memory_mb=round(usage.ru_maxrss / KIB_PER_MIB, 1),
             seconds=round(seconds, 1),
             timeline=self._timeline(cluster, folder) if self.checker.broken else [],
         )
 
     def _timeline(self, cluster: SoakCluster, folder: Path) -> list[str]:
-        """Events and log lines about the first violation's job, with the faults and leaders."""
+        """Events and log lines about the job of the first violation, with faults and leaders."""
         broken = self.checker.broken[0]
-        general = (history.FaultBegan, history.LeaderChanged, history.ProcessEnded)
+        always_shown = (history.FaultBegan, history.LeaderChanged, history.ProcessEnded)
         events = [
-            history.said(event)
+            history.format_event(event)
             for event in self.events
             if event.at <= broken.at + 1.0
-            and (isinstance(event, general) or _is_about(event, broken.job))
+            and (isinstance(event, always_shown) or _is_about(event, broken.job))
+        ]
+        lines = [
+            f"{broken.at:.3f} {broken.rule}: {broken.job} {broken.what}",
+            *events[-MAX_TIMELINE_LINES:],
         ]
-        lines = [f"{broken.at:.3f} {broken.rule}: {broken.job} {broken.what}", *events[-TIMELINE:]]
         for name in cluster.names:
             with contextlib.suppress(OSError):
                 text = (folder / f"{name}.log").read_text(errors="replace").splitlines()
-                said = [line for line in text if broken.job and broken.job in line]
-                lines += [f"{name}: {line[:300]}" for line in said[-TIMELINE:]]
+                matching = [line for line in text if broken.job and broken.job in line]
+                lines += [f"{name}: {line[:300]}" for line in matching[-MAX_TIMELINE_LINES:]]
         return lines
 
 
