--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,7 +4,7 @@
 
 from umberward.scheduling.invariants import Invariants
 
-Invariants.raises = True  # in tests a violation is a failure, and nothing is refused silently
+Invariants.raises = True  # in service a violated invariant is logged and the action refused
 
 pytest_plugins = ["known_red", "pytester"]
 
@@ -13,12 +13,12 @@
     parser.addoption(
         "--write-golden",
         action="store_true",
-        help="Write the digests of now (tests/test_golden_traffic.py) in place of the stored ones.",
+        help="Replace the stored digests of tests/test_golden_traffic.py by the current ones.",
     )
     parser.addoption(
         "--long-troubles",
         type=int,
         default=0,
         metavar="DAYS",
-        help="Draw so many days of troubles (tests/test_fault_days.py), each time others.",
+        help="Run tests/test_fault_days.py on this number of randomly drawn days.",
     )
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""Tests that may fail for now: those of KNOWN-RED.txt, if there is one.
+"""pytest plugin: expected failures, listed in KNOWN-RED.txt if that file exists.
 
-A line is `TEST | CAUSE | ISSUE`, with the test as pytest names it. These alone may fail, and they
-are printed at the end of each run. One that passes is a failure, and so is a line that names no
-test, that is not of this form, or that is one too many.
+A line is `TEST | CAUSE | ISSUE`, with the test's pytest node id. Only the listed tests may fail;
+they are printed at the end of each run. A listed test that passes is a failure. A line that is
+malformed or names no test, and more than `MAX_ENTRIES` lines, are errors.
 """
 
 from __future__ import annotations
@@ -13,48 +13,52 @@
 import pytest
 
 FILE = "KNOWN-RED.txt"
-MOST = 3
+MAX_ENTRIES = 3
 
 
-class Known(NamedTuple):
+class KnownFailure(NamedTuple):
     test: str
     cause: str
     issue: str
 
 
-def read(path: Path) -> list[Known]:
-    """Raises UsageError for what is not as it should be."""
-    found = []
+def read_entries(path: Path) -> list[KnownFailure]:
+    """Raises UsageError for a malformed line and for too many lines."""
+    failures = []
     for line in path.read_text().splitlines() if path.exists() else ():
         parts = [part.strip() for part in line.split("|")]
-        if len(parts) != len(Known._fields) or not all(parts):
+        if len(parts) != len(KnownFailure._fields) or not all(parts):
             raise pytest.UsageError(f"{FILE}: not TEST | CAUSE | ISSUE: {line}")
-        found.append(Known(*parts))
-    if len(found) > MOST:
-        raise pytest.UsageError(f"{FILE}: {len(found)} lines, {MOST} at the most")
-    return found
+        failures.append(KnownFailure(*parts))
+    if len(failures) > MAX_ENTRIES:
+        raise pytest.UsageError(f"{FILE}: {len(failures)} lines, at most {MAX_ENTRIES} are allowed")
+    return failures
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    known = read(config.rootpath / FILE)
+    failures = read_entries(config.rootpath / FILE)
     by_name = {item.nodeid: item for item in items}
-    whole = not (config.option.keyword or config.option.markexpr) and config.args_source.name in (
+    all_collected = not (
+        config.option.keyword or config.option.markexpr
+    ) and config.args_source.name in (
         "TESTPATHS",
         "INVOCATION_DIR",
     )
-    for one in known:
-        item = by_name.get(one.test)
+    for failure in failures:
+        item = by_name.get(failure.test)
         if item is not None:
-            item.add_marker(pytest.mark.xfail(reason=f"{one.cause} ({one.issue})", strict=True))
-        elif whole:  # of a part of the tests it may not be one
-            raise pytest.UsageError(f"{FILE}: there is no test {one.test}")
+            item.add_marker(
+                pytest.mark.xfail(reason=f"{failure.cause} ({failure.issue})", strict=True)
+            )
+        elif all_collected:  # a selection of the tests need not include it
+            raise pytest.UsageError(f"{FILE}: there is no test {failure.test}")
 
 
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter, config: pytest.Config
 ) -> None:
-    known = read(config.rootpath / FILE)
-    if known:
-        terminalreporter.section("known to fail")
-    for one in known:
-        terminalreporter.line(f"{one.test}: {one.cause} ({one.issue})")
+    failures = read_entries(config.rootpath / FILE)
+    if failures:
+        terminalreporter.section("expected failures")
+    for failure in failures:
+        terminalreporter.line(f"{failure.test}: {failure.cause} ({failure.issue})")
--- a/tests/network.py
+++ b/tests/network.py
@@ -1,8 +1,8 @@
-"""A network in memory and a clock that jumps, for whole controllers in one process.
+"""A simulated network and clock, for running several controllers in one process.
 
-`Server` and `Client` here take the place of those of `umberward.protocol.http`, so that all that is
-above them runs as it does on sockets. Every link has a state for each direction: a message may be
-refused, lost, held until the link is whole again, or late.
+`Server` and `Client` replace those of `umberward.protocol.http`, so that everything above them runs
+as it does on sockets. Faults are set for each link and direction: a message may be refused, lost,
+held until the link works again, or late.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from umberward.local.links import Links
 from umberward.protocol.http import Handler, NoResponseError, Request, RequestNotSentError, Response
 
-TRIP_S = 0.001
-MOST_KEPT = 60
+MESSAGE_DELAY_S = 0.001
+MAX_KEPT_HEARTBEATS = 60
 
 
 class Clock:
-    """Stands still while anything can run, and jumps to the next moment at which something can."""
+    """Simulated time: stands still while a task can run, then jumps to the next timer."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -39,12 +39,13 @@
 
     @contextmanager
     def running(self) -> Iterator[None]:
+        """Replace the clocks of the `time` module."""
         with mock.patch("time.monotonic", self), mock.patch("time.time", self):
             yield
 
 
-class Jumping(selectors.DefaultSelector):
-    """curio's waiting is the clock's jump."""
+class JumpingSelector(selectors.DefaultSelector):
+    """Advances the simulated clock where curio would wait for I/O."""
 
     def __init__(self, clock: Clock) -> None:
         super().__init__()
@@ -52,7 +53,7 @@
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("everybody waits for somebody else")
+            raise RuntimeError("deadlock: no task can run and no timer is set")
         self.clock.now += max(0.0, timeout)
         return []
 
@@ -63,16 +64,18 @@
         self.rng = rng
         self.owners: dict[Address, str] = {}
         self.serving: dict[Address, Server] = {}
-        self.links = Links(rng, TRIP_S)
-        self.copied: dict[str, tuple[float, float, float]] = {}  # owner -> share, from, to
-        self.building = ""  # whose clients are made now
-        self.sent: dict[str, float] = {}  # to whom a message is handed now -> when it was sent
-        self.kept_share = 0.0  # of the reports a copy is kept for the next leader
-        self.kept: deque[Request] = deque(maxlen=MOST_KEPT)
-        self.messages = TaskScope()  # owns what is under way
+        self.links = Links(rng, MESSAGE_DELAY_S)
+        # Owners whose heartbeats are delivered twice: the share of them, and the least and the
+        # greatest delay of the copy.
+        self.copied: dict[str, tuple[float, float, float]] = {}
+        self.client_owner = ""  # owner of the clients that are created now
+        self.sent: dict[str, float] = {}  # receiver -> when the request it handles now was sent
+        self.kept_share = 0.0  # of all heartbeats: a copy is kept for the next leader
+        self.kept_heartbeats: deque[Request] = deque(maxlen=MAX_KEPT_HEARTBEATS)
+        self.messages = TaskScope()  # owns the messages in flight
 
     def client(self, _: Any = None) -> Client:
-        return Client(self, self.building)
+        return Client(self, self.client_owner)
 
     def server(self, address: Address, handler: Handler, *_: Any) -> Server:
         return Server(self, address, handler)
@@ -82,9 +85,9 @@
         self.owners[made] = owner
         return made
 
-    async def bring_kept(self, addresses: Iterable[Address]) -> None:
-        """The copies that were kept come to all of these at once."""
-        kept, self.kept = self.kept, deque(maxlen=MOST_KEPT)
+    async def deliver_kept_heartbeats(self, addresses: Iterable[Address]) -> None:
+        """Deliver the kept heartbeats to all of these addresses."""
+        kept, self.kept_heartbeats = self.kept_heartbeats, deque(maxlen=MAX_KEPT_HEARTBEATS)
         for request in kept:
             for address in addresses:
                 if address in self.serving:
@@ -106,14 +109,14 @@
                 del self.network.serving[self.address]
 
     async def name(self, peer: Any, name: str) -> None:
-        """Connections are not played."""
+        """Do nothing: connections are not simulated."""
 
 
 class Client:
     def __init__(self, network: Network, owner: str) -> None:
         self.network = network
         self.owner = owner
-        self.ended = False  # its process is
+        self.ended = False  # whether its process has ended
 
     async def request(
         self,
@@ -126,38 +129,38 @@
         still: Callable[[], bool] | None = None,
     ) -> Response:
         network = self.network
-        there = network.owners.get(address, "nobody")
+        receiver = network.owners.get(address, "nobody")
         path, _, query = target.partition("?")
-        if address not in network.serving or network.links.refuses(self.owner, there, target):
-            await curio.sleep(TRIP_S)
+        if address not in network.serving or network.links.refuses(self.owner, receiver, target):
+            await curio.sleep(MESSAGE_DELAY_S)
             raise RequestNotSentError(f"{address}: refused")
         if self.ended or still is not None and not still():
-            raise RequestNotSentError(f"{method} {address}: no longer ours to say")
+            raise RequestNotSentError(f"{method} {address}: its sender has ended or withdrawn it")
         sent = network.clock()
-        note(self.owner, there, method, target, body, sent)
+        note(self.owner, receiver, method, target, body, sent)
         answered = curio.Event()
         answers: list[Response] = []
 
         async def carry() -> None:
-            if await network.links.passes(self.owner, there, target):
+            if await network.links.passes(self.owner, receiver, target):
                 server = network.serving.get(address)
                 if server is None:
                     return
-                network.sent[there] = sent
+                network.sent[receiver] = sent
                 response = await server.handler(Request(method, path, query, body))
-                network.sent.pop(there, None)
+                network.sent.pop(receiver, None)
                 answer = (response.status, response.body, response.retry_after)
-                note(there, self.owner, target, *answer, network.clock())
-                # A process that has ended since says nothing.
+                note(receiver, self.owner, target, *answer, network.clock())
+                # A process that has ended meanwhile sends no response.
                 if network.serving.get(address) is server and await network.links.passes(
-                    there, self.owner, target
+                    receiver, self.owner, target
                 ):
                     answers.append(response)
                     await answered.set()
 
         await network.messages.spawn(carry)
         if path == "/hello" and network.rng.random() < network.kept_share:
-            network.kept.append(Request(method, path, query, body))
+            network.kept_heartbeats.append(Request(method, path, query, body))
         if path == "/hello" and self.owner in network.copied:
             await network.messages.spawn(self._copy, address, Request(method, path, query, body))
         await curio.ignore_after(timeout, answered.wait)
@@ -166,7 +169,7 @@
         return answers[0]
 
     async def _copy(self, address: Address, request: Request) -> None:
-        """The same report comes once more, long after; nobody waits for an answer."""
+        """Deliver a late copy of a heartbeat, whose response nobody awaits."""
         share, least, most = self.network.copied[self.owner]
         if self.network.rng.random() < share:
             await curio.sleep(self.network.rng.uniform(least, most))
@@ -175,4 +178,4 @@
                 await server.handler(request)
 
     async def forget(self, address: Address) -> None:
-        """Connections are not played."""
+        """Do nothing: connections are not simulated."""
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -1,6 +1,6 @@
-"""The rules of PROTOCOL, checked on what users were told and on what workers did.
+"""Checks of the rules of PROTOCOL against the answers to users and the actions of workers.
 
-The worlds of the tests play a cluster; whichever it is, what it shows comes here.
+Shared by the simulated clusters, which report what happens in them to a `RuleChecker`.
 """
 
 from __future__ import annotations
@@ -19,21 +19,23 @@
 from umberward.protocol.transactions import VersionedValue
 from umberward.protocol.wire import FINAL_JOBS_PREFIX, LIVE_JOBS_PREFIX, JobSpec, MachineType
 
-LEFT_WAITING_S = 90.0  # troubles over, nobody waits so long beside a machine with room
-UNTOLD_S = 3.5  # a leader that can't be told of a cancellation starts nothing for longer than this
+# With no fault left, no job may wait longer than this while a machine has room for it.
+MAX_WAIT_WITH_ROOM_S = 90.0
+# A leader that can't be told of a cancellation sends no starts for longer than this after it.
+MAX_UNINFORMED_S = 3.5
 
 
-class ToldUser(NamedTuple):
-    """What a job's user had been told at some moment."""
+class UserKnowledge(NamedTuple):
+    """What a job's user knew from the answers received until some moment."""
 
     accepted: bool
     ended: str | None
 
 
-class Rules:
+class RuleChecker:
     now: float
-    # Whether no completion gets lost before it is stored; else its task may run once more.
-    done_stays = True
+    # Whether no completion is lost before it is stored; if one is, its task may run once more.
+    completions_never_lost = True
 
     def __init__(self, cluster: ClusterSettings, skus: Iterable[MachineType] = ()) -> None:
         self.cluster = cluster
@@ -46,44 +48,49 @@
         self.ended: dict[str, str] = {}
         self.broken: list[str] = []
         self.starts: dict[str, int] = {}
-        self.attempts: set[tuple[str, int, str, int]] = set()  # host, session, task, attempt
+        self.attempts: set[tuple[str, int, str, int]] = set()  # (host, session, task, attempt)
         self.submitted: dict[str, float] = {}
-        self.began: dict[str, float] = {}  # from a job's submission to its first start
-        self.stood_there: set[str] = set()  # jobs of records that the test wrote itself
-        # Starts of jobs that were called cancelled by then: in commands sent before that (or in
-        # answers to reports, of which the sending is not known), or sent after it.
+        self.start_delay_s: dict[str, float] = {}  # submission to first start
+        self.prewritten_jobs: set[str] = set()  # jobs whose records the test wrote itself
+        # Starts of jobs already reported as cancelled: in commands sent before that (or in answers
+        # to heartbeats, whose time of sending is not known), or in commands sent after it.
         self.late_starts = {"in flight": 0, "sent after": 0}
-        self.overtaken = 0  # older answers, to older questions, that came after a newer one
-        self.calm_since: float | None = None  # since when there is no trouble any more
-        self.waits_since: dict[str, float] = {}  # jobs that wait beside a machine with room
+        self.overtaken = 0  # answers to earlier requests that arrived after a newer answer
+        self.faults_over_since: float | None = None  # when the last fault ended
+        self.waiting_since: dict[str, float] = {}  # jobs that wait although a machine has room
 
     def stored_keys(self) -> Mapping[Key, VersionedValue]:
-        """What stands in the state service."""
+        """The contents of the state service."""
         raise NotImplementedError
 
     def is_gone(self, worker: WorkerCore) -> bool:
-        """Whether its machine is."""
+        """Whether the worker's machine is gone, so that none of its tasks runs."""
         raise NotImplementedError
 
-    # ---- what users are told -----------------------------------------------------------
+    # ---- answers to users -----------------------------------------------------------
 
-    def told(self, id: str) -> ToldUser:
-        return ToldUser(id in self.submitted, self.ended.get(id))
+    def user_knowledge(self, id: str) -> UserKnowledge:
+        return UserKnowledge(id in self.submitted, self.ended.get(id))
 
-    def check_phase(self, id: str, response: Response, told: ToldUser | None = None) -> str | None:
-        """`told`: what its user had been told when the question was sent; else all until now."""
+    def check_phase(
+        self, id: str, response: Response, told: UserKnowledge | None = None
+    ) -> str | None:
+        """Check an answer with a job's phase, and return the phase.
+
+        `told`: what the user knew when the request was sent; None: all that is known now.
+        """
         if response.status != 200:
             if response.status == 404 and id in self.specs and (told is None or told.accepted):
                 self.broken.append(f"forgotten: {id}")
             return None
-        if id not in self.specs and id not in self.stood_there:
+        if id not in self.specs and id not in self.prewritten_jobs:
             self.broken.append(f"invented: {id}")
             return None
         phase: str = msgspec.msgpack.decode(response.body)["phase"]
-        now = self.told(id)
+        now = self.user_knowledge(id)
         if phase not in (wire.DONE, wire.CANCELLED) and now.ended and told and not told.ended:
-            # Asked before the newer answer had come. No node can know what another one is saying
-            # at this moment, so this is counted, and breaks no rule.
+            # The request was sent before the newer answer had arrived. No controller can know what
+            # another one answers at the same moment, so this is counted, and breaks no rule.
             self.overtaken += 1
             return phase
         for need in self.specs.get(id, {}).get("waits_on") or ():
@@ -95,18 +102,20 @@
             self.ended[id] = phase
         return phase
 
-    def check_submission(self, spec: dict[str, Any], response: Response, told: ToldUser) -> None:
-        """`spec`: what was sent, be it a repeat with another body."""
+    def check_submission(
+        self, spec: dict[str, Any], response: Response, told: UserKnowledge
+    ) -> None:
+        """Check an answer to a submission. `spec`: the body sent, also of a repeat that differs."""
         id = spec.get("uid")
         if response.status in (400, 422) and told.accepted:
             self.broken.append(f"forgotten: a repeat of {id} is answered {response.status}")
         if response.status == 201 and told.ended:
             self.broken.append(f"went_back: {id} was {told.ended}, is accepted anew")
-        if response.status == 201 and self.unfit(spec):
-            self.broken.append(f"accepted: {id}, {self.unfit(spec)}")
+        if response.status == 201 and self.why_unfit(spec):
+            self.broken.append(f"accepted: {id}, {self.why_unfit(spec)}")
 
-    def unfit(self, spec: dict[str, Any]) -> str:
-        """Why the job can't run; empty: it can."""
+    def why_unfit(self, spec: dict[str, Any]) -> str:
+        """Why the job can never run; empty if it can."""
         for field in JobSpec.__struct_encode_fields__:
             if field not in ("flavors", "yard", "due_s", "waits_on") and field not in spec:
                 return f"it lacks {field}"
@@ -118,7 +127,7 @@
             return "its id or its size is wrong"
         team = next((team for team in self.cluster.teams if team.name == spec["owner"]), None)
         if team is None:
-            return "nobody's"
+            return "its team is unknown"
         fits = [
             sku
             for sku in self.machine_types
@@ -136,14 +145,14 @@
                 return "it needs more than its team may use"
         return ""
 
-    # ---- what workers do ---------------------------------------------------------------
+    # ---- actions of workers ---------------------------------------------------------------
 
     def describe(self, job: str) -> JobSpec | None:
-        """A job's description, as its user has uploaded it."""
+        """The job's description, as the user uploaded it for the workers."""
         if job not in self.described and job in self.specs:
             known = JobSpec.__struct_encode_fields__
             plain = {name: value for name, value in self.specs[job].items() if name in known}
-            # Here images are at hand, and what is saved is another matter.
+            # Image fetches take no time here.
             plain["pull_gb"] = 0.0
             self.described[job] = wire.convert(plain, JobSpec)
         return self.described.get(job)
@@ -158,36 +167,37 @@
         self.specs[name.split("/")[0]].setdefault("_done", set()).add(name)
 
     def started(self, worker: WorkerCore, name: str, attempt: int) -> None:
-        """What the rules say of a start."""
+        """Check the start of a task."""
         id = name.split("/")[0]
         spec = self.specs[id]
-        if self.done_stays and name in spec.get("_done", ()):
+        if self.completions_never_lost and name in spec.get("_done", ()):
             self.broken.append(f"{name} started again after it was done")
         self.starts[name] = self.starts.get(name, 0) + 1
         started = (worker.host, worker.incarnation, name, attempt)
         if started in self.attempts:
-            # The worker was told to forget this attempt while a start of it was still under way.
+            # The worker was told to forget this attempt while a start of it was still in flight.
             self.broken.append(f"restarted: attempt {attempt} of {name} on {worker.host}")
         self.attempts.add(started)
-        self.began.setdefault(id, self.now - self.submitted.get(id, self.now))
+        self.start_delay_s.setdefault(id, self.now - self.submitted.get(id, self.now))
         for need in spec.get("waits_on") or ():
-            past = self.stored_keys().get(Key(FINAL_JOBS_PREFIX + need))
-            if past is None or past.data["phase"] != wire.DONE:
+            final_record = self.stored_keys().get(Key(FINAL_JOBS_PREFIX + need))
+            if final_record is None or final_record.data["phase"] != wire.DONE:
                 self.broken.append(f"too_early: {name} started before {need} was done")
         for other in self.workers.values():
             if name in other.running_tasks and not self.is_gone(other):
                 self.broken.append(f"ran_twice: {name} on {other.host} and {worker.host}")
-        if self._overdue(id):
+        if self._cancellation_overdue(id):
             self.broken.append(f"ran_cancelled: {name}")
         if id in self.cancelled:
             sent = self.sent_at(worker)
             after = sent is not None and sent > self.cancelled[id]
             self.late_starts["sent after" if after else "in flight"] += 1
-            if sent is not None and sent > self.cancelled[id] + UNTOLD_S:
+            if sent is not None and sent > self.cancelled[id] + MAX_UNINFORMED_S:
                 self.broken.append(f"ran_cancelled: {name}, sent after its job's cancellation")
         self._check_place(worker, spec, name)
 
     def _check_place(self, worker: WorkerCore, spec: dict[str, Any], name: str) -> None:
+        """Check that the task may run on this machine and in its zone."""
         id = spec["uid"]
         zones = [
             w.zone
@@ -206,21 +216,21 @@
         if spec["apart"] and zones.count(worker.zone) >= (spec["shards"] + 1) // 2:
             self.broken.append(f"wrong_place: too many of {id} in {worker.zone}")
 
-    def _overdue(self, id: str) -> bool:
-        """Whether all of the job should be gone by now."""
-        told = self.cancelled.get(id)
-        return told is not None and self.now - told > self.cluster.workers.cancel_s
+    def _cancellation_overdue(self, id: str) -> bool:
+        """Whether the job was cancelled so long ago that none of its tasks may run."""
+        cancelled_at = self.cancelled.get(id)
+        return cancelled_at is not None and self.now - cancelled_at > self.cluster.workers.cancel_s
 
     def sent_at(self, worker: WorkerCore) -> float | None:
-        """When the command was sent that this worker carries out now; None: that is not known."""
+        """When the command that this worker handles now was sent; None if that is not known."""
         return None
 
-    def stands_still(self, worker: WorkerCore) -> bool:
-        """Whether its machine hangs."""
+    def hangs(self, worker: WorkerCore) -> bool:
+        """Whether the worker's machine hangs."""
         return False
 
-    def used(self) -> dict[str, Resources]:
-        """By teams: what is on machines."""
+    def usage_by_team(self) -> dict[str, Resources]:
+        """Resources of the running tasks, by team."""
         found: dict[str, Resources] = {}
         for worker in self.workers.values():
             if not self.is_gone(worker):
@@ -230,21 +240,21 @@
                     found[spec["owner"]] = found.get(spec["owner"], NO_RESOURCES).plus(need)
         return found
 
-    def check_now(self) -> None:
-        """What holds at every moment."""
+    def check_rules(self) -> None:
+        """Check the rules that hold at every moment."""
         for worker in self.workers.values():
-            if not (self.is_gone(worker) or self.stands_still(worker)):
+            if not (self.is_gone(worker) or self.hangs(worker)):
                 for name in worker.running_tasks:
-                    if self._overdue(name.split("/")[0]):
+                    if self._cancellation_overdue(name.split("/")[0]):
                         self.broken.append(f"ran_cancelled: {name}")
-        used = self.used()
+        usage_by_team = self.usage_by_team()
         for team in self.cluster.teams:
-            cores, accelerators, _ = used.get(team.name, NO_RESOURCES)
+            cores, accelerators, _ = usage_by_team.get(team.name, NO_RESOURCES)
             if 0 < team.cpus_max < cores - 1e-6:
                 self.broken.append(f"quota: {team.name} uses {cores} cores")
             if 0 < team.gpus_max < accelerators - 1e-6:
                 self.broken.append(f"quota: {team.name} uses {accelerators} accelerators")
-        self._check_waiting(used)
+        self._check_waiting(usage_by_team)
         for key in self.stored_keys():
             if (
                 key.startswith(FINAL_JOBS_PREFIX)
@@ -256,10 +266,10 @@
                 if len(spec.get("_done", ())) < spec["shards"] and spec["shape"] != wire.GANG:
                     self.broken.append(f"not_done: {spec['uid']}")
 
-    def _check_waiting(self, used: dict[str, Resources]) -> None:
-        """Troubles over, no array or service waits long beside a machine that could take it."""
-        if self.calm_since is None:
-            self.waits_since.clear()
+    def _check_waiting(self, usage_by_team: dict[str, Resources]) -> None:
+        """With no fault left, no array or service waits long while a machine has room for it."""
+        if self.faults_over_since is None:
+            self.waiting_since.clear()
             return
         for key in self.stored_keys():
             id = key[len(LIVE_JOBS_PREFIX) :]
@@ -268,17 +278,17 @@
             spec = self.specs[id]
             left = spec["shards"] - len(spec.get("_done", ())) - len(self.running(id))
             plain = spec["shape"] != wire.GANG and not (spec["same_place"] or spec["apart"])
-            if plain and left > 0 and self._has_room(spec, used):
-                since = self.waits_since.setdefault(id, self.now)
-                if self.now - since > LEFT_WAITING_S:
+            if plain and left > 0 and self._has_room(spec, usage_by_team):
+                since = self.waiting_since.setdefault(id, self.now)
+                if self.now - since > MAX_WAIT_WITH_ROOM_S:
                     self.broken.append(f"left waiting: {id}")
             else:
-                self.waits_since.pop(id, None)
+                self.waiting_since.pop(id, None)
 
-    def _has_room(self, spec: dict[str, Any], used: dict[str, Resources]) -> bool:
+    def _has_room(self, spec: dict[str, Any], usage_by_team: dict[str, Resources]) -> bool:
         need = Resources(spec["cores"], spec["accelerators"], spec["mem_gb"])
         team = next(team for team in self.cluster.teams if team.name == spec["owner"])
-        then = used.get(team.name, NO_RESOURCES).plus(need)
+        then = usage_by_team.get(team.name, NO_RESOURCES).plus(need)
         if 0 < team.cpus_max < then.cores or 0 < team.gpus_max < then.accelerators:
             return False
         return any(
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -1,7 +1,6 @@
-"""Stand-ins by the protocol, on a clock of their own: state service, workers, a cloud's deletions.
+"""A cluster simulated in memory: one leader, the state service and workers, on a simulated clock.
 
-They are simple on purpose: a scenario says what fails and when, and the world notes each broken
-rule. Real sockets and the bench are not needed.
+A scenario decides what fails and when; the cluster collects each broken rule. No sockets are used.
 """
 
 from __future__ import annotations
@@ -12,7 +11,7 @@
 from typing import Any
 
 import curio
-from rules import Rules
+from rules import RuleChecker
 from traffic_recorder import note
 
 from umberward.clients import state_client
@@ -55,7 +54,7 @@
 from umberward.scheduling.lease_delegation import Delegate
 from umberward.scheduling.scheduler import Scheduler
 
-STEP = 0.1
+STEP_S = 0.1
 
 
 def raw_settings(**teams: Any) -> dict[str, Any]:
@@ -99,17 +98,17 @@
 
 
 class SimulatedStore:
-    """The state service's semantics with the outcomes that a client may meet, and no sockets."""
+    """A client of the state service, with the outcomes that a real one may meet."""
 
     def __init__(self) -> None:
         self.core = StateCore()
         self.keys = self.core.keys
-        self.mode = "ok"  # ok | down | lost (executed, no answer) | late (executed afterwards)
+        self.mode = "ok"  # ok | down | lost (executed, no answer) | late (executed later)
         self.pending: list[tuple[Any, Any]] = []
         self.requests = 0
         self.refused: list[str] = []
-        self.applied: Callable[[], None] = lambda: None
-        self.meanwhile: Any = None  # what happens between a reading and its use
+        self.on_applied: Callable[[], None] = lambda: None
+        self.during_watch: Any = None  # called once, between a watch and the use of its result
 
     @property
     def revision(self) -> int:
@@ -121,7 +120,7 @@
 
     async def get(self, key: Key, *_: Any, **__: Any) -> VersionedValue | None:
         self.requests += 1
-        await curio.sleep(0)  # others run meanwhile
+        await curio.sleep(0)  # let other tasks run
         note("read", key, self.mode)
         if self.mode == "down":
             raise state_client.StateUnavailableError("down")
@@ -151,9 +150,9 @@
         except statecore.RevisionCompactedError:
             raise state_client.RevisionCompactedError from None
         revision = Revision(self.revision)
-        meanwhile, self.meanwhile = self.meanwhile, None
-        if meanwhile is not None:
-            await meanwhile()
+        during_watch, self.during_watch = self.during_watch, None
+        if during_watch is not None:
+            await during_watch()
         return news, revision
 
     async def commit(self, conditions: Any, writes: Any, **_: Any) -> Revision:
@@ -181,10 +180,10 @@
             self.refused.append(str(error))
             raise state_client.ValueTooLargeError("400") from None
         note("applied", conditions, writes, self.revision)
-        self.applied()
+        self.on_applied()
 
-    def keep(self, path: str, data: Any) -> None:
-        """A record that stands there already, whatever its size."""
+    def insert(self, path: str, data: Any) -> None:
+        """Add a record as if it had been stored before, whatever its size."""
         self.core.revision += 1
         self.keys[path] = VersionedValue(data, Version(self.revision))
 
@@ -198,7 +197,7 @@
 
 
 class HeldCommand:
-    """A direct command on its way. Its sender waits until `gives_up_at`, None: it has given up."""
+    """A direct command in flight. Its sender waits until `gives_up_at`; None: it has given up."""
 
     def __init__(self, command: DirectCommand, sender: Scheduler, gives_up_at: float) -> None:
         self.command = command
@@ -207,12 +206,12 @@
 
 
 class Worker(WorkerCore):
-    """A worker's semantics, and what may befall it and its messages."""
+    """A worker with the faults that it and its messages may suffer."""
 
     def __init__(
-        self, world: SimulatedCluster, host: str, flavor: str, zone: str, spot: bool
+        self, cluster: SimulatedCluster, host: str, flavor: str, zone: str, spot: bool
     ) -> None:
-        times = world.settings.platform.cluster.workers
+        times = cluster.settings.platform.cluster.workers
         sku = MACHINE_TYPES[MachineTypeName(flavor)]
         super().__init__(
             host,
@@ -221,35 +220,33 @@
             zone,
             spot,
             times,
-            world.mates,
-            world.describe,
+            cluster.mates,
+            cluster.describe,
             self._fate,
-            world.now,
+            cluster.now,
         )
-        self.world = world
-        self.report_at = world.now
+        self.cluster = cluster
+        self.next_heartbeat_at = cluster.now
         self.sick = False
         self.dead = False
-        self.cut = False  # no packet passes
-        self.deaf = False  # responses to its reports are lost
-        self.mute = False  # its reports are lost, direct commands reach it
-        self.slow = False  # a report that it sends is under way until this ends
-        self.astray = False  # it reports to the former leader
-        self.oneway = False  # its reports arrive, and nothing reaches it
-        self.sent_heartbeats: deque[tuple[float, bytes]] = deque(
-            maxlen=200
-        )  # its reports, for late copies
-        self.heartbeat_in_flight: tuple[float, int, bytes] | None = (
-            None  # sent when, in which session
-        )
-        self.holding = False  # direct commands are held back and delivered later
+        self.cut = False  # no message passes in either direction
+        self.deaf = False  # responses to its heartbeats are lost
+        self.mute = False  # its heartbeats are lost; direct commands reach it
+        self.slow = False  # a heartbeat stays in flight until this flag is cleared
+        self.astray = False  # it sends heartbeats to the former leader
+        self.oneway = False  # its heartbeats arrive; nothing reaches it
+        # Time of sending and body, for late copies.
+        self.sent_heartbeats: deque[tuple[float, bytes]] = deque(maxlen=200)
+        # Time of sending, session, body.
+        self.heartbeat_in_flight: tuple[float, int, bytes] | None = None
+        self.holding = False  # direct commands are held, to be delivered later
         self.held_commands: list[HeldCommand] = []
 
     def _fate(self, name: str, spec: JobSpec) -> Fate:
-        return Fate(0.3) if self.sick else self.world.fate(name, spec)
+        return Fate(0.3) if self.sick else self.cluster.fate(name, spec)
 
     def start(self, name: str, attempt: int) -> None:
-        self.world.started(self, name, attempt)
+        self.cluster.started(self, name, attempt)
         super().start(name, attempt)
 
     def _exit(self, task: Task, cause: str, stored: bool | None = None) -> None:
@@ -258,10 +255,10 @@
             cause = "error"
         super()._exit(task, cause, stored)
         if cause == wire.DONE:
-            self.world.completed(task.name)
+            self.cluster.completed(task.name)
 
 
-class SimulatedCluster(Rules):
+class SimulatedCluster(RuleChecker):
     workers: dict[str, Worker]  # type: ignore[assignment]
 
     def __init__(
@@ -282,18 +279,20 @@
         self.job_api = JobApi(
             self.settings, self.store, self.job_states, MACHINE_TYPES, lambda: WallTime(self.now)
         )  # type: ignore[arg-type]
-        self.paused = False  # the leader stands still, its clock goes on
+        self.paused = False  # the leader does nothing while the clock advances
         self.probes = 0
-        self.store.applied = self._check_blocks
-        self.blocked: set[str] = set()  # machines that stood in a block
-        self.sweep_at = 0.0
+        self.store.on_applied = self._check_blocks
+        self.machines_in_blocks: set[str] = set()  # machines that have stood in a block record
+        self.next_sweep_at = 0.0
         self.rng = random.Random(7)
         self.former_leaders: list[Scheduler] = []
-        self.lost_commands: list[HeldCommand] = []  # that never arrive, and are not given up yet
+        self.lost_commands: list[HeldCommand] = []  # never delivered, but not given up yet
         times = self.settings.platform.cluster.workers
         self.leader_since = self.now
-        self.keepalive_s = LeaseBounds(times).keepalive_s  # for so long the former one answers
-        # The other controllers, with the zone of each, and the zones that are cut off.
+        self.keepalive_s = LeaseBounds(
+            times
+        ).keepalive_s  # the former leader may answer for this long
+        # By name of the other controllers: their zone and their side of the lease delegation.
         self.delegates = {
             peer.label: (peer.site, Delegate(self.settings.platform.cluster.workers))
             for peer in self.settings.platform.peers
@@ -303,19 +302,19 @@
     # ---- controllers -------------------------------------------------------------------
 
     def takeover(self) -> None:
-        """A controller becomes the leader: a new token, then blocks and jobs are read."""
+        """A controller becomes the leader: it gets a new token, then reads blocks and jobs."""
         self.take_blocks()
         self.take_jobs()
 
     def succeed(self) -> None:
-        """Another controller takes over, and has heard what the last leader had learnt."""
+        """Another controller takes over with the last leader's failover snapshot."""
         assert self.scheduler is not None and self.autoscaler is not None
-        told = failover_snapshot.encode_snapshot(
+        snapshot = failover_snapshot.encode_snapshot(
             failover_snapshot.take_snapshot(self.scheduler, self.autoscaler, Instant(self.now))
         )
-        note("hints", told)
+        note("hints", snapshot)
         self.take_blocks()
-        found = failover_snapshot.decode_snapshot(told)
+        found = failover_snapshot.decode_snapshot(snapshot)
         assert found is not None
         failover_snapshot.restore_snapshot(
             found, 1.0, self.scheduler, self.autoscaler, Instant(self.now)
@@ -323,10 +322,12 @@
         self.take_jobs()
 
     def restart(self) -> None:
-        """All controllers ended at once: the new leader has what the last one stored."""
+        """All controllers restart at once: the new leader has the last one's stored snapshot."""
         assert self.scheduler is not None and self.autoscaler is not None
-        told = failover_snapshot.take_snapshot(self.scheduler, self.autoscaler, Instant(self.now))
-        for number, part in enumerate(failover_snapshot.split_snapshot(told, 2, 1000)):
+        snapshot = failover_snapshot.take_snapshot(
+            self.scheduler, self.autoscaler, Instant(self.now)
+        )
+        for number, part in enumerate(failover_snapshot.split_snapshot(snapshot, 2, 1000)):
             self.store.apply([], [transactions.put(Key(f"{wire.SNAPSHOT_PREFIX}{number}"), part)])
         self.take_blocks()
         for key, got in sorted(self.store.keys.items()):
@@ -343,7 +344,7 @@
         self.leader_since = self.now
         if self.scheduler is not None:
             self.former_leaders.append(self.scheduler)
-        made = Scheduler(
+        scheduler = Scheduler(
             self.settings,
             MACHINE_TYPES,
             FencingToken(self.epoch),
@@ -351,25 +352,25 @@
             lambda: WallTime(self.now),
             self.rng,
         )
-        self.scheduler = made
-        self.commands = CommandQueue(made, lambda: True)
+        self.scheduler = scheduler
+        self.commands = CommandQueue(scheduler, lambda: True)
         self.lost_commands = []
-        self.autoscaler = Autoscaler(made, f"n-{self.epoch}", Instant(self.now))
+        self.autoscaler = Autoscaler(scheduler, f"n-{self.epoch}", Instant(self.now))
         for key, got in list(self.store.keys.items()):
             if key.startswith(BLOCKS_PREFIX):
                 record = wire.convert(got.data, wire.BlockRecord)
-                made.load_block(
+                scheduler.load_block(
                     int(key[len(BLOCKS_PREFIX) :]), record, got.version, Instant(self.now)
                 )
 
     def take_jobs(self) -> None:
-        made = self.scheduler
-        assert made is not None
+        scheduler = self.scheduler
+        assert scheduler is not None
         for key, got in list(self.store.keys.items()):
             if key.startswith(LIVE_JOBS_PREFIX):
-                made.put_job(wire.convert(got.data, JobRecord), got.version)
-        job_records.apply_final_records(made, self.store.core.news(FINAL_JOBS_PREFIX, 0))
-        made.finish_loading()
+                scheduler.put_job(wire.convert(got.data, JobRecord), got.version)
+        job_records.apply_final_records(scheduler, self.store.core.news(FINAL_JOBS_PREFIX, 0))
+        scheduler.finish_loading()
         self.seen_revision = self.store.revision
 
     def stored_keys(self) -> dict[Key, VersionedValue]:
@@ -379,7 +380,7 @@
         return worker.dead
 
     def cut_zone(self, zone: str, cut: bool) -> None:
-        """The zone's workers and controllers reach each other and nobody else."""
+        """Cut the zone off: its workers and controllers reach only each other. Or reconnect it."""
         self.cut_off_zones = self.cut_off_zones | {zone} if cut else self.cut_off_zones - {zone}
         for worker in self.workers.values():
             if worker.zone == zone:
@@ -390,8 +391,8 @@
 
     # ---- users -------------------------------------------------------------------------
 
-    def accepted_before(self, data: dict[str, Any]) -> None:
-        """A job of a live record that stands there already."""
+    def register_stored_job(self, data: dict[str, Any]) -> None:
+        """Register the job of a live record that is stored already."""
         spec = data["spec"]
         bits = int(data.get("done", "0"), 16)
         base = data.get("base", 0)
@@ -416,8 +417,8 @@
         self.check_phase(id, response)
         return response
 
-    def poll_at_once(self, id: str, times: int) -> int:
-        """So many polls together; how many requests to the state service they cost."""
+    def poll_concurrently(self, id: str, times: int) -> int:
+        """The number of requests to the state service that concurrent polls cost."""
 
         async def polls(id: JobId) -> Response:
             asked = [await curio.spawn(self.job_api.poll, id) for _ in range(times)]
@@ -429,7 +430,7 @@
         self._serve(polls, JobId(id))
         return self.store.requests - before
 
-    def polls_one_by_one(self, id: str, times: int, gap_s: float) -> None:
+    def poll_one_by_one(self, id: str, times: int, gap_s: float) -> None:
         async def polls(id: JobId) -> Response:
             asked = []
             for _ in range(times):
@@ -448,13 +449,13 @@
         return response
 
     def cancel_elsewhere(self, id: str) -> None:
-        """Another controller takes the cancellation and tells the user."""
-        mirror, users = self.job_states, self.job_api
-        self._other_controller()
+        """Cancel the job at another controller, which answers the user."""
+        job_states, job_api = self.job_states, self.job_api
+        self._use_other_controller()
         self.cancel(id)
-        self.job_states, self.job_api = mirror, users
+        self.job_states, self.job_api = job_states, job_api
 
-    def _other_controller(self) -> None:
+    def _use_other_controller(self) -> None:
         self.job_states = JobStateCache(self.settings, self.store, lambda: self.now)  # type: ignore[arg-type]
         self.job_api = JobApi(
             self.settings,
@@ -465,41 +466,41 @@
         )  # type: ignore[arg-type]
 
     def poll_elsewhere(self, id: str) -> Response:
-        """At a controller that was started just now."""
-        mirror, users = self.job_states, self.job_api
-        self._other_controller()
+        """Poll at a controller that has just started."""
+        job_states, job_api = self.job_states, self.job_api
+        self._use_other_controller()
         response = self.poll(id)
-        self.job_states, self.job_api = mirror, users
+        self.job_states, self.job_api = job_states, job_api
         return response
 
-    def poll_elsewhere_at_once(self, id: str, times: int) -> list[Response]:
+    def poll_elsewhere_concurrently(self, id: str, times: int) -> list[Response]:
         async def polls(id: JobId) -> Any:
             asked = [await curio.spawn(self.job_api.poll, id) for _ in range(times)]
             return [await task.join() for task in asked]
 
-        self._other_controller()
+        self._use_other_controller()
         answers: Any = self._serve(polls, JobId(id))
         return list(answers)
 
     def poll_across_cancel(self, id: str, seconds: float) -> Response:
-        """We stand still after we have read the answer to a poll; meanwhile another controller
-        cancels the job and says so."""
+        """Poll at a controller that pauses after reading the state, while another controller
+        cancels the job and answers so."""
         self.cancel_after_reading(id, seconds)
         return self.poll(id)
 
     def cancel_after_reading(self, id: str, seconds: float) -> None:
-        async def meanwhile() -> None:
-            mirror, users = self.job_states, self.job_api
-            self._other_controller()
+        async def during_watch() -> None:
+            job_states, job_api = self.job_states, self.job_api
+            self._use_other_controller()
             running = await curio.spawn(self.job_states.run, daemon=True)
             response = await self.job_api.cancel(JobId(id))
             await running.cancel()
-            self.job_states, self.job_api = mirror, users
+            self.job_states, self.job_api = job_states, job_api
             assert self.check_phase(id, response) == wire.CANCELLED
             self.cancelled[id] = self.now
             self.now += seconds
 
-        self.store.meanwhile = meanwhile
+        self.store.during_watch = during_watch
 
     def _serve(self, call: Any, argument: Any) -> Response:
         async def serve() -> Response:
@@ -509,34 +510,34 @@
             return response
 
         note("user asks", argument, self.now)
-        made: Response = curio.run(serve)
-        for answer in made if isinstance(made, list) else [made]:
+        response: Response = curio.run(serve)
+        for answer in response if isinstance(response, list) else [response]:
             note("user is answered", answer.status, answer.body, answer.retry_after)
-        return made
+        return response
 
-    # ---- time --------------------------------------------------------------------------
+    # ---- simulation --------------------------------------------------------------------
 
     def run(self, seconds: float) -> None:
-        for _ in range(round(seconds / STEP)):
-            self.now = round(self.now + STEP, 6)
+        for _ in range(round(seconds / STEP_S)):
+            self.now = round(self.now + STEP_S, 6)
             self._step()
 
     def _step(self) -> None:
         for worker in self.workers.values():
             if not worker.dead:
-                self._work(worker)
+                self._run_worker(worker)
         scheduler = self.scheduler
         if scheduler is not None and not self.paused:
             now = Instant(self.now)
             scheduler.wake(now)
             if self.watching and self.store.mode != "down":
                 job_records.apply_changes(scheduler, self.store.core.news("", self.seen_revision))
-                self._look_up(scheduler)
+                self._resolve_dependencies(scheduler)
                 self.seen_revision = self.store.revision
                 scheduler.jobs_read_at = now
             if self.store.mode != "down":
                 self._delegate(scheduler, now)
-            self._give_up(scheduler, now)
+            self._time_out_commands(scheduler, now)
             scheduler.tick(now)
             if scheduler.token_rotation.wanted and self.store.mode == "ok":
                 self.store.apply([], [transactions.put(Key("term"), 1)])
@@ -544,9 +545,9 @@
                 self.epoch = self.store.revision
             if self.placing and self.store.mode != "down":
                 scheduler.run_pass(now)
-            self._flush(scheduler)
-            self._write(scheduler)
-            self._flush(scheduler)
+            self._send_outbox(scheduler)
+            self._write_state(scheduler)
+            self._send_outbox(scheduler)
             self._sweep(scheduler, now)
             if self.cloud_up and self.autoscaler is not None:
                 for machine in self.autoscaler.unreachable_machines_to_return(now):
@@ -558,19 +559,19 @@
         self._check()
 
     def _delegate(self, scheduler: Scheduler, now: Instant) -> None:
-        for name, (zone, borrower) in self.delegates.items():
-            if zone not in self.cut_off_zones and now - borrower.asked_at >= 1.0:
+        for name, (zone, delegate) in self.delegates.items():
+            if zone not in self.cut_off_zones and now - delegate.asked_at >= 1.0:
                 loan = scheduler.delegate(
-                    ControllerName(name), borrower.serial, borrower.unused, now
+                    ControllerName(name), delegate.serial, delegate.unused, now
                 )
                 if loan is not None:
                     note("loan", name, loan)
-                    borrower.accept(loan, now, now)
+                    delegate.accept(loan, now, now)
 
     def _sweep(self, scheduler: Scheduler, now: Instant) -> None:
-        if now < self.sweep_at or self.store.mode == "down" or not scheduler.loaded:
+        if now < self.next_sweep_at or self.store.mode == "down" or not scheduler.loaded:
             return
-        self.sweep_at = now + live_job_sweeper.SWEEP_INTERVAL_S
+        self.next_sweep_at = now + live_job_sweeper.SWEEP_INTERVAL_S
         entries = self.store.core.entries(LIVE_JOBS_PREFIX, "").entries
         for id in scheduler.find_unknown_jobs(entries, now):
             job_records.apply_unknown_job(
@@ -578,13 +579,13 @@
             )
         scheduler.repair(now)
 
-    def _look_up(self, scheduler: Scheduler) -> None:
+    def _resolve_dependencies(self, scheduler: Scheduler) -> None:
         for id in list(scheduler.waiting_jobs.graph.unresolved_ids):
             found = self.store.keys.get(Key(FINAL_JOBS_PREFIX + id))
             if found is not None:
                 job_records.apply_final_record(scheduler, id, found.data)
 
-    def _write(self, scheduler: Scheduler) -> None:
+    def _write_state(self, scheduler: Scheduler) -> None:
         for _ in range(5):
             batch = scheduler.writer.next_transaction(Instant(self.now))
             if batch is None or self.store.mode == "down":
@@ -599,7 +600,7 @@
                 return
             scheduler.transaction_committed(batch, Version(revision), Instant(self.now))
 
-    def _flush(self, scheduler: Scheduler) -> None:
+    def _send_outbox(self, scheduler: Scheduler) -> None:
         for _ in range(6):
             out, scheduler.outbox = scheduler.outbox, []
             if not out:
@@ -616,7 +617,7 @@
                 self._send(scheduler, self.commands.submit(item), now)
 
     def _send(self, scheduler: Scheduler, command: DirectCommand | None, now: Instant) -> None:
-        """One command at a time is under way to each machine, as with the daemon."""
+        """Send a command. As in a real leader, each machine has only one in flight."""
         while command is not None:
             note(
                 "command",
@@ -632,16 +633,16 @@
                 worker.held_commands.append(HeldCommand(command, scheduler, gives_up_at))
                 return
             if worker is not None and worker.oneway and not worker.dead:
-                # Packets that only one way passes: what was sent may have arrived.
+                # The response is lost too, so the leader can't know whether the command arrived.
                 self.lost_commands.append(HeldCommand(command, scheduler, gives_up_at))
                 return
             unreachable = worker is None or worker.dead or worker.cut
-            report = None if unreachable else self._do(worker, command)  # type: ignore[arg-type]
+            report = None if unreachable else self._execute(worker, command)  # type: ignore[arg-type]
             scheduler.command_completed(command, report, False, now)
             command = self.commands.completed(command.machine)
 
-    def _give_up(self, scheduler: Scheduler, now: Instant) -> None:
-        """Commands that had no answer within the daemon's time-out."""
+    def _time_out_commands(self, scheduler: Scheduler, now: Instant) -> None:
+        """Time out the commands that were not answered in time."""
         held = [one for worker in self.workers.values() for one in worker.held_commands]
         for one in [*held, *self.lost_commands]:
             if one.sender is scheduler and one.gives_up_at is not None and now >= one.gives_up_at:
@@ -650,13 +651,13 @@
                 self._send(scheduler, self.commands.completed(one.command.machine), now)
         self.lost_commands = [one for one in self.lost_commands if one.gives_up_at is not None]
 
-    def release(self, name: str) -> None:
-        """Deliver what was held back, however old."""
+    def release_commands(self, name: str) -> None:
+        """Deliver the held commands, however old."""
         worker = self.workers[name]
         worker.holding = False
         held, worker.held_commands = worker.held_commands, []
         for one in held:
-            report = self._do(worker, one.command)
+            report = self._execute(worker, one.command)
             if one.gives_up_at is not None and one.sender is self.scheduler:
                 now = Instant(self.now)
                 one.sender.command_completed(one.command, report, False, now)
@@ -671,27 +672,27 @@
 
     # ---- workers -----------------------------------------------------------------------
 
-    def _work(self, worker: Worker) -> None:
+    def _run_worker(self, worker: Worker) -> None:
         worker.tick(self.now)
         if worker.notice_at is not None and worker.notice_at <= self.now:
             worker.dead = True
             worker.end_session()
             return
-        if self.now >= worker.report_at:
-            # Its connections break: it turns to the next controller 1 s later, and so on.
-            worker.report_at = self.now + (2.0 if worker.oneway else 1.0)
+        if self.now >= worker.next_heartbeat_at:
+            # With broken connections it also tries the other controllers, 1 s apart.
+            worker.next_heartbeat_at = self.now + (2.0 if worker.oneway else 1.0)
             self._send_heartbeat(worker)
 
     def _send_heartbeat(self, worker: Worker) -> None:
         sent = self.now
         if worker.cut:
-            # Another controller of its zone may answer, and only it.
-            for zone, borrower in self.delegates.values():
+            # Only another controller of its zone can answer.
+            for zone, delegate in self.delegates.values():
                 if zone == worker.zone and zone in self.cut_off_zones:
-                    told = borrower.may_answer(
+                    answered = delegate.may_answer(
                         MachineId(worker.host), worker.fencing_token, Instant(self.now)
                     )
-                    worker.lease_renewed_at = sent if told else worker.lease_renewed_at
+                    worker.lease_renewed_at = sent if answered else worker.lease_renewed_at
             return
         if self.scheduler is None or self.paused or worker.mute:
             return
@@ -699,45 +700,45 @@
             worker.heartbeat_in_flight = (sent, worker.incarnation, wire.encode(worker.report()))
             worker.sent_heartbeats.append((sent, worker.heartbeat_in_flight[2]))
         if not worker.slow:
-            self._deliver(worker)
+            self._deliver_heartbeat(worker)
 
-    def _deliver(self, worker: Worker) -> None:
-        """A report arrives, and its answer too, unless the worker has given it up."""
+    def _deliver_heartbeat(self, worker: Worker) -> None:
+        """Deliver a heartbeat, and its response unless the worker no longer waits for it."""
         assert worker.heartbeat_in_flight is not None
         (sent, tenure, body), worker.heartbeat_in_flight = worker.heartbeat_in_flight, None
-        holder = self.scheduler
+        leader = self.scheduler
         if (
             worker.astray
             and self.former_leaders
             and self.now - self.leader_since < self.keepalive_s
         ):
-            holder = self.former_leaders[-1]  # it answers still, as it knows of no other
-        assert holder is not None
-        orders = holder.receive_heartbeat(
+            leader = self.former_leaders[-1]  # it still answers, as it knows of no other leader
+        assert leader is not None
+        orders = leader.receive_heartbeat(
             wire.decode_heartbeat_header(body), body, Instant(self.now)
         )
-        note("report", body, holder.fencing_token, orders, self.now)
-        if orders is None and holder is not self.scheduler:
-            worker.astray = False  # sent away, it looks for another controller
+        note("report", body, leader.fencing_token, orders, self.now)
+        if orders is None and leader is not self.scheduler:
+            worker.astray = False  # refused, the worker looks for another controller
         if orders is None or worker.deaf or worker.oneway or self.now - sent > 4.0:
             return
-        if self.store.mode == "down" or holder is not self.scheduler:
+        if self.store.mode == "down" or leader is not self.scheduler:
             orders = [order for order in orders if order.verb == wire.KILL]
-        worker.answered(Instant(sent), tenure, holder.fencing_token, orders)
+        worker.answered(Instant(sent), tenure, leader.fencing_token, orders)
 
-    def copy(self, said: deque[tuple[float, bytes]], age: float) -> None:
-        """A late copy arrives of the latest report that is at least so old."""
+    def deliver_copy(self, heartbeats: deque[tuple[float, bytes]], age: float) -> None:
+        """Deliver a late copy of the latest heartbeat that is at least `age` seconds old."""
         assert self.scheduler is not None
-        body = next((body for sent, body in reversed(said) if self.now - sent >= age), None)
+        body = next((body for sent, body in reversed(heartbeats) if self.now - sent >= age), None)
         if body is not None:
-            # Nobody waits for an answer to it.
+            # Nobody waits for its response.
             orders = self.scheduler.receive_heartbeat(
                 wire.decode_heartbeat_header(body), body, Instant(self.now)
             )
             note("copied report", body, orders, self.now)
-            self._flush(self.scheduler)
+            self._send_outbox(self.scheduler)
 
-    def _do(self, worker: Worker, command: DirectCommand) -> Heartbeat:
+    def _execute(self, worker: Worker, command: DirectCommand) -> Heartbeat:
         worker.direct(command.fencing_token, command.incarnation, command.commands)
         report = worker.report()
         note(
@@ -750,8 +751,8 @@
         )
         return report
 
-    def _check_ready(self) -> None:
-        """What was kept of the machines from pass to pass is what a look at all of them finds."""
+    def _check_schedulable_room(self) -> None:
+        """Check the room of machines kept between passes against a full computation."""
         scheduler = self.scheduler
         if scheduler is None:
             return
@@ -762,10 +763,12 @@
             if m.schedulable
         }
         if found != free or {m.id for m in usable} != set(found):
-            self.broken.append(f"kept of machines: {sorted(free)}, found {sorted(found)}")
+            self.broken.append(
+                f"machines kept as schedulable: {sorted(free)}, computed {sorted(found)}"
+            )
 
     def _check_sessions(self) -> None:
-        """No session is taken for over that its worker still lives in."""
+        """Check that no session still alive on its worker is treated as ended."""
         for machine in self.scheduler.machines.values() if self.scheduler is not None else ():
             worker = self.workers.get(machine.id)
             if (
@@ -773,10 +776,10 @@
                 and not worker.dead
                 and worker.incarnation < machine.min_incarnation
             ):
-                self.broken.append(f"session of {machine.id} taken for over")
+                self.broken.append(f"live session of {machine.id} treated as ended")
 
     def _check_invariants(self) -> None:
-        """A violation while a job is placed is met there, and the others are served."""
+        """Check for violated invariants, which do not stop the placement of other jobs."""
         found = {} if self.scheduler is None else self.scheduler.invariants.violations
         if found:
             self.broken.append(f"invariants: {', '.join(found)}")
@@ -784,8 +787,8 @@
     def _check(self) -> None:
         self._check_invariants()
         self._check_sessions()
-        self._check_ready()
-        self.check_now()
+        self._check_schedulable_room()
+        self.check_rules()
 
     def _check_blocks(self) -> None:
         stored = {
@@ -794,6 +797,6 @@
             if key.startswith(BLOCKS_PREFIX)
             for name in got.data["hosts"]
         }
-        self.blocked = (self.blocked | stored) & set(self.workers)
-        for name in self.blocked - stored:
-            self.broken.append(f"{name} stands in no block any more")
+        self.machines_in_blocks = (self.machines_in_blocks | stored) & set(self.workers)
+        for name in self.machines_in_blocks - stored:
+            self.broken.append(f"{name} is in no block record any more")
--- a/tests/simulated_controllers.py
+++ b/tests/simulated_controllers.py
@@ -1,8 +1,9 @@
-"""Several whole controllers against the loopback's stand-ins, on a clock that jumps.
+"""Several complete controllers in one process, on a simulated network and clock (`network.py`).
 
-`Node` runs as it does in a process: its real membership, users, mirror, holder, relays and loans.
-State service, workers and cloud are those of `umberward/local`. Only sockets and time are played
-(`network.py`). Rules are checked ten times a second, on the workers' truth.
+Each `Controller` is the real one, with its leader election, user API, caches, leader loop,
+forwarding and lease delegation. State service, workers and cloud are those of `umberward/local`.
+Only sockets and time are simulated. Rules are checked ten times a second, on what really runs on
+the workers.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 
 import curio
 import msgspec
-from network import Clock, Jumping, Network
-from rules import Rules, ToldUser
+from network import Clock, JumpingSelector, Network
+from rules import RuleChecker, UserKnowledge
 from simulated_cluster import MACHINE_TYPES, raw_settings
 
-from umberward.control import controller as node_module
+from umberward.control import controller as controller_module
 from umberward.control.controller import Controller
 from umberward.core.settings import OperatorSettings, validate
 from umberward.core.tasks import TaskScope
@@ -35,23 +36,25 @@
 from umberward.protocol.transactions import VersionedValue
 from umberward.protocol.wire import FINAL_JOBS_PREFIX, JobSpec
 
-Question = tuple[str, Any, str]  # submit, poll or cancel; a description or an id; at which node
+# A user's request: submit, poll or cancel; the job's description or id; the controller's name.
+Question = tuple[str, Any, str]
 
 STEP_S = 0.1
-USERS_WAIT_S = 5.0
-POLL_WAIT_S = 2.0
-USERS_PATIENCE_S = 60.0
-KNOWN_S = 75.0  # troubles over, a job must be answered about within this time
+WRITE_TIMEOUT_S = 5.0
+POLL_TIMEOUT_S = 2.0
+CANCEL_RETRY_DURATION_S = 60.0
+# With no fault left, each controller must answer polls of a job within this time.
+ALL_KNOWN_S = 75.0
 
 
-class Worker(WorkerCore):
-    """Its starts and completions are checked."""
+class CheckedWorker(WorkerCore):
+    """A worker that reports its starts and completions to the rule checker."""
 
     rules: SimulatedControllers
 
     def tick(self, now: float) -> None:
-        if self.rules.stands_still(self):
-            self.now = now  # its tasks stand still; its lease runs on
+        if self.rules.hangs(self):
+            self.now = now  # its tasks make no progress, but its lease runs out
         else:
             super().tick(now)
 
@@ -65,8 +68,8 @@
             self.rules.completed(task.name)
 
 
-class SimulatedControllers(Rules):
-    done_stays = False
+class SimulatedControllers(RuleChecker):
+    completions_never_lost = False
 
     def __init__(
         self,
@@ -77,9 +80,9 @@
         operator: dict[str, Any] | None = None,
         **workers: float,
     ) -> None:
-        """`rent`: how many small machines the cloud has in each zone, beside those that are named;
-        `limits`: `cpus_max` or `gpus_max` of the team red; `operator`: settings of its own;
-        `workers`: fields of the settings' `cluster.workers` that differ."""
+        """`rent`: how many small machines can be rented in each zone, beside those added by name;
+        `limits`: `cpus_max` or `gpus_max` of the team red; `operator`: the operator's settings;
+        `workers`: fields of `cluster.workers` in the settings that differ from `raw_settings`."""
         self.rent = rent
         raw = raw_settings()
         raw["cluster"]["size"] = size
@@ -96,15 +99,15 @@
         self.listen = {n: self.network.address(n, 100 + i) for i, n in enumerate(self.names)}
         self.peers = {n: self.network.address(n, 200 + i) for i, n in enumerate(self.names)}
         self.states = [self.network.address("state", 300 + i) for i in range(size)]
-        self.cloud_at = self.network.address("cloud", 400)
-        self.scope = TaskScope()  # owns the tasks of the stand-ins and of the nodes
+        self.cloud_address = self.network.address("cloud", 400)
+        self.scope = TaskScope()  # owns the tasks of the simulated services and the controllers
         self.nodes: dict[str, Controller] = {}
         self.tasks: dict[str, Any] = {}
         self.running_workers: dict[str, Any] = {}
-        self.terms: list[tuple[str, int]] = []  # who won, with which token
-        self.requested: set[str] = set()  # cancellations that users have asked for
+        self.terms: list[tuple[str, int]] = []  # of each elected leader: its name and token
+        self.requested: set[str] = set()  # jobs whose cancellation a user has requested
 
-    # ---- the rules' view ---------------------------------------------------------------
+    # ---- for the rule checker ----------------------------------------------------------
 
     @property
     def now(self) -> float:  # type: ignore[override]
@@ -114,36 +117,36 @@
         return self.state.core.keys  # type: ignore[return-value]
 
     def is_gone(self, worker: WorkerCore) -> bool:
-        # One that hangs may go on only within its lease.
+        # A machine that hangs may resume its tasks only while its lease is valid.
         over = self.now - worker.lease_renewed_at > self.cluster.workers.lease_s
-        return worker.host not in self.workers or (over and self.stands_still(worker))
+        return worker.host not in self.workers or (over and self.hangs(worker))
 
-    def stands_still(self, worker: WorkerCore) -> bool:
+    def hangs(self, worker: WorkerCore) -> bool:
         return f"hang {worker.host}" in self.network.links.faults
 
     def sent_at(self, worker: WorkerCore) -> float | None:
         return self.network.sent.get(worker.host)
 
-    # ---- as a whole --------------------------------------------------------------------
+    # ---- simulation --------------------------------------------------------------------
 
     @contextlib.contextmanager
     def playing(self) -> Iterator[SimulatedControllers]:
         with contextlib.ExitStack() as stack:
             stack.enter_context(self.clock.running())
-            stack.enter_context(mock.patch.object(node_module, "Client", self.network.client))
-            stack.enter_context(mock.patch.object(node_module, "Server", self.network.server))
+            stack.enter_context(mock.patch.object(controller_module, "Client", self.network.client))
+            stack.enter_context(mock.patch.object(controller_module, "Server", self.network.server))
             stack.enter_context(mock.patch.object(servers, "Server", self.network.server))
             stack.enter_context(mock.patch.object(servers, "POLL_S", STEP_S))
-            self.kernel = curio.Kernel(selector=Jumping(self.clock))
+            self.kernel = curio.Kernel(selector=JumpingSelector(self.clock))
             stack.callback(self._shut_down)
             self.kernel.run(self._start)
             yield self
 
     def _shut_down(self) -> None:
-        self.kernel.run(self._end)
+        self.kernel.run(self._stop)
         self.kernel.run(shutdown=True)
 
-    async def _end(self) -> None:
+    async def _stop(self) -> None:
         for name in list(self.nodes):
             await self._crash(name)
         await self.scope.close()
@@ -160,20 +163,20 @@
             for zone in sku.zones
             for spot in (True, False)
         }
-        self.cloud = CloudServer(self.cloud_core, 20.0, self.cloud_at, self._deleted)
-        self.network.building = "user"
+        self.cloud = CloudServer(self.cloud_core, 20.0, self.cloud_address, self._remove_workers)
+        self.network.client_owner = "user"
         self.user = self.network.client()
         for server in [*self.state.servers, self.cloud.server]:
             await self.scope.spawn(server.run)
-        await self.scope.spawn(self._clockwork)
+        await self.scope.spawn(self._tick)
 
-    async def _clockwork(self) -> None:
-        led = None
+    async def _tick(self) -> None:
+        version = None
         while True:
-            leads = self.state.core.keys.get("leader")
-            if leads is not None and leads.version != led:
-                led = leads.version
-                await self.network.bring_kept(self.listen.values())
+            leader_record = self.state.core.keys.get("leader")
+            if leader_record is not None and leader_record.version != version:
+                version = leader_record.version
+                await self.network.deliver_kept_heartbeats(self.listen.values())
             revision = self.state.core.revision
             if not self.state.down:
                 self.state.core.tick(self.now)
@@ -181,15 +184,15 @@
                 await self.state.notify()
             for machine in self.cloud_core.tick(self.now)[0]:
                 if machine.id not in self.workers:
-                    await self._worker(machine)
+                    await self._start_worker(machine)
             for worker in self.workers.values():
                 worker.tick(self.now)
-            self.check_now()
+            self.check_rules()
             self._check_invariants()
             await curio.sleep(STEP_S)
 
     def _check_invariants(self) -> None:
-        """A violation ends the handling of a message, and the controller goes on."""
+        """Check for violated invariants; one ends the handling of a message, not the controller."""
         for name, node in self.nodes.items():
             if node.leader_loop is not None and node.leader_loop.scheduler.invariants.violations:
                 found = node.leader_loop.scheduler.invariants.violations
@@ -212,28 +215,28 @@
             "site": zones[number % len(zones)],
             "listen": str(self.listen[name]),
             "peer_bind": str(self.peers[name]),
-            "endpoints": {"cloud": str(self.cloud_at), "state": str(self.states[number])},
+            "endpoints": {"cloud": str(self.cloud_address), "state": str(self.states[number])},
             "peers": [
                 {"label": n, "site": zones[i % len(zones)], "addr": str(self.peers[n])}
                 for i, n in enumerate(self.names)
                 if n != name
             ],
         }
-        self.network.building = name
+        self.network.client_owner = name
         node = Controller(validate(raw, self.operator), self.clock)
         node.rng.seed(self.rng.getrandbits(32))
         elected = node.election.on_elected
 
-        async def note(epoch: Any) -> None:
+        async def record_term(epoch: Any) -> None:
             self.terms.append((name, epoch))
             await elected(epoch)
 
-        node.election.on_elected = note
+        node.election.on_elected = record_term
         self.nodes[name] = node
         self.tasks[name] = await self.scope.spawn(node.run)
 
     def crash(self, name: str) -> None:
-        """The process ends; what it has sent is under way."""
+        """End the process; the messages it has sent stay in flight."""
         self.kernel.run(self._crash, name)
 
     async def _crash(self, name: str) -> None:
@@ -242,33 +245,33 @@
             return
         for client in (node.client, node.upstream):
             client.ended = True  # type: ignore[attr-defined]
-        # The node first: while it runs, it may be elected and start a holder anew.
+        # The controller first: while it runs, it may be elected and start another leader task.
         await self.tasks.pop(name).cancel()
         if node.leader_task is not None:
             await node.leader_task.cancel()
 
     def leader(self) -> str | None:
-        """Who leads by the state service."""
+        """The leader according to the state service."""
         found = self.state.core.keys.get("leader")
         return None if found is None else str(found.data["node"])
 
     # ---- machines ----------------------------------------------------------------------
 
     def machine(self, name: str, flavor: str, zone: str) -> None:
-        self.kernel.run(self._machine, name, flavor, zone)
+        self.kernel.run(self._add_machine, name, flavor, zone)
 
-    async def _machine(self, name: str, flavor: str, zone: str) -> None:
+    async def _add_machine(self, name: str, flavor: str, zone: str) -> None:
         sku = MACHINE_TYPES[MachineTypeName(flavor)]
         machine = Machine(name, sku, zone, False, self.now, self.now)
         self.cloud_core.machines[name] = machine
         machine.up = True
-        await self._worker(machine)
+        await self._start_worker(machine)
 
-    async def _worker(self, machine: Machine) -> None:
+    async def _start_worker(self, machine: Machine) -> None:
         name = machine.id
         address = self.network.address(name, 1000 + len(self.running_workers))
         machine.address = str(address)
-        core = Worker(
+        core = CheckedWorker(
             name,
             str(address),
             machine.machine_type,
@@ -282,14 +285,14 @@
         )
         core.rules = self
         self.workers[name] = core
-        self.network.building = name
+        self.network.client_owner = name
         worker = WorkerServer(
             core, self.listen, self.cluster.workers.report_s, self.network.client(), self.rng
         )
         self.running_workers[name] = await self.scope.spawn(worker.run)
 
     def hang(self, name: str) -> None:
-        """Nothing is done there and nothing passes, either way, until it goes on."""
+        """Suspend the machine, and hold its messages in both directions, until `goes_on`."""
         self.network.links.faults[f"hang {name}"] = LinkFault("*", name, "hold")
         self.network.links.faults[f"hang {name} back"] = LinkFault(name, "*", "hold")
 
@@ -301,12 +304,12 @@
             self.network.links.faults.pop(label, None)
         worker = self.workers.get(name)
         if worker is not None:
-            worker.tick(self.now)  # its lease may be over, before it hears anything
+            worker.tick(self.now)  # notice first that its lease may have expired
 
     def remove(self, name: str) -> None:
-        self._deleted(self.cloud_core.delete([name]))
+        self._remove_workers(self.cloud_core.delete([name]))
 
-    def _deleted(self, machines: list[Machine]) -> None:
+    def _remove_workers(self, machines: list[Machine]) -> None:
         for machine in machines:
             worker = self.workers.pop(machine.id, None)
             if worker is not None:
@@ -319,38 +322,42 @@
     # ---- users -------------------------------------------------------------------------
 
     def submit(self, spec: dict[str, Any], name: str) -> Response | None:
-        return self._one(self._submit, spec, name)
+        return self._request_now(self._submit, spec, name)
 
     def poll(self, id: str, name: str) -> Response | None:
-        return self._one(self._poll, id, name)
+        return self._request_now(self._poll, id, name)
 
     def cancel(self, id: str, name: str) -> Response | None:
-        """Asked once; who is not answered asks again."""
-        return self._one(self._cancel, id, name)
+        """One request, without retries."""
+        return self._request_now(self._cancel, id, name)
 
     def together(self, questions: Sequence[Question], gap_s: float = 0.0) -> list[Response | None]:
-        """Asked one after the other without waiting for the answers."""
+        """Send the requests one after the other, `gap_s` apart, without waiting for answers."""
 
         async def ask() -> list[Response | None]:
             tasks = []
-            for what, about, name in questions:
-                asks = {"submit": self._submit, "poll": self._poll, "cancel": self._cancel}[what]
-                tasks.append(await curio.spawn(asks, about, name))
+            for what, subject, name in questions:
+                ask_one = {"submit": self._submit, "poll": self._poll, "cancel": self._cancel}[what]
+                tasks.append(await curio.spawn(ask_one, subject, name))
                 await curio.sleep(gap_s)
             return [await task.join() for task in tasks]
 
         found: list[Response | None] = self.kernel.run(ask)
         return found
 
-    def _one(self, asks: Callable[[Any, str], Any], about: Any, name: str) -> Response | None:
-        made: Response | None = self.kernel.run(asks, about, name)
-        return made
+    def _request_now(
+        self, ask_one: Callable[[Any, str], Any], subject: Any, name: str
+    ) -> Response | None:
+        response: Response | None = self.kernel.run(ask_one, subject, name)
+        return response
 
     async def _submit(self, spec: dict[str, Any], name: str) -> Response | None:
         id = spec["uid"]
         self.specs.setdefault(id, spec)
-        told = self.told(id)
-        response = await self._users(name, "POST", "/v1/jobs", wire.encode(spec), USERS_WAIT_S)
+        told = self.user_knowledge(id)
+        response = await self._send_request(
+            name, "POST", "/v1/jobs", wire.encode(spec), WRITE_TIMEOUT_S
+        )
         if response is not None:
             self.check_submission(spec, response, told)
             self.check_phase(id, response, told)
@@ -359,23 +366,27 @@
         return response
 
     async def _poll(self, id: str, name: str) -> Response | None:
-        told = self.told(id)
-        response = await self._users(name, "GET", f"/v1/jobs/{id}", b"", POLL_WAIT_S)
-        self._heard(id, response, told)
+        told = self.user_knowledge(id)
+        response = await self._send_request(name, "GET", f"/v1/jobs/{id}", b"", POLL_TIMEOUT_S)
+        self._check_answer(id, response, told)
         return response
 
     async def _cancel(self, id: str, name: str) -> Response | None:
-        told = self.told(id)
+        told = self.user_knowledge(id)
         self.requested.add(id)
-        response = await self._users(name, "POST", f"/v1/jobs/{id}/cancel", b"", USERS_WAIT_S)
-        if self._heard(id, response, told) == wire.CANCELLED:
-            past = self.stored_keys().get(Key(FINAL_JOBS_PREFIX + id))
-            if past is None or past.data["phase"] != wire.CANCELLED:
-                self.broken.append(f"{id} is called cancelled and was not committed")
+        response = await self._send_request(
+            name, "POST", f"/v1/jobs/{id}/cancel", b"", WRITE_TIMEOUT_S
+        )
+        if self._check_answer(id, response, told) == wire.CANCELLED:
+            final_record = self.stored_keys().get(Key(FINAL_JOBS_PREFIX + id))
+            if final_record is None or final_record.data["phase"] != wire.CANCELLED:
+                self.broken.append(
+                    f"{id} was reported as cancelled before the cancellation was committed"
+                )
             self.cancelled.setdefault(id, self.now)
         return response
 
-    def _heard(self, id: str, response: Response | None, told: ToldUser) -> str | None:
+    def _check_answer(self, id: str, response: Response | None, told: UserKnowledge) -> str | None:
         if response is None:
             return None
         phase = self.check_phase(id, response, told)
@@ -383,7 +394,7 @@
             self.broken.append(f"went_back: nobody has cancelled {id}")
         return phase
 
-    async def _users(
+    async def _send_request(
         self, name: str, method: str, target: str, body: bytes, wait: float
     ) -> Response | None:
         try:
@@ -392,9 +403,9 @@
         except (RequestNotSentError, NoResponseError):
             return None
 
-    def known_by_all(self, seconds: float = KNOWN_S) -> None:
-        """Troubles are over: about each accepted job every controller answers in time."""
-        self.calm_since = self.now
+    def known_by_all(self, seconds: float = ALL_KNOWN_S) -> None:
+        """With no fault left, check that each controller answers polls of each job in time."""
+        self.faults_over_since = self.now
         until = self.now + seconds
         asked = [(id, name) for id in self.submitted for name in self.nodes]
         while asked and self.now < until:
@@ -406,7 +417,7 @@
             asked = left
             if asked:
                 self.run(1.0)
-        self.broken += [f"forgotten: {id}, asked of {name}" for id, name in asked]
+        self.broken += [f"forgotten: {id}, polled at {name}" for id, name in asked]
 
     def phase(self, response: Response | None) -> str:
         if response is None or response.status != 200:
--- a/tests/test_odd_requests.py
+++ b/tests/test_odd_requests.py
@@ -106,13 +106,13 @@
 def test_a_job_that_can_never_run(more: dict[str, Any]) -> None:
     spec = _spec(**more)
     game = _game(cpus_max=8)
-    assert _sent(game, spec).status == 422 and game.cluster.unfit(spec)
+    assert _sent(game, spec).status == 422 and game.cluster.why_unfit(spec)
 
 
 def test_an_array_larger_than_its_teams_limit_runs_bit_by_bit() -> None:
     spec = _spec(shards=50)
     game = _game(cpus_max=8)
-    assert game.cluster.submit(spec).status == 201 and not game.cluster.unfit(spec)
+    assert game.cluster.submit(spec).status == 201 and not game.cluster.why_unfit(spec)
 
 
 @pytest.mark.parametrize("state", ["waiting", "running", "done", "cancelled"])
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -122,11 +122,11 @@
         text = (Path(__file__).parent / "records" / f"{fixture}.json").read_text()
         for path, data in msgspec.json.decode(text).items():
             # They may be larger than what may be written by now.
-            self.cluster.store.keep(path, data)
+            self.cluster.store.insert(path, data)
             if path.startswith(JOBS_PREFIX):
-                self.cluster.stood_there.add(path.rpartition("/")[2])
+                self.cluster.prewritten_jobs.add(path.rpartition("/")[2])
             if path.startswith("jobs/live/"):
-                self.cluster.accepted_before(data)
+                self.cluster.register_stored_job(data)
             elif path.startswith("blocks/"):
                 for name, (_, flavor, zone, *_) in data["hosts"].items():
                     self.do_machine(name, flavor, zone)
@@ -227,7 +227,7 @@
         self.sent_heartbeats.update(
             {name: worker.sent_heartbeats for name, worker in self.cluster.workers.items()}
         )
-        self.cluster.copy(self.sent_heartbeats[name], float(age))
+        self.cluster.deliver_copy(self.sent_heartbeats[name], float(age))
 
     def do_copies(self, name: str, age: str, every: str, seconds: str) -> None:
         """Copies of the same report come again and again."""
@@ -242,7 +242,7 @@
             ]
         )
         for _ in range(round(float(seconds) / float(every))):
-            self.cluster.copy(said, 0.0)
+            self.cluster.deliver_copy(said, 0.0)
             self.cluster.run(float(every))
 
     def do_forget_deleted(self) -> None:
@@ -282,7 +282,7 @@
         self.cluster.workers[name].notice_at = self.cluster.now + float(seconds)
 
     def do_release(self, name: str) -> None:
-        self.cluster.release(name)
+        self.cluster.release_commands(name)
 
     def do_state(self, mode: str) -> None:
         self.cluster.store.mode = mode
@@ -484,7 +484,7 @@
 
     def do_poll_elsewhere_at_once(self, id: str, times: str) -> None:
         """Several users ask a controller that was started just now; how many get the answer."""
-        responses = self.cluster.poll_elsewhere_at_once(id, int(times))
+        responses = self.cluster.poll_elsewhere_concurrently(id, int(times))
         self.answers = sum(response.status == 200 for response in responses)
 
     def do_late_cancel(self, id: str) -> None:
@@ -584,7 +584,7 @@
         return int(getattr(self, f"cost_{what}")(*words_)) <= int(bound)
 
     def cost_polls(self, id: str, times: str) -> int:
-        return self.cluster.poll_at_once(id, int(times))
+        return self.cluster.poll_concurrently(id, int(times))
 
     def cost_reading(self, seconds: str) -> int:
         return self._counted("heartbeats_decoded", seconds)
@@ -599,7 +599,7 @@
     def cost_polls_one_by_one(self, id: str, times: str, gap_s: str) -> int:
         """Requests to the state service for polls one after the other, in each 0.15 s."""
         began, before = time.monotonic(), self.cluster.store.requests
-        self.cluster.polls_one_by_one(id, int(times), float(gap_s))
+        self.cluster.poll_one_by_one(id, int(times), float(gap_s))
         spans = 1 + (time.monotonic() - began) / 0.15
         return round((self.cluster.store.requests - before) / spans)
 
@@ -685,7 +685,7 @@
         return len(self.cluster.scheduler.machines)
 
     def see_began_within(self, id: str, seconds: str) -> bool:
-        return self.cluster.began.get(id, math.inf) <= float(seconds)
+        return self.cluster.start_delay_s.get(id, math.inf) <= float(seconds)
 
     def see_sick(self, name: str) -> bool:
         assert self.cluster.scheduler is not None
--- a/tests/traffic_runs.py
+++ b/tests/traffic_runs.py
@@ -22,7 +22,7 @@
 import curio.kernel
 from curio import TaskGroup
 from curio.sched import SchedBarrier
-from network import Clock, Jumping
+from network import Clock, JumpingSelector
 from test_fault_combinations import FILES as MEETING_FILES
 from test_fault_combinations import play_meeting
 from test_fault_days import EVENTS, HANGS, KEPT, PROCESSES, TROUBLES, Day
@@ -197,7 +197,7 @@
     with (
         mock.patch.object(SchedBarrier, "__init__", _order_waiting),
         mock.patch.object(TaskGroup, "__init__", _order_group),
-        mock.patch.object(curio.kernel, "DefaultSelector", lambda: Jumping(clock)),
+        mock.patch.object(curio.kernel, "DefaultSelector", lambda: JumpingSelector(clock)),
         clock.running(),
     ):
         yield
