--- a/tests/test_fault_days.py
+++ b/tests/test_fault_days.py
@@ -1,6 +1,9 @@
-"""Pairs and triples of troubles, drawn: whole controllers keep the rules, and know every job.
+"""Randomly drawn sequences of coinciding faults: the controllers keep the rules and every job.
 
-`python -m pytest tests/test_fault_days.py --long-troubles N` draws N days, each time others.
+`python -m pytest tests/test_fault_days.py --long-troubles N` runs N days, drawn anew each time.
+
+Hypothesis seeds the derandomized test with the source of `Day`, comments excluded: any other change
+of that class changes the days that are drawn.
 """
 
 from __future__ import annotations
@@ -27,11 +30,11 @@
 NAMES = ("k0", "k1", "k2")
 MACHINES = ("m1", "m2", "m3")
 MOST_RUN_S = 12.0
-GOES_ON_S = 150.0  # within which all that is live and small is done, troubles over
+GOES_ON_S = 150.0  # with no fault left, all live jobs of bounded length end within this time
 
 ENDLESS_S = 2000.0
 RUNS = (3.0, MOST_RUN_S, 40.0)
-MOST_LIVE = 5  # jobs that there is room for
+MOST_LIVE = 5  # live jobs that the machines have room for
 
 PROCESSES = ("leader", "other", "all")
 EVENTS = (
@@ -43,14 +46,14 @@
 machines = st.sampled_from(("busy", "m*"))
 pauses = st.sampled_from((0.05, 0.3, 1.0, 2.5, 4.5, 9.0, 16.0))
 
-# What befalls links: (from, to, what, path), some with times. In zone b are one controller (k1) and
-# one machine (m3).
+# Faults of links, as arguments of `LinkFault`: (src, dst, what, path), some with least, most and
+# share. Zone b has one controller (k1) and one machine (m3).
 Links = tuple[tuple[Any, ...], ...]
 
 
-def _cut(one: tuple[str, ...], other: tuple[str, ...]) -> Links:
-    """Nothing passes between them, either way."""
-    return tuple((*pair, "lost") for a in one for b in other for pair in ((a, b), (b, a)))
+def _cut(group: tuple[str, ...], other: tuple[str, ...]) -> Links:
+    """All messages between the two groups are lost, in both directions."""
+    return tuple((*pair, "lost") for a in group for b in other for pair in ((a, b), (b, a)))
 
 
 TROUBLES: dict[str, Links] = {
@@ -89,8 +92,8 @@
 KEPT = "reports kept for the next leader"
 
 troubles = st.sampled_from(sorted([*TROUBLES, HANGS, KEPT]))
-limits = st.sampled_from((0.0, 0.0, 12.0))  # of the team's cores; 0: none
-speeds = st.sampled_from((1.0, 8.0))  # of new machines' boots: ten seconds, or a moment
+limits = st.sampled_from((0.0, 0.0, 12.0))  # of the team's cores; 0: no limit
+speeds = st.sampled_from((1.0, 8.0))  # new machines boot in 10 s divided by this
 yards = st.sampled_from((None, None, "a", "b"))
 
 
@@ -126,7 +129,7 @@
         more = () if yard is None else (f"yard={yard}",)
         self.world.submit(self._spec(tasks, runs, f"shape={shape}", *more), node)
 
-    # ---- who is meant ------------------------------------------------------------------
+    # ---- resolution of names -----------------------------------------------------------
 
     def _node(self, who: str) -> str:
         """`leader`, as the state service has it, or `other`."""
@@ -255,7 +258,7 @@
             return
         self._begin(link, "leader", "m*")
         leader = self._node("leader")
-        # A gang must fit the team's limit beside the endless job, or it could never go on.
+        # A gang that does not fit the team's limit beside the endless job could never resume.
         cores = 1 if self.limit else 3
         spec = self._spec(tasks, 40.0, f"shape={shape}", "rank=idle", f"cores={cores}")
         self.world.submit(spec, leader)
@@ -329,7 +332,7 @@
             self.open.close()
 
     def _all_go_on(self) -> None:
-        # Where they may not run side by side, one may have to wait for another.
+        # If a limit or a zone keeps jobs from running at once, they run one after another.
         bound = any(self.world.specs[id].get("yard") for id in self._live())
         lasts = GOES_ON_S + (MOST_LIVE * max(RUNS) if self.limit or bound else 0.0)
         until = self.world.now + lasts
@@ -356,6 +359,7 @@
 
 
 def _days(count: int, **more: Any) -> None:
+    """Run this number of drawn days. `more`: further settings of hypothesis."""
     run_state_machine_as_test(
         Day,
         settings=settings(
@@ -365,7 +369,7 @@
     )  # fmt: skip
 
 
-# Days that were drawn, and on which something broke: here a gang of which a part was done for ever.
+# Drawn days that once broke a rule: on this one, a gang stayed done in part forever.
 BROKEN_ONCE: list[list[tuple[str, dict[str, Any]]]] = [
     [
         ("ends", {
@@ -403,14 +407,14 @@
 
 @pytest.mark.parametrize("day", BROKEN_ONCE)
 def test_days_that_broke_something_once(day: list[tuple[str, dict[str, Any]]]) -> None:
-    game = Day()
+    machine = Day()
     try:
-        game.begins()
-        for name, words in day:
-            getattr(game, name)(**words)
-            game.rules_hold()
+        machine.begins()
+        for name, arguments in day:
+            getattr(machine, name)(**arguments)
+            machine.rules_hold()
     finally:
-        game.teardown()
+        machine.teardown()
 
 
 def test_drawn_days_keep_the_rules() -> None:
@@ -418,7 +422,7 @@
 
 
 def test_more_drawn_days(request: pytest.FixtureRequest) -> None:
-    """Only when asked for, with `--long-troubles`."""
+    """Runs only with `--long-troubles`."""
     count = request.config.getoption("--long-troubles")
     if not count:
         return
--- a/tests/test_golden_traffic.py
+++ b/tests/test_golden_traffic.py
@@ -1,16 +1,16 @@
-"""What goes over the wire and into the state service is, byte for byte, what it was.
+"""Messages on the wire and writes to the state service are byte for byte as recorded.
 
-A refactoring must leave this test green. A change that is meant to alter messages, records or
-their order writes the digests anew, and says so in its commit:
+A refactoring must pass this test. A change that is meant to alter messages, records or their order
+rewrites the digests, and says so in its commit:
 
     python -m pytest tests/test_golden_traffic.py --write-golden
 
-To see what differs, keep the messages of both versions, and compare the folders:
+To see what differs, write the messages of both versions to folders, and compare these:
 
     PYTHONPATH=. PYTHONHASHSEED=0 python tests/traffic_runs.py --keep FOLDER
 
-The runs are played in a process of their own, as the order of sets of strings depends on the seed
-of their hashes.
+The runs take place in a process of their own with a fixed hash seed, on which the order of sets of
+strings depends.
 """
 
 from __future__ import annotations
@@ -42,8 +42,8 @@
 
 
 @pytest.fixture(scope="module")
-def played(request: pytest.FixtureRequest) -> dict[str, Digest]:
-    """The digests of all runs by the code of now."""
+def current_digests(request: pytest.FixtureRequest) -> dict[str, Digest]:
+    """The digests of all runs by the current code."""
     paths = [str(TESTS.parent), *filter(None, [os.environ.get("PYTHONPATH")])]
     environment = {
         **os.environ,
@@ -58,7 +58,7 @@
     )
     assert result.returncode == 0, result.stderr[-3000:]
     digests = {name: Digest(*found) for name, found in json.loads(result.stdout).items()}
-    # pytest shows it beside the runs that differ: why one of them failed, if it did.
+    # pytest shows this output with a failed test: it tells why a run failed, if one did.
     print(result.stderr[-3000:])
     if request.config.getoption("--write-golden"):
         _write_golden(digests)
@@ -66,19 +66,21 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_traffic_is_as_stored(name: str, played: dict[str, Digest]) -> None:
+def test_traffic_is_as_stored(name: str, current_digests: dict[str, Digest]) -> None:
     golden = _read_golden()
     assert name in golden, f"{name}: no digest is stored; see --write-golden"
-    found, stored = played[name], golden[name]
+    found, stored = current_digests[name], golden[name]
     assert found == stored, f"{name}: {found.messages} messages, stored were {stored.messages}"
 
 
-def test_every_scenario_is_recorded_or_left_out_for_a_reason(played: dict[str, Digest]) -> None:
+def test_every_scenario_is_recorded_or_left_out_for_a_reason(
+    current_digests: dict[str, Digest],
+) -> None:
     scenarios = {name for name in NAMES if not name.startswith("day/")}
-    assert scenarios | set(traffic_runs.LEFT_OUT) == traffic_runs.scenario_names()
-    assert not scenarios & set(traffic_runs.LEFT_OUT)
+    assert scenarios | set(traffic_runs.NOT_RECORDED) == traffic_runs.scenario_names()
+    assert not scenarios & set(traffic_runs.NOT_RECORDED)
     golden = _read_golden()
-    assert set(golden) == set(NAMES) == set(played)
+    assert set(golden) == set(NAMES) == set(current_digests)
     assert all(digest.messages for digest in golden.values())
 
 
--- a/tests/test_inflight_commands.py
+++ b/tests/test_inflight_commands.py
@@ -1,4 +1,4 @@
-"""The record of starts that may still be carried out, and when the token is raised for them."""
+"""The record of starts that a worker may still execute, and when the token is rotated for them."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 class Model:
-    """One worker and one sender: which sent starts the worker would still carry out."""
+    """One worker and one sender: which sent starts the worker would still execute."""
 
     def __init__(self) -> None:
         self.starts = InflightStarts()
-        self.token = 5  # the leader's
-        self.seen = 5  # the worker's highest
-        self.awaited: list[int] = []  # under which token each was sent
+        self.token = 5  # of the leader
+        self.seen = 5  # highest token that the worker has seen
+        self.awaited: list[int] = []  # unanswered starts: the token each was sent with
         self.given_up: list[int] = []
 
     def step(self, what: str) -> None:
@@ -82,50 +82,54 @@
 
 
 def test_the_token_is_raised_after_a_while_and_not_often() -> None:
-    raises = TokenRotation()
+    rotation = TokenRotation()
     at = 1000.0
 
-    def asked(reason: Any, since: float, now: float) -> bool:
-        raises.wanted = False
+    def requested(reason: Any, since: float, now: float) -> bool:
+        rotation.wanted = False
         reason(Instant(since), Instant(now))
-        return raises.wanted
-
-    assert not asked(raises.unwanted_start, at, at + 1.0)
-    assert asked(raises.unwanted_start, at, at + token_rotation.UNWANTED_START_S + 0.1)
-    raises.started()
-    assert not asked(raises.unwanted_start, at, at + 10.0)  # it is being raised
-    raises.failed()
-    assert asked(raises.unwanted_start, at, at + 10.0)
-    raises.started()
-    raises.completed(Instant(at + 10.0))
-    assert not asked(raises.unwanted_start, at, at + 11.0)
+        return rotation.wanted
+
+    assert not requested(rotation.unwanted_start, at, at + 1.0)
+    assert requested(rotation.unwanted_start, at, at + token_rotation.UNWANTED_START_S + 0.1)
+    rotation.started()
+    assert not requested(rotation.unwanted_start, at, at + 10.0)  # a rotation is in progress
+    rotation.failed()
+    assert requested(rotation.unwanted_start, at, at + 10.0)
+    rotation.started()
+    rotation.completed(Instant(at + 10.0))
+    assert not requested(rotation.unwanted_start, at, at + 11.0)
     late = at + 10.0 + token_rotation.UNFORGOTTEN_EXIT_S + 1.0
-    assert not asked(raises.unforgotten_exit, at, late)
-    assert asked(
-        raises.unforgotten_exit, at, at + 11.0 + token_rotation.UNFORGOTTEN_EXIT_ROTATION_S
+    assert not requested(rotation.unforgotten_exit, at, late)
+    assert requested(
+        rotation.unforgotten_exit, at, at + 11.0 + token_rotation.UNFORGOTTEN_EXIT_ROTATION_S
     )
-    assert raises.count == 1
+    assert rotation.count == 1
 
 
 def test_a_machine_on_which_an_unwanted_start_may_arrive_is_neither_lent_nor_returned() -> None:
-    game = ScenarioPlayer()
-    game.do_peer("n1", "a")
-    game.do_machine("m1", "small", "a")
-    game.do_lead()
-    game.do_run("3")
-    world, scheduler, provisioner = game.cluster, game.cluster.scheduler, game.cluster.autoscaler
-    assert scheduler is not None and provisioner is not None
+    player = ScenarioPlayer()
+    player.do_peer("n1", "a")
+    player.do_machine("m1", "small", "a")
+    player.do_lead()
+    player.do_run("3")
+    cluster, scheduler, autoscaler = (
+        player.cluster,
+        player.cluster.scheduler,
+        player.cluster.autoscaler,
+    )
+    assert scheduler is not None and autoscaler is not None
     machine = scheduler.machines[MachineId("m1")]
-    now, later = Instant(world.now), Instant(world.now + 1000.0)
+    now, later = Instant(cluster.now), Instant(cluster.now + 1000.0)
 
-    def lent() -> bool:
-        loan = scheduler.delegate(ControllerName("n1"), 0, False, now)
-        return loan is not None and "m1" in loan.machine_ids
+    def delegated() -> bool:
+        delegation = scheduler.delegate(ControllerName("n1"), 0, False, now)
+        return delegation is not None and "m1" in delegation.machine_ids
 
-    assert lent() and machine in provisioner.machines_to_return(later)
+    assert delegated() and machine in autoscaler.machines_to_return(later)
     machine.inflight_starts.sent(TASK, ATTEMPT)
-    assert not lent() and machine not in provisioner.machines_to_return(later)
+    assert not delegated() and machine not in autoscaler.machines_to_return(later)
     machine.inflight_starts.timed_out(TASK, ATTEMPT, machine.token_seen, machine.token_seen)
-    assert not lent() and machine not in provisioner.machines_to_return(later)
+    assert not delegated() and machine not in autoscaler.machines_to_return(later)
     machine.inflight_starts.token_seen(FencingToken(machine.token_seen + 1))
-    assert lent() and machine in provisioner.machines_to_return(later)
+    assert delegated() and machine in autoscaler.machines_to_return(later)
--- a/tests/test_leader_election.py
+++ b/tests/test_leader_election.py
@@ -1,4 +1,4 @@
-"""Answers of the state service that come while a controller has gone on to another lease."""
+"""Responses of the state service that arrive after the controller has changed to another lease."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from umberward.leader.leader_election import LeaderElection
 
 
-class Slow:
-    """Says what it is told to, when it is told to."""
+class DelayedStore:
+    """A state client whose responses the test chooses and delivers."""
 
     def __init__(self) -> None:
-        self.asked: list[tuple[str, curio.Event]] = []
-        self.says: dict[str, Any] = {}
+        self.requests: list[tuple[str, curio.Event]] = []
+        self.responses: dict[str, Any] = {}
 
     def set_role(self, leading: bool) -> None:
         pass
 
     async def _answer(self, what: str) -> Any:
-        said = curio.Event()
-        self.asked.append((what, said))
-        await said.wait()
-        found = self.says[what]
-        if isinstance(found, Exception):
-            raise found
-        return found
+        delivered = curio.Event()
+        self.requests.append((what, delivered))
+        await delivered.wait()
+        response = self.responses[what]
+        if isinstance(response, Exception):
+            raise response
+        return response
 
     async def grant_lease(self, ttl_s: float) -> Any:
         return await self._answer("grant")
@@ -42,84 +42,96 @@
     async def commit(self, *_: Any, **__: Any) -> Any:
         return await self._answer("commit")
 
-    async def say(self, number: int, found: Any) -> None:
-        """The answer to the request of that number."""
-        what, event = self.asked[number]
-        self.says[what] = found
+    async def respond(self, number: int, response: Any) -> None:
+        """Deliver the response to the request with this number."""
+        what, event = self.requests[number]
+        self.responses[what] = response
         await event.set()
         await curio.sleep(0)
         await curio.sleep(0)
 
 
-class Game:
+class Candidate:
     def __init__(self) -> None:
         self.now = 100.0
-        self.won: list[FencingToken] = []
-        self.store = Slow()
+        self.tokens_won: list[FencingToken] = []
+        self.store = DelayedStore()
         settings = validate(raw_settings(), OperatorSettings())
-        self.made = LeaderElection(
+        self.election = LeaderElection(
             settings, self.store, random.Random(1), self._elected, self._lost, lambda: self.now
         )  # type: ignore[arg-type]
 
     async def _elected(self, epoch: FencingToken) -> None:
-        self.won.append(epoch)
+        self.tokens_won.append(epoch)
 
     async def _lost(self) -> None:
         pass
 
-    async def begin(self, call: Any) -> None:
+    async def spawn_call(self, call: Any) -> None:
         await curio.spawn(call, daemon=True)
         await curio.sleep(0)
 
 
 def test_of_two_leases_granted_at_once_the_first_is_kept() -> None:
-    """A campaign's key hangs on it; renewals of the other would prove nothing."""
+    """A campaign's key is attached to it; renewals of the other would not keep that key."""
 
-    async def play() -> None:
-        game = Game()
-        await game.begin(game.made._renew)
-        await game.begin(game.made._campaign)
-        await game.store.say(1, LeaseId(7))  # the campaign's
-        await game.store.say(0, LeaseId(8))
-        assert game.made.lease == 7
+    async def run() -> None:
+        candidate = Candidate()
+        await candidate.spawn_call(candidate.election._renew)
+        await candidate.spawn_call(candidate.election._campaign)
+        await candidate.store.respond(1, LeaseId(7))  # of the campaign
+        await candidate.store.respond(0, LeaseId(8))
+        assert candidate.election.lease == 7
 
-    curio.run(play)
+    curio.run(run)
 
 
 def test_the_end_of_a_lease_of_before_ends_nothing() -> None:
-    async def play() -> None:
-        game = Game()
-        game.made.lease, game.made.renewed_at = LeaseId(3), Instant(99.0)
-        await game.begin(game.made._renew)
-        game.made._abandon_lease()
-        game.made.lease, game.made.nonce, game.made.renewed_at = LeaseId(4), "later", Instant(100.0)
-        await game.store.say(0, state_client.LeaseExpiredError())
-        assert (game.made.lease, game.made.nonce) == (4, "later")
-
-    curio.run(play)
+    async def run() -> None:
+        candidate = Candidate()
+        candidate.election.lease, candidate.election.renewed_at = LeaseId(3), Instant(99.0)
+        await candidate.spawn_call(candidate.election._renew)
+        candidate.election._abandon_lease()
+        candidate.election.lease, candidate.election.nonce, candidate.election.renewed_at = (
+            LeaseId(4),
+            "later",
+            Instant(100.0),
+        )
+        await candidate.store.respond(0, state_client.LeaseExpiredError())
+        assert (candidate.election.lease, candidate.election.nonce) == (4, "later")
+
+    curio.run(run)
 
 
 def test_no_term_begins_on_a_lease_that_was_let_go() -> None:
-    async def play() -> None:
-        game = Game()
-        game.made.lease, game.made.renewed_at = LeaseId(3), Instant(game.now)
-        await game.begin(game.made._campaign)
-        game.made._abandon_lease()
-        game.made.lease = LeaseId(4)
-        await game.store.say(0, Revision(12))
-        assert not game.won and not game.made.is_leader()
+    async def run() -> None:
+        candidate = Candidate()
+        candidate.election.lease, candidate.election.renewed_at = LeaseId(3), Instant(candidate.now)
+        await candidate.spawn_call(candidate.election._campaign)
+        candidate.election._abandon_lease()
+        candidate.election.lease = LeaseId(4)
+        await candidate.store.respond(0, Revision(12))
+        assert not candidate.tokens_won and not candidate.election.is_leader()
 
-    curio.run(play)
+    curio.run(run)
 
 
 def test_a_setting_that_leaves_no_time_keeps_workers_only_while_we_lead() -> None:
     raw = raw_settings()
     raw["cluster"]["workers"]["cancel_s"] = raw["cluster"]["workers"]["lease_s"] + 0.2
-    made = LeaderElection(
+    election = LeaderElection(
         validate(raw, OperatorSettings()), None, random.Random(1), None, None, lambda: 100.0
     )  # type: ignore[arg-type]
-    made.fencing_token, made.lease, made.renewed_at = FencingToken(5), LeaseId(1), Instant(99.0)
-    assert made.bounds.keepalive_s == 0.0
-    assert made.is_leader() and made.may_answer(Instant(99.0)) and not made.may_answer(None)
-    made.renewed_at = Instant(96.0)
-    assert not made.is_leader() and not made.may_answer(Instant(99.9))
+    election.fencing_token, election.lease, election.renewed_at = (
+        FencingToken(5),
+        LeaseId(1),
+        Instant(99.0),
+    )
+    assert election.bounds.keepalive_s == 0.0
+    assert (
+        election.is_leader()
+        and election.may_answer(Instant(99.0))
+        and not election.may_answer(None)
+    )
+    election.renewed_at = Instant(96.0)
+    assert not election.is_leader() and not election.may_answer(Instant(99.9))
--- a/tests/test_odd_requests.py
+++ b/tests/test_odd_requests.py
@@ -1,4 +1,4 @@
-"""Requests that make no sense or come again: each is answered by PROTOCOL and changes nothing."""
+"""Invalid and repeated requests: each gets the answer of PROTOCOL and changes no record."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from umberward.protocol.http import Response
 from umberward.protocol.wire import JobSpec
 
-ID = "req-000001"
-MAY_LACK = ("flavors", "yard", "due_s", "waits_on")
-NEEDED = [name for name in JobSpec.__struct_encode_fields__ if name not in MAY_LACK]
+JOB_ID = "req-000001"
+OPTIONAL = ("flavors", "yard", "due_s", "waits_on")
+REQUIRED = [name for name in JobSpec.__struct_encode_fields__ if name not in OPTIONAL]
 NUMBERS = (
     "cores",
     "accelerators",
@@ -26,7 +26,7 @@
     "snapshot_cost_s",
     "due_s",
 )
-WRONG: dict[str, Any] = {
+WRONG_TYPE: dict[str, Any] = {
     **dict.fromkeys(NUMBERS, "four"),
     **dict.fromkeys(("uid", "jobclass", "owner", "shape", "rank", "bundle", "yard"), 7),
     **dict.fromkeys(("same_place", "apart", "reclaimable"), 1),
@@ -35,25 +35,25 @@
 }
 
 
-def _game(**limits: float) -> ScenarioPlayer:
-    game = ScenarioPlayer()
+def _player(**limits: float) -> ScenarioPlayer:
+    player = ScenarioPlayer()
     if limits:
-        game.do_team(*(f"{name}={value}" for name, value in limits.items()))
-    game.do_machine("m1", "small", "a")
-    game.do_lead()
-    game.do_run("3")
-    return game
+        player.do_team(*(f"{name}={value}" for name, value in limits.items()))
+    player.do_machine("m1", "small", "a")
+    player.do_lead()
+    player.do_run("3")
+    return player
 
 
 def _spec(**more: Any) -> dict[str, Any]:
-    return {**ScenarioPlayer._spec(None, ID, ()), **more}  # type: ignore[arg-type]
+    return {**ScenarioPlayer._spec(None, JOB_ID, ()), **more}  # type: ignore[arg-type]
 
 
-def _sent(game: ScenarioPlayer, spec: dict[str, Any]) -> Response:
-    kept = dict(game.cluster.store.keys)
-    response = game.cluster.submit(wire.encode(spec))
+def _submit(player: ScenarioPlayer, spec: dict[str, Any]) -> Response:
+    stored_before = dict(player.cluster.store.keys)
+    response = player.cluster.submit(wire.encode(spec))
     if response.status not in (200, 201):
-        assert game.cluster.store.keys == kept
+        assert player.cluster.store.keys == stored_before
     return response
 
 
@@ -61,32 +61,32 @@
     return str(msgspec.msgpack.decode(response.body)["phase"])
 
 
-@pytest.mark.parametrize("name", NEEDED)
+@pytest.mark.parametrize("name", REQUIRED)
 def test_a_field_is_missing(name: str) -> None:
     spec = _spec()
     del spec[name]
-    assert _sent(_game(), spec).status == 400
+    assert _submit(_player(), spec).status == 400
 
 
-@pytest.mark.parametrize("name", WRONG)
+@pytest.mark.parametrize("name", WRONG_TYPE)
 def test_a_field_is_of_the_wrong_type(name: str) -> None:
-    game = _game()
-    for value in (WRONG[name], [], {}):
+    player = _player()
+    for value in (WRONG_TYPE[name], [], {}):
         if (name, value) != ("flavors", []):
-            assert _sent(game, _spec(**{name: value})).status == 400
-    if name not in MAY_LACK:
-        assert _sent(game, _spec(**{name: None})).status == 400
+            assert _submit(player, _spec(**{name: value})).status == 400
+    if name not in OPTIONAL:
+        assert _submit(player, _spec(**{name: None})).status == 400
 
 
 @pytest.mark.parametrize("name", NUMBERS)
 @pytest.mark.parametrize("value", [math.inf, -math.inf, math.nan, -1.0])
 def test_an_amount_that_is_none(name: str, value: float) -> None:
-    assert _sent(_game(), _spec(**{name: value})).status == 400
+    assert _submit(_player(), _spec(**{name: value})).status == 400
 
 
 @pytest.mark.parametrize("shards", [0, -1, 100_001])
 def test_a_size_that_is_none(shards: int) -> None:
-    assert _sent(_game(), _spec(shards=shards)).status == 400
+    assert _submit(_player(), _spec(shards=shards)).status == 400
 
 
 @pytest.mark.parametrize(
@@ -105,42 +105,42 @@
 )
 def test_a_job_that_can_never_run(more: dict[str, Any]) -> None:
     spec = _spec(**more)
-    game = _game(cpus_max=8)
-    assert _sent(game, spec).status == 422 and game.cluster.why_unfit(spec)
+    player = _player(cpus_max=8)
+    assert _submit(player, spec).status == 422 and player.cluster.why_unfit(spec)
 
 
 def test_an_array_larger_than_its_teams_limit_runs_bit_by_bit() -> None:
     spec = _spec(shards=50)
-    game = _game(cpus_max=8)
-    assert game.cluster.submit(spec).status == 201 and not game.cluster.why_unfit(spec)
+    player = _player(cpus_max=8)
+    assert player.cluster.submit(spec).status == 201 and not player.cluster.why_unfit(spec)
 
 
 @pytest.mark.parametrize("state", ["waiting", "running", "done", "cancelled"])
 def test_a_repeat_with_another_body_gets_the_state(state: str) -> None:
-    game = _game()
+    player = _player()
     cores = 4 if state != "waiting" else 32
-    game.do_submit(ID, "runs=3" if state == "done" else "runs=100", f"cores={cores}")
-    game.do_run("2" if state != "done" else "8")
+    player.do_submit(JOB_ID, "runs=3" if state == "done" else "runs=100", f"cores={cores}")
+    player.do_run("2" if state != "done" else "8")
     if state == "cancelled":
-        game.do_cancel(ID)
-    kept = dict(game.cluster.store.keys)
+        player.do_cancel(JOB_ID)
+    stored_before = dict(player.cluster.store.keys)
     phase = {"waiting": "pending"}.get(state, state)
-    bodies = [_spec(**{name: value}) for name, value in WRONG.items() if name != "uid"]
+    bodies = [_spec(**{name: value}) for name, value in WRONG_TYPE.items() if name != "uid"]
     bodies += [_spec(owner="nobody"), _spec(cores=1e6), _spec(shards=3), _spec(cores=math.nan)]
-    for body in [*bodies, {"uid": ID}]:
-        response = game.cluster.submit(wire.encode(body))
+    for body in [*bodies, {"uid": JOB_ID}]:
+        response = player.cluster.submit(wire.encode(body))
         assert response.status == 200 and _phase(response) == phase
-    assert game.cluster.store.keys == kept
+    assert player.cluster.store.keys == stored_before
 
 
 def test_a_cancellation_of_what_is_done_or_of_nothing() -> None:
-    game = _game()
-    game.do_submit(ID, "runs=2")
-    game.do_run("8")
+    player = _player()
+    player.do_submit(JOB_ID, "runs=2")
+    player.do_run("8")
     for _ in range(2):
-        response = game.cluster.cancel(ID)
+        response = player.cluster.cancel(JOB_ID)
         assert response.status == 200 and _phase(response) == "done"
-    kept = dict(game.cluster.store.keys)
-    assert game.cluster.cancel("req-000777").status == 404
-    assert game.cluster.poll("req-000777").status == 404
-    assert game.cluster.store.keys == kept and not game.cluster.broken
+    stored_before = dict(player.cluster.store.keys)
+    assert player.cluster.cancel("req-000777").status == 404
+    assert player.cluster.poll("req-000777").status == 404
+    assert player.cluster.store.keys == stored_before and not player.cluster.broken
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -1,5 +1,9 @@
-"""Whatever is lost, late, doubled or overtaken: no session that a worker lives in is taken for
-over, no task runs twice, and every accepted job is known and served in the end."""
+"""Drawn sequences of lost, late, duplicated and reordered messages: no session still alive on its
+worker is treated as ended, no task runs twice, and every accepted job is known and runs in the end.
+
+Hypothesis seeds the derandomized test with its source, comments and decorators excluded: any other
+change of the test changes the days that are drawn.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +30,7 @@
     (("clear", "m1", "slow"), 0.6),
     (("set", "m1", "mute"), 9.9),
 ]
-# A former leader answers while the new one's token is under way.
+# A former leader answers a worker before the new leader's token has arrived there.
 FORMER = [
     (("set", "m1", "astray"), 0.1),
     (("set", "m1", "holding"), 0.1),
@@ -70,7 +74,7 @@
         game.do_run(str(pause))
     game.do_run("15")
     assert not game.cluster.broken
-    # Whatever befell them, all that were accepted are known, and run once the links are whole.
+    # All accepted jobs are known, and run once the links work again.
     for name in WORKERS:
         for trouble in TROUBLES:
             game.do_set(name, f"not-{trouble}")
--- a/tests/traffic_recorder.py
+++ b/tests/traffic_recorder.py
@@ -1,9 +1,9 @@
-"""Digests of what goes over the wire and into the state service while a scenario is played.
+"""Digests of the messages on the wire and the writes to the state service during a scenario.
 
-The stand-ins of the tests (`simulated_cluster.py`, `network.py`) call `note` with every message
-them, as bytes. A digest covers all messages of a run in their order, so two versions of the code
-that have the same digests have said the same to users, workers, the cloud, the state service and
-each other. Nothing here may depend on the names of classes, fields or modules of the code.
+The simulated services (`simulated_cluster.py`, `network.py`) call `note` with every message. A
+digest covers all messages of a run in their order, so two versions of the code with equal digests
+have sent the same to users, workers, the cloud, the state service and each other. Nothing here may
+depend on the names of classes, fields or modules of the code.
 """
 
 from __future__ import annotations
@@ -33,20 +33,22 @@
         self.messages.append(message)
 
     def digest(self) -> Digest:
-        whole = hashlib.sha256()
+        sha256 = hashlib.sha256()
         for message in self.messages:
-            # With its length, so that bytes cannot move from one message to the next unnoticed.
-            whole.update(len(message).to_bytes(8, "big"))
-            whole.update(message)
-        return Digest(len(self.messages), whole.hexdigest())
+            # The length is included so that bytes moved between messages change the digest.
+            sha256.update(len(message).to_bytes(8, "big"))
+            sha256.update(message)
+        return Digest(len(self.messages), sha256.hexdigest())
 
 
 _recorder: Recorder | None = None
 
 
 def note(*parts: Any) -> None:
-    """Add a message, if a run is being recorded. Parts that are not bytes are encoded as on the
-    wire, so only values that have a form there may be given."""
+    """Add a message, if a run is being recorded.
+
+    Parts that are not bytes are encoded as on the wire, so they must be encodable there.
+    """
     if _recorder is not None:
         _recorder.add(encode(parts))
 
@@ -54,8 +56,8 @@
 @contextlib.contextmanager
 def recording() -> Iterator[Recorder]:
     global _recorder
-    _recorder = made = Recorder()
+    _recorder = recorder = Recorder()
     try:
-        yield made
+        yield recorder
     finally:
         _recorder = None
--- a/tests/traffic_runs.py
+++ b/tests/traffic_runs.py
@@ -1,7 +1,7 @@
-"""The runs whose traffic is recorded: each scenario that can be repeated, and some drawn days.
+"""The runs whose traffic is recorded: all deterministic scenarios, and some randomly drawn days.
 
-Run as a program it plays them all and prints their digests as JSON. With `--keep FOLDER` it also
-writes the messages of each run there, one a line, so that two versions can be compared by `diff`.
+As a program it executes all runs and prints their digests as JSON. With `--keep FOLDER` it also
+writes the messages of each run there, one per line, so that `diff` can compare two versions.
 """
 
 from __future__ import annotations
@@ -37,17 +37,17 @@
 
 SEEDS = range(20)
 STEPS_A_DAY = 4
-ALL_TROUBLES = (*TROUBLES, HANGS, KEPT)  # in the order in which they are written
+ALL_TROUBLES = (*TROUBLES, HANGS, KEPT)  # in this order, not sorted as in test_fault_days
 PAUSES_S = (0.05, 0.3, 1.0, 2.5, 4.5, 9.0, 16.0)
 
-# Scenarios that are left out, and why.
-REAL_SOCKETS = "it uses real sockets, and what passes there is in no fixed order"
-NO_MESSAGES = "no message passes the stand-ins"
-LEFT_OUT: dict[str, str] = {
+# Scenarios that are not recorded, and why.
+REAL_SOCKETS = "it uses real sockets, where messages have no fixed order"
+NO_MESSAGES = "it sends no message through the simulated services"
+NOT_RECORDED: dict[str, str] = {
     "bad_settings": NO_MESSAGES,
     "cost_of_long_passes": NO_MESSAGES,
     "cost_of_sockets": REAL_SOCKETS,
-    "large_array": "it takes 7 s; smaller arrays are played in nearly all others",
+    "large_array": "it takes 7 s; nearly all others contain smaller arrays",
     "lower_rate": NO_MESSAGES,
     "readme_pipeline": REAL_SOCKETS,
     "stood_still_before_sending": REAL_SOCKETS,
@@ -71,15 +71,15 @@
         runs[_name(path)] = functools.partial(play, path, GraphScenarioPlayer)
     for path in MEETING_FILES:
         runs[_name(path)] = functools.partial(play_meeting, path)
-    runs = {name: run for name, run in runs.items() if name not in LEFT_OUT}
+    runs = {name: run for name, run in runs.items() if name not in NOT_RECORDED}
     for seed in SEEDS:
         runs[f"day/{seed}"] = functools.partial(play_day, seed)
     return runs
 
 
 def play_day(seed: int) -> None:
-    """A day of whole controllers, drawn from the seed alone: hypothesis's own drawing would change
-    with the constants of the code."""
+    """Run a day of `test_fault_days.Day`, drawn from the seed alone: what hypothesis draws would
+    change with the constants of the code."""
     rng = random.Random(seed)
     day = Day()
     try:
@@ -156,7 +156,7 @@
 
 
 class OrderedSet(MutableSet[Any]):
-    """In the order of insertion."""
+    """A set that iterates in the order of insertion."""
 
     def __init__(self) -> None:
         self.items: dict[Any, None] = {}
@@ -177,26 +177,26 @@
         self.items.pop(item, None)
 
 
-def _order_waiting(barrier: SchedBarrier) -> None:
+def _init_ordered_barrier(barrier: SchedBarrier) -> None:
     barrier._tasks = OrderedSet()
 
 
-_make_group = TaskGroup.__init__
+_init_task_group = TaskGroup.__init__
 
 
-def _order_group(group: TaskGroup, **options: Any) -> None:
-    _make_group(group, **options)
+def _init_ordered_task_group(group: TaskGroup, **options: Any) -> None:
+    _init_task_group(group, **options)
     group._running, group._daemonic, group._tasks = OrderedSet(), OrderedSet(), OrderedSet()
 
 
 @contextlib.contextmanager
-def repeatable() -> Iterator[None]:
-    """Curio keeps its tasks in sets, whose order follows from addresses, so from the process; and
-    in a scenario without a clock of its own, what sleeps does so in real time."""
+def deterministic() -> Iterator[None]:
+    """Make runs deterministic: curio keeps its tasks in sets, whose order depends on memory
+    addresses, and sleeps in real time in scenarios without a simulated clock."""
     clock = Clock()
     with (
-        mock.patch.object(SchedBarrier, "__init__", _order_waiting),
-        mock.patch.object(TaskGroup, "__init__", _order_group),
+        mock.patch.object(SchedBarrier, "__init__", _init_ordered_barrier),
+        mock.patch.object(TaskGroup, "__init__", _init_ordered_task_group),
         mock.patch.object(curio.kernel, "DefaultSelector", lambda: JumpingSelector(clock)),
         clock.running(),
     ):
@@ -204,16 +204,16 @@
 
 
 def record(keep: Path | None = None, timed: bool = False) -> dict[str, Digest]:
-    """Play all runs. `keep`: a folder for their messages."""
+    """Execute all runs. `keep`: a folder for their messages; `timed`: print how long each takes."""
     Invariants.raises = True  # as in the tests
     digests = {}
     for name, run in all_runs().items():
         began = time.perf_counter()
-        with recording() as recorder, repeatable():
+        with recording() as recorder, deterministic():
             try:
                 run()
             except Exception:
-                # The other runs are played all the same, and the test names this one.
+                # Go on with the other runs; the digest of this one differs, so its test fails.
                 traceback.print_exc()
                 recorder.add(b"the run failed")
         digests[name] = recorder.digest()
@@ -229,7 +229,7 @@
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--keep", type=Path, metavar="FOLDER")
-    parser.add_argument("--times", action="store_true", help="how long each run takes")
+    parser.add_argument("--times", action="store_true", help="print how long each run takes")
     options = parser.parse_args()
     digests = record(options.keep, options.times)
     if not options.times:
