--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -1,4 +1,7 @@
-"""Each guard of the rules, and how it is taken out: the scenario that names it must fail then."""
+"""Mutations of the code under test, each of which disables one safeguard.
+
+A scenario with a line `guard NAME` must fail with the mutation of that name.
+"""
 
 from __future__ import annotations
 
@@ -56,109 +59,128 @@
 
 
 def lease_wait(patch: pytest.MonkeyPatch) -> None:
+    """Leases count as expired several seconds too early."""
     patch.setattr(lease_bounds, "LEASE_MARGIN_S", -8.0)
 
 
 def loan_bound(patch: pytest.MonkeyPatch) -> None:
-    def session_over(self: Delegator, zone: Any, answered: Any, lent: Any, now: Any) -> bool:
+    """A session counts as over one lease after the leader's last answer, even if delegated."""
+
+    def lease_expired(self: Delegator, zone: Any, answered: Any, lent: Any, now: Any) -> bool:
         return bool(now - answered > self.bounds.lease_s)
 
-    patch.setattr(Delegator, "lease_expired", session_over)
+    patch.setattr(Delegator, "lease_expired", lease_expired)
 
 
 def loan_ends(patch: pytest.MonkeyPatch) -> None:
-    whole = Delegate.__init__
+    """A delegate may renew leases for longer than the delegation permits."""
+    original = Delegate.__init__
 
     def init(self: Delegate, *args: Any) -> None:
-        whole(self, *args)
+        original(self, *args)
         self.bounds.keepalive_s = 40.0
 
     patch.setattr(Delegate, "__init__", init)
 
 
 def loan_age(patch: pytest.MonkeyPatch) -> None:
-    whole = Scheduler.delegate
+    """A delegation counts from when it was sent, not from when the leader last read the jobs."""
+    original = Scheduler.delegate
 
-    def lend(self: Scheduler, *args: Any) -> Any:
-        loan = whole(self, *args)
-        loan.jobs_read_age_s = 0.0
-        return loan
+    def delegate(self: Scheduler, *args: Any) -> Any:
+        delegation = original(self, *args)
+        delegation.jobs_read_age_s = 0.0
+        return delegation
 
-    patch.setattr(Scheduler, "delegate", lend)
+    patch.setattr(Scheduler, "delegate", delegate)
 
 
 def loan_unused(patch: pytest.MonkeyPatch) -> None:
+    """A delegate never reports that it has renewed no session."""
     patch.setattr(Delegate, "unused", False)
 
 
 def loan_without_stops(patch: pytest.MonkeyPatch) -> None:
+    """Lease renewal is delegated even for machines where tasks are being stopped."""
     patch.setattr(Machine, "has_stopping_tasks", False)
 
 
 def zones_apart(patch: pytest.MonkeyPatch) -> None:
+    """No zone counts as cut off with a controller that may renew the leases there."""
     patch.setattr(FailureDetector, "_find_cut_off_zones", lambda *_: set())
 
 
 def settle_first(patch: pytest.MonkeyPatch) -> None:
-    whole = Scheduler.finish_loading
+    """A new leader requeues the tasks it has not located at once, before reconciling machines."""
+    original = Scheduler.finish_loading
 
-    def load_done(self: Scheduler) -> None:
-        whole(self)
+    def finish_loading(self: Scheduler) -> None:
+        original(self)
         self.reconciliation_completed = True
         for job in self.jobs.values():
             job.requeue_unlocated()
 
-    patch.setattr(Scheduler, "finish_loading", load_done)
+    patch.setattr(Scheduler, "finish_loading", finish_loading)
 
 
 def settle_again(patch: pytest.MonkeyPatch) -> None:
-    whole = Scheduler.finish_loading
+    """Machines that were reconciled before the jobs were loaded are not reconciled again."""
+    original = Scheduler.finish_loading
 
-    def load_done(self: Scheduler) -> None:
-        settled = [machine for machine in self.machines.values() if machine.reconciled]
-        whole(self)
-        for machine in settled:
+    def finish_loading(self: Scheduler) -> None:
+        reconciled = [machine for machine in self.machines.values() if machine.reconciled]
+        original(self)
+        for machine in reconciled:
             machine.reconciled = True
 
-    patch.setattr(Scheduler, "finish_loading", load_done)
+    patch.setattr(Scheduler, "finish_loading", finish_loading)
 
 
 def token_first(patch: pytest.MonkeyPatch) -> None:
-    whole = Scheduler.__init__
+    """Heartbeats under an older fencing token reconcile a machine."""
+    original = Scheduler.__init__
 
     def init(self: Scheduler, *args: Any) -> None:
-        whole(self, *args)
+        original(self, *args)
         self.term_token = 0  # type: ignore[assignment]
 
     patch.setattr(Scheduler, "__init__", init)
 
 
 def forget_after_commit(patch: pytest.MonkeyPatch) -> None:
+    """A worker may forget a completed task before the completion is stored."""
     patch.setattr(Job, "is_completion_stored", lambda self, index: True)
 
 
 def unanswered_start(patch: pytest.MonkeyPatch) -> None:
-    whole = Scheduler.command_completed
+    """A command without an answer counts as not executed."""
+    original = Scheduler.command_completed
 
-    def commanded(self: Scheduler, command: Any, report: Any, unknown: bool, now: Any) -> None:
-        whole(self, command, report, False, now)
+    def command_completed(
+        self: Scheduler, command: Any, report: Any, unknown: bool, now: Any
+    ) -> None:
+        original(self, command, report, False, now)
 
-    patch.setattr(Scheduler, "command_completed", commanded)
+    patch.setattr(Scheduler, "command_completed", command_completed)
 
 
 def quota_room(patch: pytest.MonkeyPatch) -> None:
+    """Teams have no maximum."""
     patch.setattr(Quota, "tasks_within_limit", lambda *_: 1000)
 
 
 def quota_unsure(patch: pytest.MonkeyPatch) -> None:
+    """Unlocated tasks of a previous leader do not count against their team's limit."""
     patch.setattr(UnlocatedTasks, "usage_by_team", lambda _: {})
 
 
 def allowed(patch: pytest.MonkeyPatch) -> None:
+    """Jobs may use machines of any type, zone and kind."""
     patch.setattr(Scheduler, "admits_offer", lambda *_: True)
 
 
 def apart(patch: pytest.MonkeyPatch) -> None:
+    """The tasks of a job need not be spread over zones."""
     patch.setattr(
         machine_selection,
         "best_fit",
@@ -169,6 +191,7 @@
 
 
 def same_place(patch: pytest.MonkeyPatch) -> None:
+    """A job that must run in one zone may start where only some of its tasks fit."""
     patch.setattr(
         machine_selection,
         "_choose_zone",
@@ -177,18 +200,23 @@
 
 
 def kill_cancelled(patch: pytest.MonkeyPatch) -> None:
+    """The tasks of a cancelled job are not stopped."""
     patch.setattr(Scheduler, "remove_job", lambda *_: None)
 
 
 def complete_first(patch: pytest.MonkeyPatch) -> None:
+    """A job counts as complete when one task is missing."""
     patch.setattr(Job, "complete", property(lambda self: self.done_count >= self.size - 1))
 
 
 def standing(patch: pytest.MonkeyPatch) -> None:
+    """No job counts as within its team's guarantee."""
     patch.setattr(Quota, "fits_guarantee", lambda *_: False)
 
 
 def past_lookup(patch: pytest.MonkeyPatch) -> None:
+    """Job states are not looked up among the final records."""
+
     async def state(self: JobStateCache, id: Any, urgent: bool = False) -> Any:
         await self._refresh()
         return self.live.get(id)
@@ -198,18 +226,20 @@
 
 
 def known_first(patch: pytest.MonkeyPatch) -> None:
-    """Every job is taken for one that was submitted."""
+    """Any job id counts as that of a submitted job."""
 
-    async def known(self: JobApi, id: Any, urgent: bool = True) -> Any:
+    async def existing_job_response(self: JobApi, id: Any, urgent: bool = True) -> Any:
         state = job_api.JobStateResponse(job_id=id or JobId("req-0"), phase="pending", done_count=0)
         return job_api.state_response(state)
 
-    patch.setattr(JobApi, "_known_response", known)
+    patch.setattr(JobApi, "_known_response", existing_job_response)
 
 
 def mark_first(patch: pytest.MonkeyPatch) -> None:
-    def job_marked(self: StateWriter, batch: Any, *_: Any) -> list[Any]:
-        # The start goes out, but its mark never reaches the state service.
+    """A start is sent although the job's record was stored without its mark."""
+
+    def transaction_committed(self: StateWriter, batch: Any, *_: Any) -> list[Any]:
+        # The start is sent, but its mark never reaches the state service.
         for job, record in batch.job_records:
             job.placed_below = record.placed_below
             self.send_stored_starts(job)
@@ -217,7 +247,7 @@
             self.machine_blocks.record_stored(number, set(hosts))  # type: ignore[arg-type]
         return []
 
-    patch.setattr(StateWriter, "transaction_committed", job_marked)
+    patch.setattr(StateWriter, "transaction_committed", transaction_committed)
 
     from simulated_cluster import SimulatedStore
 
@@ -232,68 +262,80 @@
 
 
 def own_silence(patch: pytest.MonkeyPatch) -> None:
+    """A pause of the leader's process counts as silence of the machines."""
     patch.setattr(Scheduler, "wake", lambda *_: None)
 
 
 def fresh_answers(patch: pytest.MonkeyPatch) -> None:
+    """A job state is answered however long ago it was read."""
     patch.setattr(job_state_cache, "MAX_STALENESS_S", 1e9)
 
 
 def absent_known(patch: pytest.MonkeyPatch) -> None:
+    """It is not remembered which jobs are unknown."""
+
     async def state(self: JobStateCache, id: Any, urgent: bool = False) -> Any:
         self.absent.clear()
-        return await whole(self, id)
+        return await original(self, id)
 
-    whole = JobStateCache.state
+    original = JobStateCache.state
     patch.setattr(JobStateCache, "state", state)
 
 
 def look_up_first(patch: pytest.MonkeyPatch) -> None:
-    """As it was: the mark of a look-up under way is taken for its outcome."""
+    """As in a former fault, the marker of a lookup in progress counts as its result."""
 
-    async def found(self: JobStateCache, id: Any) -> Any:
+    async def lookup(self: JobStateCache, id: Any) -> Any:
         known = self.finals.get(id) or self.live.get(id)
         return await self._lookup_stored(id) if known is None and id not in self.absent else known
 
-    patch.setattr(JobStateCache, "_lookup", found)
+    patch.setattr(JobStateCache, "_lookup", lookup)
 
 
 def ask_again(patch: pytest.MonkeyPatch) -> None:
-    whole = Client.request
+    """A request is sent even if its reason no longer holds at that moment."""
+    original = Client.request
 
     async def request(self: Client, *args: Any, still: Any = None, **named: Any) -> Any:
-        return await whole(self, *args, **named)
+        return await original(self, *args, **named)
 
     patch.setattr(Client, "request", request)
 
 
 def blame_jobs(patch: pytest.MonkeyPatch) -> None:
+    """A job never counts as faulty, on however many machines it fails."""
     patch.setattr(failure_attribution, "FAULTY_JOB_AFTER_MACHINES", 1 << 30)
 
 
 def blame_undone(patch: pytest.MonkeyPatch) -> None:
+    """A faulty job that runs well after all still counts as faulty."""
     patch.setattr(FailureAttribution, "_exonerate", lambda *_: None)
 
 
 def ever_rarer(patch: pytest.MonkeyPatch) -> None:
+    """A faulty job is retried without a delay."""
     patch.setattr(FailureAttribution, "_delay_retry", lambda *_: None)
 
 
 def hints_kept(patch: pytest.MonkeyPatch) -> None:
+    """A new leader ignores the snapshot of its predecessor."""
     patch.setattr(failover_snapshot, "restore_snapshot", lambda *_: None)
 
 
 def deaf(patch: pytest.MonkeyPatch) -> None:
-    # As it was: any machine that is heard speaks for our own ears.
+    """A leader that is cut off from all workers takes them for failed."""
+    # As in a former fault, a heartbeat of any machine proves that the leader receives them.
     patch.setattr(FailureDetector, "hears_nothing", lambda *_: False)
     patch.setattr(failure_detector, "HEARTBEAT_MARGIN_S", 4.0)
 
 
 def few_at_once(patch: pytest.MonkeyPatch) -> None:
+    """Any number of machines may count as failed at once."""
     patch.setattr(failure_detector, "INDEPENDENT_FAILURE_SHARE", 1.0)
 
 
 def graph_needs(patch: pytest.MonkeyPatch) -> None:
+    """Tasks of a graph do not wait for the tasks that they need."""
     patch.setattr(LiveGraph, "is_ready", lambda *_: True)
     patch.setattr(
         DagJob, "requeue_unlocated", lambda self: self.requeued_tasks.extend(range(self.size))
@@ -301,22 +343,25 @@
 
 
 def graph_machines_cleared(patch: pytest.MonkeyPatch) -> None:
-    """Failures of a task that fails everywhere count against machines."""
+    """Failures of a task that fails on every machine count against the machines."""
     patch.setattr(DagJob, "failure_excused", lambda *_: False)
     patch.setattr(failure_attribution, "QUARANTINE_AFTER_FAILURES", 1)
 
 
 def graph_excused(patch: pytest.MonkeyPatch) -> None:
-    """Failures count against their task, whatever is known of their machines."""
+    """All failures count against their task, even those on faulty machines."""
     patch.setattr(DagJob, "_used", lambda self, index: len(self.failed_attempts[index]))
     patch.setattr(graph_job, "EXTRA_ATTEMPTS", 0)
 
 
 def graph_inferred(patch: pytest.MonkeyPatch) -> None:
+    """The start of a graph's task does not prove that the tasks it needs were done."""
     patch.setattr(LiveGraph, "was_started", lambda *_: None)
 
 
 def needs_first(patch: pytest.MonkeyPatch) -> None:
+    """Jobs do not wait for the jobs that they depend on."""
+
     def add(self: WaitingJobs, job: Job, needs: Any) -> None:
         self.cluster.admit_job(job)
 
@@ -324,74 +369,80 @@
 
 
 def commit_first(patch: pytest.MonkeyPatch) -> None:
-    """A report that a job is done is enough for those after it."""
-    whole = StateWriter.note_completions
+    """Dependent jobs may start as soon as a job is reported done, before that is stored."""
+    original = StateWriter.note_completions
 
-    def completions(self: StateWriter, job: Job) -> None:
-        whole(self, job)
+    def note_completions(self: StateWriter, job: Job) -> None:
+        original(self, job)
         if job.complete:
             self.cluster.apply_job_end(job.id, FinalJobRecord(DONE), self.cluster.wall_clock())
 
-    patch.setattr(StateWriter, "note_completions", completions)
+    patch.setattr(StateWriter, "note_completions", note_completions)
 
 
 def derived(patch: pytest.MonkeyPatch) -> None:
-    """A job is called cancelled only when its own record says so."""
+    """A job counts as cancelled only if its own record says so, not if a dependency's does."""
     patch.setattr(DependencyGraph, "unresolved", lambda *_: set())
-    whole = JobStateCache._lookup
+    original = JobStateCache._lookup
 
-    async def found(self: JobStateCache, id: Any) -> Any:
-        return self.finals.get(id) or self.live.get(id) or await whole(self, id)
+    async def lookup(self: JobStateCache, id: Any) -> Any:
+        return self.finals.get(id) or self.live.get(id) or await original(self, id)
 
-    patch.setattr(JobStateCache, "_lookup", found)
+    patch.setattr(JobStateCache, "_lookup", lookup)
 
 
 def claims(patch: pytest.MonkeyPatch) -> None:
+    """Dependent jobs have no influence on the order of service."""
     patch.setattr(WaitingJobs, "demand_on", lambda *_: NO_DEMAND)
     patch.setattr(dependencies, "EXPECTED_DEMAND_SHARE", 2.0)
 
 
 def part_in_order(patch: pytest.MonkeyPatch) -> None:
-    """A block that machines leave is written like any other."""
-    whole = MachineBlocks.split
+    """A block that machines are moved out of is written in the usual order."""
+    original = MachineBlocks.split
 
     def part(self: MachineBlocks, number: int) -> None:
-        whole(self, number)
+        original(self, number)
         self.machines_moving_out.clear()
 
     patch.setattr(MachineBlocks, "split", part)
 
 
 def rarer_passes(patch: pytest.MonkeyPatch) -> None:
+    """The interval between placement passes does not grow with their length."""
     patch.setattr(leader_loop, "SLOW_PASS_PAUSE_RATIO", 0.0)
 
 
 def habits(patch: pytest.MonkeyPatch) -> None:
+    """Job classes whose jobs usually have dependents get no preference."""
     patch.setattr(dependencies, "EXPECTED_DEMAND_SHARE", 2.0)
 
 
 def fits(patch: pytest.MonkeyPatch) -> None:
-    def record(self: Job, marked: int) -> JobRecord:
+    """Job records are written even if the bitmap of completed tasks exceeds the size limit."""
+
+    def build_record(self: Job, marked: int) -> JobRecord:
         return JobRecord(
             self.spec, self.submitted_at, marked, self.done_below, f"{self.done_bitmap:x}"
         )
 
-    patch.setattr(Job, "build_record", record)
+    patch.setattr(Job, "build_record", build_record)
 
 
 def thrift(patch: pytest.MonkeyPatch) -> None:
+    """Replicas are not moved to cheaper machines."""
     patch.setattr(Consolidation, "consolidate", lambda *_: None)
 
 
-def _answered_stays(patch: pytest.MonkeyPatch, when: Callable[..., bool]) -> None:
-    """When the report of a worker whose lease is known is taken in, and `when` says so of the
-    machine before and after, the moment from which its lease is counted stays as it was."""
-    whole = HeartbeatHandler.apply
+def _keep_answered_at(patch: pytest.MonkeyPatch, when: Callable[..., bool]) -> None:
+    """A heartbeat leaves `answered_at`, from which the worker's lease is counted, unchanged if it
+    was known and if `when` holds for the machine before and after and the heartbeat."""
+    original = HeartbeatHandler.apply
 
     def report(self: HeartbeatHandler, report: Any, now: Any, hello: bool) -> Any:
         machine = self.cluster.machines.get(report.machine_id)
         before = None if machine is None else copy.copy(machine)
-        orders = whole(self, report, now, hello)
+        orders = original(self, report, now, hello)
         if machine and before and before.answered_at is not None and when(before, machine, report):
             machine.answered_at = before.answered_at
         return orders
@@ -400,53 +451,62 @@
 
 
 def session_anew(patch: pytest.MonkeyPatch) -> None:
-    _answered_stays(patch, lambda before, after, _: before.incarnation < after.incarnation)
+    """The first heartbeat of a new session does not restart the worker's lease."""
+    _keep_answered_at(patch, lambda before, after, _: before.incarnation < after.incarnation)
 
 
 def settled_answered(patch: pytest.MonkeyPatch) -> None:
-    _answered_stays(patch, lambda before, after, _: after.reconciled and not before.reconciled)
+    """The reconciliation of a machine does not restart its worker's lease."""
+    _keep_answered_at(patch, lambda before, after, _: after.reconciled and not before.reconciled)
 
 
 def overtaken_answered(patch: pytest.MonkeyPatch) -> None:
-    _answered_stays(patch, lambda before, _, report: report.sequence <= before.sequence)
+    """A heartbeat that another message has overtaken does not renew the worker's lease."""
+    _keep_answered_at(patch, lambda before, _, report: report.sequence <= before.sequence)
 
 
 def asked_first(patch: pytest.MonkeyPatch) -> None:
+    """A leader that hears no worker does not wait for answers to its probes."""
     patch.setattr(failure_detector, "PROBE_WAIT_S", -1.0)
 
 
 def readable_or_known(patch: pytest.MonkeyPatch) -> None:
-    whole = JobStateCache._apply_live
+    """A live job counts as unknown if its record can't be decoded."""
+    original = JobStateCache._apply_live
 
-    def _live(self: JobStateCache, path: str, data: Any) -> None:
+    def apply_live(self: JobStateCache, path: str, data: Any) -> None:
         if isinstance(data.get("spec"), dict):
-            whole(self, path, data)
+            original(self, path, data)
         else:
             self.live.pop(JobId(path.rpartition("/")[2]), None)
 
-    patch.setattr(JobStateCache, "_apply_live", _live)
+    patch.setattr(JobStateCache, "_apply_live", apply_live)
 
 
 def read_of_its_own(patch: pytest.MonkeyPatch) -> None:
+    """The cache counts as complete however old its last listing is."""
     patch.setattr(job_state_cache, "RECENT_LISTING_S", 1e9)
 
 
 def swept(patch: pytest.MonkeyPatch) -> None:
+    """Live jobs that the leader does not know are not found."""
     patch.setattr(Scheduler, "find_unknown_jobs", lambda *_: [])
 
 
 def mended(patch: pytest.MonkeyPatch) -> None:
+    """Tasks that the leader has lost track of are not found."""
     patch.setattr(Job, "count_lost_tasks", lambda _: 0)
 
 
 def pass_alone(patch: pytest.MonkeyPatch) -> None:
-    whole = PlacementPass.place_job
+    """A job whose placement fails ends the placement pass."""
+    original = PlacementPass.place_job
 
     def place_job(self: PlacementPass, job: Job, *rest: Any) -> None:
-        """As if the first that fails ended the pass."""
+        """The first job that fails ends the pass."""
         if self.failed_in != self.cluster.now:
             try:
-                whole(self, job, *rest)
+                original(self, job, *rest)
             except TypeError:
                 self.failed_in = self.cluster.now
 
@@ -455,83 +515,94 @@
 
 
 def no_gathering(patch: pytest.MonkeyPatch) -> None:
+    """No machines are reserved for a gang."""
     patch.setattr(GangReservations, "update", lambda *_: None)
 
 
 def gathers_what_fits(patch: pytest.MonkeyPatch) -> None:
-    """Whatever could be of use is held back, for a gang that needs more than there is."""
-    whole = GangReservations.denied_machines
+    """All machines are reserved for a gang that needs more than there is."""
+    original = GangReservations.denied_machines
 
-    def denied(self: GangReservations, job: Job) -> set[Any]:
+    def denied_machines(self: GangReservations, job: Job) -> set[Any]:
         first = next(iter(self.cluster.jobs.values()))
-        long = [j for j in self.cluster.jobs.values() if j.gang and j.size > 1]
-        if long and job is not long[0] and self.cluster.wall_clock() - long[0].ready_at > 48.0:
+        gangs = [j for j in self.cluster.jobs.values() if j.gang and j.size > 1]
+        if gangs and job is not gangs[0] and self.cluster.wall_clock() - gangs[0].ready_at > 48.0:
             return set(self.cluster.machines)
-        return whole(self, job) if first else set()
+        return original(self, job) if first else set()
 
-    patch.setattr(GangReservations, "denied_machines", denied)
+    patch.setattr(GangReservations, "denied_machines", denied_machines)
 
 
 def gathered_room_is_used(patch: pytest.MonkeyPatch) -> None:
-    def denied(self: GangReservations, job: Job) -> set[Any]:
+    """Machines reserved for a gang are unusable even for work that can be preempted."""
+
+    def denied_machines(self: GangReservations, job: Job) -> set[Any]:
         return {id for id, (owner, _) in self.reserved.items() if owner is not job}
 
-    patch.setattr(GangReservations, "denied_machines", denied)
+    patch.setattr(GangReservations, "denied_machines", denied_machines)
 
 
 def hearing_off(patch: pytest.MonkeyPatch) -> None:
+    """No machine counts as unable to receive messages."""
     patch.setattr(Machine, "unreachable", False)
 
 
 def given_up(patch: pytest.MonkeyPatch) -> None:
+    """Machines that receive nothing are never returned."""
     patch.setattr(Reachability, "machines_to_return", lambda *_: [])
 
 
 def returned_anew(patch: pytest.MonkeyPatch) -> None:
-    def returned(self: Reachability, machine: Machine, now: Any) -> None:
+    """A machine that is heard again after a long silence counts as unreachable at once."""
+
+    def heard_after_silence(self: Reachability, machine: Machine, now: Any) -> None:
         self.suspect(machine, now, sure=True)
 
-    patch.setattr(Reachability, "heard_after_silence", returned)
+    patch.setattr(Reachability, "heard_after_silence", heard_after_silence)
     patch.setattr(reachability, "PROMPT_PROBE_S", 1e9)
 
 
 def many_unheard(patch: pytest.MonkeyPatch) -> None:
+    """Unreachable machines are replaced however many there are at once."""
     patch.setattr(Reachability, "many_unreachable", lambda _: False)
 
 
 def half_gangs(patch: pytest.MonkeyPatch) -> None:
+    """Gangs wait for members whose start does not show on their machine."""
     patch.setattr(Reachability, "_stop_waiting_gangs", lambda *_: None)
 
 
 def copies_known(patch: pytest.MonkeyPatch) -> None:
-    """A report that was answered before renews the lease as the first did."""
-    whole = HeartbeatHandler._count_duplicate
+    """A copy of a heartbeat that was answered before renews the lease as the first did."""
+    original = HeartbeatHandler._count_duplicate
 
-    def _copy(self: HeartbeatHandler, machine: Machine, report: Any, now: Any) -> None:
+    def count_duplicate(self: HeartbeatHandler, machine: Machine, report: Any, now: Any) -> None:
         machine.answered_at = now
-        whole(self, machine, report, now)
+        original(self, machine, report, now)
 
-    patch.setattr(HeartbeatHandler, "_count_duplicate", _copy)
+    patch.setattr(HeartbeatHandler, "_count_duplicate", count_duplicate)
 
 
 def confirmed(patch: pytest.MonkeyPatch) -> None:
+    """A machine that is known only from a heartbeat counts as existing at once."""
     patch.setattr(Machine, "confirmed", property(lambda _: True, lambda *_: None), raising=False)
 
 
 def cheap_only(patch: pytest.MonkeyPatch) -> None:
+    """Jobs of the lowest rank may use and rent expensive machines."""
     patch.setattr(placement_pass, "jobs_limited_to_affordable", lambda *_: {})
     patch.setattr(autoscaler, "jobs_limited_to_affordable", lambda *_: {})
 
 
 def one_zone(patch: pytest.MonkeyPatch) -> None:
-    def anywhere(self: ScaleOutPlan, job: Job, count: int, *_: Any) -> None:
-        """As if room in any zone were room for it."""
+    def request_for_gang(self: ScaleOutPlan, job: Job, count: int, *_: Any) -> None:
+        """Request nothing, as if the gang could use room in any zone."""
 
-    patch.setattr(ScaleOutPlan, "_request_for_gang", anywhere)
+    patch.setattr(ScaleOutPlan, "_request_for_gang", request_for_gang)
 
 
 def knows_cancellations(patch: pytest.MonkeyPatch) -> None:
-    """As if a granted renewal proved that nothing unknown was cancelled."""
+    """A successful lease renewal counts as proof that the leader knows of all cancellations."""
 
     def may_answer(self: LeaseBounds, known: Any, held: Any, now: Any) -> bool:
         return known is not None and now < held + self.keepalive_s
@@ -540,50 +611,53 @@
 
 
 def fresh_knows_nothing(patch: pytest.MonkeyPatch) -> None:
-    whole = LeaderElection.may_answer
+    """A leader that has read no jobs may renew sessions."""
+    original = LeaderElection.may_answer
 
     def may_answer(self: LeaderElection, known: Any) -> bool:
-        return whole(self, self.renewed_at if known is None else known)
+        return original(self, self.renewed_at if known is None else known)
 
     patch.setattr(LeaderElection, "may_answer", may_answer)
 
 
 def tending_ends(patch: pytest.MonkeyPatch) -> None:
-    whole = LeaseBounds.__init__
+    """Sessions may be renewed for 60 s after the jobs were last read."""
+    original = LeaseBounds.__init__
 
     def init(self: LeaseBounds, workers: Any) -> None:
-        whole(self, workers)
+        original(self, workers)
         self.keepalive_s = 60.0
 
     patch.setattr(LeaseBounds, "__init__", init)
 
 
 def lease_let_go(patch: pytest.MonkeyPatch) -> None:
-    """Whoever gives up its term goes on renewing the lease that carries its key."""
+    """A leader that gives up its term goes on renewing the lease that its key is attached to."""
 
-    def _let_go(self: LeaderElection) -> None:
+    def abandon_lease(self: LeaderElection) -> None:
         self.nonce = ""
 
-    patch.setattr(LeaderElection, "_abandon_lease", _let_go)
+    patch.setattr(LeaderElection, "_abandon_lease", abandon_lease)
 
 
 def longest_bound(patch: pytest.MonkeyPatch) -> None:
-    """A new leader waits as long as a session lasts that its former holder does not tend."""
-    whole = LeaseBounds.__init__
+    """A new leader waits only one lease, as if the former leader had renewed no session."""
+    original = LeaseBounds.__init__
 
     def init(self: LeaseBounds, workers: Any) -> None:
-        whole(self, workers)
+        original(self, workers)
         self.takeover_s = self.lease_s
 
     patch.setattr(LeaseBounds, "__init__", init)
 
 
 def gang_done_together(patch: pytest.MonkeyPatch) -> None:
+    """The completion of one task of a gang does not complete the others."""
     patch.setattr(Job, "completed_with", lambda self, index: (index,))
 
 
 def late_start(patch: pytest.MonkeyPatch) -> None:
-    """A start counts as over until its answer is given up."""
+    """A start counts as unable to arrive until the wait for its answer has timed out."""
 
     def may_arrive(self: InflightStarts, task: Any, attempt: Any) -> bool:
         starts = self._starts.get((task, attempt))
@@ -593,44 +667,47 @@
 
 
 def exited_raise(patch: pytest.MonkeyPatch) -> None:
+    """The token is not rotated for exited attempts that can't be forgotten."""
     patch.setattr(TokenRotation, "unforgotten_exit", lambda *_: None)
 
 
 def unwanted_start(patch: pytest.MonkeyPatch) -> None:
+    """Sessions are renewed even while an unwanted start may still arrive."""
     patch.setattr(Scheduler, "has_unwanted_start", lambda *_: False)
 
 
 def cancelled_use(patch: pytest.MonkeyPatch) -> None:
-    """As it was: what is not live uses nothing, unless this leader has placed it."""
+    """As in a former fault, jobs that are not live count as using nothing, unless this leader
+    placed them."""
     patch.setattr(Scheduler, "count_remaining", lambda *_: None)
-    whole = Scheduler.remove_job
+    original = Scheduler.remove_job
 
-    def job_gone(self: Scheduler, id: Any) -> None:
-        whole(self, id)
+    def remove_job(self: Scheduler, id: Any) -> None:
+        original(self, id)
         self.cancelled_jobs.clear()
 
-    patch.setattr(Scheduler, "remove_job", job_gone)
+    patch.setattr(Scheduler, "remove_job", remove_job)
 
 
 def asked_anew(patch: pytest.MonkeyPatch) -> None:
-    """Who asks shortly after somebody else gets what was read for that one."""
-    whole = JobStateCache.state
+    """A request shortly after another gets the state that was read for the other."""
+    original = JobStateCache.state
 
     async def state(self: JobStateCache, id: Any, urgent: bool = False) -> Any:
         known = self.finals.get(id) or self.live.get(id)
         if known is not None and self.clock() - self.read_at <= job_state_cache.MAX_STALENESS_S:
             return known
-        return await whole(self, id, urgent=urgent)
+        return await original(self, id, urgent=urgent)
 
     patch.setattr(JobStateCache, "state", state)
 
 
 def block_first(patch: pytest.MonkeyPatch) -> None:
-    """A machine is given work before its name stands in a block."""
-    whole = HeartbeatHandler.apply
+    """A machine is given work before its name is stored in a block record."""
+    original = HeartbeatHandler.apply
 
     def report(self: HeartbeatHandler, report: Any, now: Any, hello: bool) -> Any:
-        orders = whole(self, report, now, hello)
+        orders = original(self, report, now, hello)
         machine = self.cluster.machines.get(report.machine_id)
         if machine is not None and machine.reconciled and machine.block_number is None:
             machine.block_number = -1
@@ -641,15 +718,17 @@
 
 
 def mute_unnoticed(patch: pytest.MonkeyPatch) -> None:
+    """Machines whose heartbeats are missing still get work."""
     patch.setattr(Reachability, "heartbeats_missing", lambda *_: None)
 
 
 def starts_known(patch: pytest.MonkeyPatch) -> None:
-    """As if the lease alone were enough to start something."""
+    """The leader's lease alone permits starts, even if it may not know of all cancellations."""
     patch.setattr(LeaseBounds, "may_start", lambda *_: True)
 
 
 def tells_others(patch: pytest.MonkeyPatch) -> None:
+    """Cancellations are not announced to the other controllers."""
     patch.setattr(CancellationAnnouncer, "announce", lambda *_: None)
 
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -6,7 +6,7 @@
 
 import mutations
 import pytest
-from test_scenarios import FILES, Failed, ScenarioPlayer, play
+from test_scenarios import FILES, ScenarioFailure, ScenarioPlayer, play
 
 from umberward.core.types import Attempt, Instant, JobId, MachineId, TaskId
 from umberward.scheduling import invariants
@@ -114,7 +114,7 @@
     monkeypatch.setattr(Invariants, "raises", False)
     mutations.settle_again(monkeypatch)
     path = next(path for path in FILES if path.stem == "takeover_report_before_jobs")
-    with pytest.raises(Failed, match=Invariant.STARTED_ALONE.value):
+    with pytest.raises(ScenarioFailure, match=Invariant.STARTED_ALONE.value):
         play(path)
 
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,7 +1,10 @@
-"""The one runner: plays each text file of tests/scenarios.
+"""Runs each scenario file of tests/scenarios.
 
-A line is a verb with its words; '#' starts a comment. A file that begins with `guard NAME` is
-played a second time with that guard taken out of the code, and must fail then.
+A line is a verb with its arguments; '#' starts a comment. A file with a line `guard NAME` is run a
+second time with that mutation of `mutations.py` applied to the code, and must fail then.
+
+A line `VERB ARGUMENT...` calls `ScenarioPlayer.do_VERB`, and `expect WHAT ARGUMENT... RESULT`
+compares the result of `see_WHAT`.
 """
 
 from __future__ import annotations
@@ -49,7 +52,7 @@
 )
 
 
-class Failed(Exception):
+class ScenarioFailure(Exception):
     pass
 
 
@@ -75,7 +78,7 @@
     def __init__(self) -> None:
         self.cluster = self.make()
         self.last: Any = None
-        self.answers = 0
+        self.outcome_count = 0
         self.defaults: dict[str, Any] = {}
         self.sent_heartbeats: dict[str, deque[tuple[float, bytes]]] = {}
 
@@ -84,7 +87,7 @@
         method: Callable[..., None] = getattr(self, f"do_{verb.replace('-', '_')}")
         method(*words)
 
-    # ---- the world ---------------------------------------------------------------------
+    # ---- cluster and faults ------------------------------------------------------------
 
     def do_guard(self, _: str) -> None:
         pass
@@ -94,11 +97,11 @@
         self.cluster = self.make(raw_settings(**amounts))
 
     def do_silence(self, seconds: str) -> None:
-        """The operators' `silence.seconds`; to be said before anything else."""
+        """Set the operators' `silence.seconds`; must come first in a scenario."""
         self.cluster = self.make(None, OperatorSettings(silence_seconds=float(seconds)))
 
     def do_peer(self, label: str, zone: str) -> None:
-        """Another controller; to be said before anything else."""
+        """Add another controller to the settings; must come first in a scenario."""
         raw = raw_settings()
         raw["peers"] = [{"label": label, "site": zone, "addr": "127.0.0.1:5"}]
         self.cluster = self.make(raw)
@@ -107,21 +110,21 @@
         self.cluster.cut_zone(name, what == "cut")
 
     def do_limits(self, *words: str) -> None:
-        """The state service's limits that will be in force some day."""
+        """Announce future limits of the state service (`state.next` in the settings)."""
         raw = raw_settings()
         raw["cluster"]["state"]["next"] = _pairs(list(words))
         self.cluster = self.make(raw)
 
     def do_lower(self, *words: str) -> None:
-        """From now on the state service has lower limits."""
+        """Lower limits of the state service from now on."""
         for name, value in _pairs(list(words)).items():
             setattr(self.cluster.store.core, name, value)
 
     def do_stored(self, fixture: str) -> None:
-        """Records as the production version has written them."""
+        """Load records that the production version has written."""
         text = (Path(__file__).parent / "records" / f"{fixture}.json").read_text()
         for path, data in msgspec.json.decode(text).items():
-            # They may be larger than what may be written by now.
+            # They may exceed the present limits of writes.
             self.cluster.store.insert(path, data)
             if path.startswith(JOBS_PREFIX):
                 self.cluster.prewritten_jobs.add(path.rpartition("/")[2])
@@ -132,23 +135,23 @@
                     self.do_machine(name, flavor, zone)
 
     def do_remove(self, name: str) -> None:
-        """The cloud has taken the machine."""
+        """Delete the machine, as by the cloud."""
         self.sent_heartbeats[name] = self.cluster.workers[name].sent_heartbeats
         self.cluster.delete(name)
 
     def do_lowered_rate(self, now: str, later: str) -> None:
-        """The state service refuses a transaction for its rate, once."""
+        """Refuse a transaction once for its rate; the client must then use the `later` limit."""
         limits = StateLimits(1000.0, float(now), 4.0, 8, NextLimits(write_rps=float(later)))
-        answers = [Response(429), Response(200, wire.encode({"generation": 7}))]
+        responses = [Response(429), Response(200, wire.encode({"generation": 7}))]
 
-        class Refusing:
+        class RefusingOnce:
             async def request(self, *_: Any) -> Response:
-                return answers.pop(0)
+                return responses.pop(0)
 
-        store = StateClient(Address("127.0.0.1", 4), limits, 3, Refusing())  # type: ignore[arg-type]
+        store = StateClient(Address("127.0.0.1", 4), limits, 3, RefusingOnce())  # type: ignore[arg-type]
         revision = curio.run(store.commit, [], [delete(Key("x"))])
-        assert revision == 7 and not answers
-        self.answers = int(store.limits.write_rps)
+        assert revision == 7 and not responses
+        self.outcome_count = int(store.limits.write_rps)
 
     def do_machine(self, name: str, flavor: str, zone: str, *kind: str) -> None:
         self.cluster.workers[name] = Worker(self.cluster, name, flavor, zone, "spot" in kind)
@@ -175,12 +178,12 @@
         self.cluster.watching = True
 
     def do_aim(self, kind: str, job_class: str, within_s: str) -> None:
-        """What operators aim at; the leader of now knows it."""
+        """Give the current leader an objective for the job class: to start `within_s`."""
         assert kind == "wait" and self.cluster.scheduler is not None
         self.cluster.scheduler.class_aims[job_class] = (float(within_s), None)
 
     def do_watch(self, mode: str) -> None:
-        """Whether the leader hears of changes in the state service."""
+        """Whether the leader receives changes from the state service."""
         self.cluster.watching = mode == "on"
 
     def do_crash(self) -> None:
@@ -190,7 +193,7 @@
         self.cluster.run(float(seconds))
 
     def do_freeze(self, seconds: str) -> None:
-        """The leader stands still for so long while its clock runs on."""
+        """Pause the leader process for this time, while its clock advances."""
         self.cluster.paused = True
         self.cluster.run(float(seconds))
         self.cluster.paused = False
@@ -223,18 +226,18 @@
             self.do_set(f"m{number}", flag)
 
     def do_copy(self, name: str, age: str) -> None:
-        """A late copy of the machine's report arrives, also when the machine is gone."""
+        """Deliver a late copy of the machine's heartbeat, even if the machine is gone."""
         self.sent_heartbeats.update(
             {name: worker.sent_heartbeats for name, worker in self.cluster.workers.items()}
         )
         self.cluster.deliver_copy(self.sent_heartbeats[name], float(age))
 
     def do_copies(self, name: str, age: str, every: str, seconds: str) -> None:
-        """Copies of the same report come again and again."""
+        """Deliver copies of one heartbeat repeatedly."""
         self.sent_heartbeats.update(
             {name: worker.sent_heartbeats for name, worker in self.cluster.workers.items()}
         )
-        said = deque(
+        heartbeats = deque(
             [
                 item
                 for item in self.sent_heartbeats[name]
@@ -242,39 +245,40 @@
             ]
         )
         for _ in range(round(float(seconds) / float(every))):
-            self.cluster.deliver_copy(said, 0.0)
+            self.cluster.deliver_copy(heartbeats, 0.0)
             self.cluster.run(float(every))
 
     def do_forget_deleted(self) -> None:
-        """So many machines were deleted since that these are forgotten."""
+        """Clear the leader's bounded list of deleted machines, as many later deletions would."""
         assert self.cluster.scheduler is not None
         self.cluster.scheduler.deleted_machines.clear()
 
     def do_lose_job(self, id: str) -> None:
-        """The leader's memory has lost it."""
+        """Remove the job from the leader's memory."""
         assert self.cluster.scheduler is not None
         self.cluster.scheduler.jobs.pop(JobId(id))
         self.cluster.scheduler.jobs_to_place.pop(JobId(id), None)
 
     def do_lose_tasks(self, id: str) -> None:
-        """The leader's books have lost the tasks that wait."""
+        """Remove the job's waiting tasks from the leader's memory."""
         job = self._job(id)
         job.requeued_tasks.clear()
         job.next_fresh_task = job.size
 
     def do_trip(self, id: str) -> None:
-        """Placing this job fails, for whatever reason."""
+        """Make each placement of this job raise an exception."""
         self._job(id).placement_class = []  # type: ignore[assignment]
 
     def do_untrip(self, id: str) -> None:
+        """Undo `trip`."""
         self._job(id).placement_class = ("mended",)  # type: ignore[assignment]
 
     def do_garble(self, id: str) -> None:
-        """Its live record cannot be read any more."""
+        """Overwrite the job's live record with one that can't be decoded."""
         self.cluster.store.apply([], [transactions.put(Key(LIVE_JOBS_PREFIX + id), {"spec": 7})])
 
     def do_copy_lacks(self, id: str) -> None:
-        """The controller's copy of the states has lost the job, long after all were listed."""
+        """Remove the job from the controller's cache of job states, long after its last listing."""
         self.cluster.job_states.live.pop(JobId(id), None)
         self.cluster.job_states.listed_at -= 100.0
 
@@ -296,7 +300,7 @@
     # ---- sockets -----------------------------------------------------------------------
 
     def do_ask_servers(self, servers: str, sockets: str) -> None:
-        """Ask so many servers twice over, with a budget of so many sockets."""
+        """Send two requests to each of the servers, with a budget of this number of sockets."""
 
         async def answer(_: Request) -> Response:
             return Response(200)
@@ -317,13 +321,13 @@
                 await task.cancel()
             return count
 
-        self.answers = curio.run(ask)
+        self.outcome_count = curio.run(ask)
 
     def do_ask_too_late(self) -> None:
-        """A request that is ready to be sent when its reason no longer holds."""
+        """Send two requests; the second is withdrawn when it is ready to be sent."""
 
         async def answer(_: Request) -> Response:
-            self.answers += 1
+            self.outcome_count += 1
             return Response(200)
 
         async def ask() -> None:
@@ -339,18 +343,18 @@
         curio.run(ask)
 
     def see_answers(self) -> int:
-        return self.answers
+        return self.outcome_count
 
     # ---- the README --------------------------------------------------------------------
 
     def do_readme(self, *words: str) -> None:
-        """Type what the README says after these words, with the job of its worked example, and
-        compare what is printed."""
+        """Execute the commands that follow these words in the README, with the job of its worked
+        example, and compare their output with the README's."""
         text = (Path(__file__).parent.parent / "README.md").read_text()
         job = text[text.index("    {") : text.index("\n\n", text.index("    {"))]
         lines = text[text.index(" ".join(words)) :].splitlines()
         shown = [line[4:] for line in lines if line.startswith("    ")]
-        self.answers = 0
+        self.outcome_count = 0
         with (
             self._serving() as server,
             tempfile.TemporaryDirectory() as folder,
@@ -364,15 +368,18 @@
                     continue
                 result = CliRunner().invoke(cli.main, typed.split()[1:])
                 if result.output.strip() != shown.pop(0):
-                    raise Failed(f"{typed}: printed {result.output}")
-                self.answers += 1
+                    raise ScenarioFailure(f"{typed}: printed {result.output}")
+                self.outcome_count += 1
 
     @contextlib.contextmanager
     def _serving(self) -> Iterator[str]:
-        """A controller's address for users, with the world's state service behind it."""
+        """Serve the user API of a controller on top of the simulated state service.
+
+        Yields the address.
+        """
         node = Controller(self.cluster.settings)
         node.router.job_api = self.cluster.job_api
-        over = threading.Event()
+        stop = threading.Event()
 
         async def serve() -> None:
             server = Server(Address("127.0.0.1", 29391), node.router.serve, 8)
@@ -380,7 +387,7 @@
                 await curio.spawn(part, daemon=True)
                 for part in (server.run, self.cluster.job_states.run)
             ]
-            while not over.is_set():
+            while not stop.is_set():
                 await curio.sleep(0.02)
             for task in running:
                 await task.cancel()
@@ -391,13 +398,13 @@
         try:
             yield "127.0.0.1:29391"
         finally:
-            over.set()
+            stop.set()
             thread.join()
 
     # ---- settings ----------------------------------------------------------------------
 
     def do_settings(self, field: str, value: str) -> None:
-        """The platform's file with this field (JSON) put in: is it refused, and how?"""
+        """Validate the platform's settings with this field set to a JSON value."""
         raw: Any = raw_settings()
         *path, last = field.split(".")
         place = raw
@@ -412,7 +419,7 @@
             self.last = "settings: taken: "
 
     def see_refused(self) -> str:
-        """The field that the message names, or `taken`."""
+        """The field that the error names, or `taken` if the settings are valid."""
         assert "\n" not in self.last
         return str(self.last).split(": ")[1]
 
@@ -476,16 +483,16 @@
         self.do_submit(id, f"waits_on={','.join(names)}")
 
     def do_meanwhile_cancel(self, id: str) -> None:
-        """Another controller cancels it between the next reading and what is made of it."""
+        """Let another controller cancel the job between the next read of it and its use."""
         self.cluster.cancel_after_reading(id, 0.0)
 
     def do_poll_elsewhere(self, id: str) -> None:
         self.last = self.cluster.poll_elsewhere(id)
 
     def do_poll_elsewhere_at_once(self, id: str, times: str) -> None:
-        """Several users ask a controller that was started just now; how many get the answer."""
+        """Poll concurrently at a controller that has just started, and count the successes."""
         responses = self.cluster.poll_elsewhere_concurrently(id, int(times))
-        self.answers = sum(response.status == 200 for response in responses)
+        self.outcome_count = sum(response.status == 200 for response in responses)
 
     def do_late_cancel(self, id: str) -> None:
         self.cluster.cancel_elsewhere(id)
@@ -507,7 +514,7 @@
     def do_expect(self, what: str, *words: str) -> None:
         found = getattr(self, f"see_{what.replace('-', '_')}")(*words[:-1])
         if str(found) != words[-1]:
-            raise Failed(f"expect {what} {' '.join(words)}: found {found}")
+            raise ScenarioFailure(f"expect {what} {' '.join(words)}: found {found}")
 
     def see_status(self) -> int:
         return self.last.status
@@ -523,7 +530,7 @@
         return sum(1 for key in self.cluster.store.keys if key.startswith(LIVE_JOBS_PREFIX))
 
     def see_queued(self) -> int:
-        """How many jobs are looked at for room."""
+        """How many jobs a pass considers for placement."""
         assert self.cluster.scheduler is not None
         return len(self.cluster.scheduler.jobs_in_service_order(Instant(self.cluster.now)))
 
@@ -545,16 +552,16 @@
         return self.cluster.scheduler.jobs[JobId(id)]
 
     def see_strange_fields(self) -> str:
-        """What the production version would not know in the records of jobs."""
-        known = {"spec", "at", "marked", "base", "done", "phase"} | set(PRODUCTION_SPEC)
+        """Fields of job records that the production version does not know."""
+        known_fields = {"spec", "at", "marked", "base", "done", "phase"} | set(PRODUCTION_SPEC)
         found = set()
         for key, got in self.cluster.store.keys.items():
             if key.startswith(JOBS_PREFIX):
-                found |= (set(got.data) | set(got.data.get("spec", ()))) - known
+                found |= (set(got.data) | set(got.data.get("spec", ()))) - known_fields
         return ",".join(sorted(found)) or "none"
 
     def see_pass_share(self, milliseconds: str) -> int:
-        """Which percentage of the time goes into passes that take so long each."""
+        """Percentage of the time spent in passes if each takes this long."""
         took = float(milliseconds) / 1000
         return int(100 * took / leader_loop.pass_pause(took))
 
@@ -568,7 +575,7 @@
         return ",".join(sorted(host for _, host in self.cluster.running(id)))
 
     def see_listed(self, name: str) -> int:
-        """How many tasks its reports list, those that have exited included."""
+        """How many tasks its heartbeats list, including exited ones."""
         return len(self.cluster.workers[name].tasks)
 
     def see_token_raises(self) -> int:
@@ -579,7 +586,7 @@
         return self.cluster.starts.get(task, 0)
 
     def see_at_most(self, what: str, *words: str) -> bool:
-        """Whether what something cost is within the bound given last."""
+        """Whether the result of `cost_WHAT` is within the bound, which is the last argument."""
         *words_, bound = words
         return int(getattr(self, f"cost_{what}")(*words_)) <= int(bound)
 
@@ -587,28 +594,28 @@
         return self.cluster.poll_concurrently(id, int(times))
 
     def cost_reading(self, seconds: str) -> int:
-        return self._counted("heartbeats_decoded", seconds)
+        return self._increase("heartbeats_decoded", seconds)
 
     def cost_searching(self, seconds: str) -> int:
-        return self._counted("searches", seconds)
+        return self._increase("searches", seconds)
 
     def cost_considering(self, seconds: str) -> int:
-        """Jobs that are looked at for tasks to place."""
-        return self._counted("jobs_examined", seconds)
+        """Jobs examined for tasks to place."""
+        return self._increase("jobs_examined", seconds)
 
     def cost_polls_one_by_one(self, id: str, times: str, gap_s: str) -> int:
-        """Requests to the state service for polls one after the other, in each 0.15 s."""
-        began, before = time.monotonic(), self.cluster.store.requests
+        """Requests to the state service per 0.15 s, for polls one after the other."""
+        started_at, before = time.monotonic(), self.cluster.store.requests
         self.cluster.poll_one_by_one(id, int(times), float(gap_s))
-        spans = 1 + (time.monotonic() - began) / 0.15
+        spans = 1 + (time.monotonic() - started_at) / 0.15
         return round((self.cluster.store.requests - before) / spans)
 
     def cost_looking(self, seconds: str) -> int:
-        """Machines that are looked at for work that may be stopped."""
-        return self._counted("machines_examined", seconds)
+        """Machines examined for tasks to preempt."""
+        return self._increase("machines_examined", seconds)
 
     def cost_renting(self) -> int:
-        """How often a machine's room is compared with what waits, to find what to rent."""
+        """Comparisons of machine sizes with waiting jobs, to decide what to rent."""
         assert self.cluster.autoscaler is not None
         self.cluster.autoscaler.comparisons = 0
         self.cluster.autoscaler.scale_out_requests(Instant(self.cluster.now))
@@ -620,7 +627,7 @@
         return self.cluster.probes - before
 
     def cost_lookups(self, id: str, times: str) -> int:
-        """Requests to the state service for as many polls, one after the other."""
+        """Requests to the state service for this number of polls of an unknown job."""
         before = self.cluster.store.requests
         for _ in range(int(times)):
             assert self.cluster.poll(id).status == 404
@@ -633,7 +640,7 @@
         return self.cluster.store.requests - before
 
     def cost_starting(self, id: str, seconds: str) -> int:
-        """How often tasks of the job are started in so many seconds."""
+        """Starts of the job's tasks in this time."""
 
         def count() -> int:
             return sum(n for task, n in self.cluster.starts.items() if task.startswith(id + "/"))
@@ -642,7 +649,7 @@
         self.cluster.run(float(seconds))
         return count() - before
 
-    def _counted(self, name: str, seconds: str) -> int:
+    def _increase(self, name: str, seconds: str) -> int:
         scheduler = self.cluster.scheduler
         before = getattr(scheduler, name)
         self.cluster.run(float(seconds))
@@ -652,12 +659,12 @@
         return len(self.cluster.workers)
 
     def see_returning(self) -> int:
-        """How many machines would be returned now."""
+        """How many machines the autoscaler would return now."""
         assert self.cluster.autoscaler is not None
         return len(self.cluster.autoscaler.machines_to_return(Instant(self.cluster.now)))
 
     def see_renting(self, flavor: str) -> int:
-        """How many machines of the type would be rented now."""
+        """How many machines of the type the autoscaler would rent now."""
         assert self.cluster.autoscaler is not None
         rentals = self.cluster.autoscaler.scale_out_requests(Instant(self.cluster.now))
         return sum(rental.machine_count for rental in rentals if rental.offer.type == flavor)
@@ -675,7 +682,7 @@
         return self.cluster.scheduler.machines[MachineId(name)].unreachable
 
     def see_usable(self) -> int:
-        """How many machines may be given work."""
+        """How many machines are schedulable."""
         assert self.cluster.scheduler is not None
         return len(self.cluster.scheduler.schedulable_room()[0])
 
@@ -693,20 +700,21 @@
 
 
 def play(path: Path, kind: type[ScenarioPlayer] = ScenarioPlayer) -> None:
-    game = kind()
+    player = kind()
     for number, line in enumerate(path.read_text().splitlines(), 1):
         text = line.partition("#")[0].strip()
         if not text:
             continue
         try:
-            game.line(text)
-        except Failed as error:
-            raise Failed(f"{path.name}:{number}: {error}") from None
-    if game.cluster.broken:
-        raise Failed(f"{path.name}: {game.cluster.broken[0]}")
+            player.line(text)
+        except ScenarioFailure as error:
+            raise ScenarioFailure(f"{path.name}:{number}: {error}") from None
+    if player.cluster.broken:
+        raise ScenarioFailure(f"{path.name}: {player.cluster.broken[0]}")
 
 
 def _guard(path: Path) -> str | None:
+    """The name on the file's `guard` line."""
     for line in path.read_text().splitlines():
         if line.startswith("guard "):
             return line.split()[1]
@@ -714,16 +722,16 @@
 
 
 def guarded(files: list[Path]) -> list[Path]:
-    """Those that begin with `guard NAME`."""
+    """The files with a line `guard NAME`."""
     return [path for path in files if _guard(path)]
 
 
 def fails_unguarded(path: Path, patch: pytest.MonkeyPatch, play: Callable[[Path], None]) -> None:
-    """With the guard that the file names taken out of the code, it must fail."""
+    """Check that the scenario fails with the mutation that its guard line names."""
     name = _guard(path)
     assert name is not None
     MUTATIONS[name](patch)
-    with pytest.raises((Failed, InvariantViolationError)):
+    with pytest.raises((ScenarioFailure, InvariantViolationError)):
         play(path)
 
 
