--- a/tests/network.py
+++ b/tests/network.py
@@ -81,9 +81,9 @@
         return Server(self, address, handler)
 
     def address(self, owner: str, port: int) -> Address:
-        made = Address("127.0.0.1", port)
-        self.owners[made] = owner
-        return made
+        new_address = Address("127.0.0.1", port)
+        self.owners[new_address] = owner
+        return new_address
 
     async def deliver_kept_heartbeats(self, addresses: Iterable[Address]) -> None:
         """Deliver the kept heartbeats to all of these addresses."""
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -1,6 +1,6 @@
 """Checks of the rules of PROTOCOL against the answers to users and the actions of workers.
 
-Shared by the simulated clusters, which report what happens in them to a `RuleChecker`.
+`RuleChecker` is the base class of the simulated clusters, which tell it what happens in them.
 """
 
 from __future__ import annotations
@@ -67,20 +67,20 @@
         """Whether the worker's machine is gone, so that none of its tasks runs."""
         raise NotImplementedError
 
-    # ---- answers to users -----------------------------------------------------------
+    # ---- answers to users --------------------------------------------------------------
 
     def user_knowledge(self, id: str) -> UserKnowledge:
         return UserKnowledge(id in self.submitted, self.ended.get(id))
 
     def check_phase(
-        self, id: str, response: Response, told: UserKnowledge | None = None
+        self, id: str, response: Response, known: UserKnowledge | None = None
     ) -> str | None:
         """Check an answer with a job's phase, and return the phase.
 
-        `told`: what the user knew when the request was sent; None: all that is known now.
+        `known`: what the user knew when the request was sent; None: all that is known now.
         """
         if response.status != 200:
-            if response.status == 404 and id in self.specs and (told is None or told.accepted):
+            if response.status == 404 and id in self.specs and (known is None or known.accepted):
                 self.broken.append(f"forgotten: {id}")
             return None
         if id not in self.specs and id not in self.prewritten_jobs:
@@ -88,7 +88,7 @@
             return None
         phase: str = msgspec.msgpack.decode(response.body)["phase"]
         now = self.user_knowledge(id)
-        if phase not in (wire.DONE, wire.CANCELLED) and now.ended and told and not told.ended:
+        if phase not in (wire.DONE, wire.CANCELLED) and now.ended and known and not known.ended:
             # The request was sent before the newer answer had arrived. No controller can know what
             # another one answers at the same moment, so this is counted, and breaks no rule.
             self.overtaken += 1
@@ -103,14 +103,14 @@
         return phase
 
     def check_submission(
-        self, spec: dict[str, Any], response: Response, told: UserKnowledge
+        self, spec: dict[str, Any], response: Response, known: UserKnowledge
     ) -> None:
         """Check an answer to a submission. `spec`: the body sent, also of a repeat that differs."""
         id = spec.get("uid")
-        if response.status in (400, 422) and told.accepted:
+        if response.status in (400, 422) and known.accepted:
             self.broken.append(f"forgotten: a repeat of {id} is answered {response.status}")
-        if response.status == 201 and told.ended:
-            self.broken.append(f"went_back: {id} was {told.ended}, is accepted anew")
+        if response.status == 201 and known.ended:
+            self.broken.append(f"went_back: {id} was {known.ended}, is accepted anew")
         if response.status == 201 and self.why_unfit(spec):
             self.broken.append(f"accepted: {id}, {self.why_unfit(spec)}")
 
@@ -145,13 +145,13 @@
                 return "it needs more than its team may use"
         return ""
 
-    # ---- actions of workers ---------------------------------------------------------------
+    # ---- actions of workers ------------------------------------------------------------
 
     def describe(self, job: str) -> JobSpec | None:
         """The job's description, as the user uploaded it for the workers."""
         if job not in self.described and job in self.specs:
-            known = JobSpec.__struct_encode_fields__
-            plain = {name: value for name, value in self.specs[job].items() if name in known}
+            known_fields = JobSpec.__struct_encode_fields__
+            plain = {name: value for name, value in self.specs[job].items() if name in known_fields}
             # Image fetches take no time here.
             plain["pull_gb"] = 0.0
             self.described[job] = wire.convert(plain, JobSpec)
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -561,12 +561,12 @@
     def _delegate(self, scheduler: Scheduler, now: Instant) -> None:
         for name, (zone, delegate) in self.delegates.items():
             if zone not in self.cut_off_zones and now - delegate.asked_at >= 1.0:
-                loan = scheduler.delegate(
+                delegation = scheduler.delegate(
                     ControllerName(name), delegate.serial, delegate.unused, now
                 )
-                if loan is not None:
-                    note("loan", name, loan)
-                    delegate.accept(loan, now, now)
+                if delegation is not None:
+                    note("loan", name, delegation)
+                    delegate.accept(delegation, now, now)
 
     def _sweep(self, scheduler: Scheduler, now: Instant) -> None:
         if now < self.next_sweep_at or self.store.mode == "down" or not scheduler.loaded:
@@ -643,25 +643,37 @@
 
     def _time_out_commands(self, scheduler: Scheduler, now: Instant) -> None:
         """Time out the commands that were not answered in time."""
-        held = [one for worker in self.workers.values() for one in worker.held_commands]
-        for one in [*held, *self.lost_commands]:
-            if one.sender is scheduler and one.gives_up_at is not None and now >= one.gives_up_at:
-                one.gives_up_at = None
-                scheduler.command_completed(one.command, None, True, now)
-                self._send(scheduler, self.commands.completed(one.command.machine), now)
-        self.lost_commands = [one for one in self.lost_commands if one.gives_up_at is not None]
+        held = [
+            held_command
+            for worker in self.workers.values()
+            for held_command in worker.held_commands
+        ]
+        for held_command in [*held, *self.lost_commands]:
+            if (
+                held_command.sender is scheduler
+                and held_command.gives_up_at is not None
+                and now >= held_command.gives_up_at
+            ):
+                held_command.gives_up_at = None
+                scheduler.command_completed(held_command.command, None, True, now)
+                self._send(scheduler, self.commands.completed(held_command.command.machine), now)
+        self.lost_commands = [
+            held_command
+            for held_command in self.lost_commands
+            if held_command.gives_up_at is not None
+        ]
 
     def release_commands(self, name: str) -> None:
         """Deliver the held commands, however old."""
         worker = self.workers[name]
         worker.holding = False
         held, worker.held_commands = worker.held_commands, []
-        for one in held:
-            report = self._execute(worker, one.command)
-            if one.gives_up_at is not None and one.sender is self.scheduler:
+        for held_command in held:
+            report = self._execute(worker, held_command.command)
+            if held_command.gives_up_at is not None and held_command.sender is self.scheduler:
                 now = Instant(self.now)
-                one.sender.command_completed(one.command, report, False, now)
-                self._send(one.sender, self.commands.completed(worker.host), now)  # type: ignore[arg-type]
+                held_command.sender.command_completed(held_command.command, report, False, now)
+                self._send(held_command.sender, self.commands.completed(worker.host), now)  # type: ignore[arg-type]
 
     def delete(self, name: str) -> None:
         del self.workers[name]
--- a/tests/simulated_controllers.py
+++ b/tests/simulated_controllers.py
@@ -354,30 +354,30 @@
     async def _submit(self, spec: dict[str, Any], name: str) -> Response | None:
         id = spec["uid"]
         self.specs.setdefault(id, spec)
-        told = self.user_knowledge(id)
+        known = self.user_knowledge(id)
         response = await self._send_request(
             name, "POST", "/v1/jobs", wire.encode(spec), WRITE_TIMEOUT_S
         )
         if response is not None:
-            self.check_submission(spec, response, told)
-            self.check_phase(id, response, told)
+            self.check_submission(spec, response, known)
+            self.check_phase(id, response, known)
             if response.status in (200, 201):
                 self.submitted.setdefault(id, self.now)
         return response
 
     async def _poll(self, id: str, name: str) -> Response | None:
-        told = self.user_knowledge(id)
+        known = self.user_knowledge(id)
         response = await self._send_request(name, "GET", f"/v1/jobs/{id}", b"", POLL_TIMEOUT_S)
-        self._check_answer(id, response, told)
+        self._check_answer(id, response, known)
         return response
 
     async def _cancel(self, id: str, name: str) -> Response | None:
-        told = self.user_knowledge(id)
+        known = self.user_knowledge(id)
         self.requested.add(id)
         response = await self._send_request(
             name, "POST", f"/v1/jobs/{id}/cancel", b"", WRITE_TIMEOUT_S
         )
-        if self._check_answer(id, response, told) == wire.CANCELLED:
+        if self._check_answer(id, response, known) == wire.CANCELLED:
             final_record = self.stored_keys().get(Key(FINAL_JOBS_PREFIX + id))
             if final_record is None or final_record.data["phase"] != wire.CANCELLED:
                 self.broken.append(
@@ -386,10 +386,10 @@
             self.cancelled.setdefault(id, self.now)
         return response
 
-    def _check_answer(self, id: str, response: Response | None, told: UserKnowledge) -> str | None:
+    def _check_answer(self, id: str, response: Response | None, known: UserKnowledge) -> str | None:
         if response is None:
             return None
-        phase = self.check_phase(id, response, told)
+        phase = self.check_phase(id, response, known)
         if phase == wire.CANCELLED and id not in self.requested:
             self.broken.append(f"went_back: nobody has cancelled {id}")
         return phase
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -103,7 +103,7 @@
         del self.cluster.network.links.faults[label]
 
     def do_copies(self, name: str, share: str, least: str, most: str) -> None:  # type: ignore[override]
-        """Deliver late copies, `least` to `most` seconds old, of this share of its heartbeats."""
+        """Deliver this share of its heartbeats twice, the copy `least` to `most` seconds later."""
         self.cluster.network.copied[name] = (float(share), float(least), float(most))
 
     # ---- users -------------------------------------------------------------------------
