--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,7 +4,8 @@
 
 from umberward.scheduling.invariants import Invariants
 
-Invariants.raises = True  # in service a violated invariant is logged and the action refused
+# In service a violated invariant is logged and the action refused.
+Invariants.raise_on_violation = True
 
 pytest_plugins = ["known_red", "pytester"]
 
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -78,7 +78,7 @@
 
     def init(self: Delegate, *args: Any) -> None:
         original(self, *args)
-        self.bounds.keepalive_s = 40.0
+        self.bounds.renewal_window_s = 40.0
 
     patch.setattr(Delegate, "__init__", init)
 
@@ -219,10 +219,10 @@
 
     async def state(self: JobStateCache, id: Any, urgent: bool = False) -> Any:
         await self._refresh()
-        return self.live.get(id)
+        return self.live_jobs.get(id)
 
     patch.setattr(JobStateCache, "state", state)
-    patch.setattr(JobStateCache, "keep_final", lambda self, id, final: None)
+    patch.setattr(JobStateCache, "add_final_record", lambda self, id, final: None)
 
 
 def known_first(patch: pytest.MonkeyPatch) -> None:
@@ -232,7 +232,7 @@
         state = job_api.JobStateResponse(job_id=id or JobId("req-0"), phase="pending", done_count=0)
         return job_api.state_response(state)
 
-    patch.setattr(JobApi, "_known_response", existing_job_response)
+    patch.setattr(JobApi, "_existing_job_response", existing_job_response)
 
 
 def mark_first(patch: pytest.MonkeyPatch) -> None:
@@ -263,7 +263,7 @@
 
 def own_silence(patch: pytest.MonkeyPatch) -> None:
     """A pause of the leader's process counts as silence of the machines."""
-    patch.setattr(Scheduler, "wake", lambda *_: None)
+    patch.setattr(Scheduler, "discount_process_pause", lambda *_: None)
 
 
 def fresh_answers(patch: pytest.MonkeyPatch) -> None:
@@ -275,7 +275,7 @@
     """It is not remembered which jobs are unknown."""
 
     async def state(self: JobStateCache, id: Any, urgent: bool = False) -> Any:
-        self.absent.clear()
+        self.absent_jobs.clear()
         return await original(self, id)
 
     original = JobStateCache.state
@@ -286,8 +286,10 @@
     """As in a former fault, the marker of a lookup in progress counts as its result."""
 
     async def lookup(self: JobStateCache, id: Any) -> Any:
-        known = self.finals.get(id) or self.live.get(id)
-        return await self._lookup_stored(id) if known is None and id not in self.absent else known
+        known = self.final_records.get(id) or self.live_jobs.get(id)
+        return (
+            await self._lookup_stored(id) if known is None and id not in self.absent_jobs else known
+        )
 
     patch.setattr(JobStateCache, "_lookup", lookup)
 
@@ -296,7 +298,7 @@
     """A request is sent even if its reason no longer holds at that moment."""
     original = Client.request
 
-    async def request(self: Client, *args: Any, still: Any = None, **named: Any) -> Any:
+    async def request(self: Client, *args: Any, may_send: Any = None, **named: Any) -> Any:
         return await original(self, *args, **named)
 
     patch.setattr(Client, "request", request)
@@ -309,7 +311,7 @@
 
 def blame_undone(patch: pytest.MonkeyPatch) -> None:
     """A faulty job that runs well after all still counts as faulty."""
-    patch.setattr(FailureAttribution, "_exonerate", lambda *_: None)
+    patch.setattr(FailureAttribution, "_mark_known_to_work", lambda *_: None)
 
 
 def ever_rarer(patch: pytest.MonkeyPatch) -> None:
@@ -325,13 +327,13 @@
 def deaf(patch: pytest.MonkeyPatch) -> None:
     """A leader that is cut off from all workers takes them for failed."""
     # As in a former fault, a heartbeat of any machine proves that the leader receives them.
-    patch.setattr(FailureDetector, "hears_nothing", lambda *_: False)
+    patch.setattr(FailureDetector, "all_workers_silent", lambda *_: False)
     patch.setattr(failure_detector, "HEARTBEAT_MARGIN_S", 4.0)
 
 
 def few_at_once(patch: pytest.MonkeyPatch) -> None:
     """Any number of machines may count as failed at once."""
-    patch.setattr(failure_detector, "INDEPENDENT_FAILURE_SHARE", 1.0)
+    patch.setattr(failure_detector, "MAX_INDEPENDENT_FAILURE_FRACTION", 1.0)
 
 
 def graph_needs(patch: pytest.MonkeyPatch) -> None:
@@ -344,7 +346,7 @@
 
 def graph_machines_cleared(patch: pytest.MonkeyPatch) -> None:
     """Failures of a task that fails on every machine count against the machines."""
-    patch.setattr(DagJob, "failure_excused", lambda *_: False)
+    patch.setattr(DagJob, "failure_ignored_for_machines", lambda *_: False)
     patch.setattr(failure_attribution, "QUARANTINE_AFTER_FAILURES", 1)
 
 
@@ -382,11 +384,11 @@
 
 def derived(patch: pytest.MonkeyPatch) -> None:
     """A job counts as cancelled only if its own record says so, not if a dependency's does."""
-    patch.setattr(DependencyGraph, "unresolved", lambda *_: set())
+    patch.setattr(DependencyGraph, "unresolved_dependencies", lambda *_: set())
     original = JobStateCache._lookup
 
     async def lookup(self: JobStateCache, id: Any) -> Any:
-        return self.finals.get(id) or self.live.get(id) or await original(self, id)
+        return self.final_records.get(id) or self.live_jobs.get(id) or await original(self, id)
 
     patch.setattr(JobStateCache, "_lookup", lookup)
 
@@ -410,7 +412,7 @@
 
 def rarer_passes(patch: pytest.MonkeyPatch) -> None:
     """The interval between placement passes does not grow with their length."""
-    patch.setattr(leader_loop, "SLOW_PASS_PAUSE_RATIO", 0.0)
+    patch.setattr(leader_loop, "SLOW_PASS_INTERVAL_RATIO", 0.0)
 
 
 def habits(patch: pytest.MonkeyPatch) -> None:
@@ -467,7 +469,7 @@
 
 def asked_first(patch: pytest.MonkeyPatch) -> None:
     """A leader that hears no worker does not wait for answers to its probes."""
-    patch.setattr(failure_detector, "PROBE_WAIT_S", -1.0)
+    patch.setattr(failure_detector, "ISOLATION_PROBE_TIMEOUT_S", -1.0)
 
 
 def readable_or_known(patch: pytest.MonkeyPatch) -> None:
@@ -478,7 +480,7 @@
         if isinstance(data.get("spec"), dict):
             original(self, path, data)
         else:
-            self.live.pop(JobId(path.rpartition("/")[2]), None)
+            self.live_jobs.pop(JobId(path.rpartition("/")[2]), None)
 
     patch.setattr(JobStateCache, "_apply_live", apply_live)
 
@@ -521,25 +523,25 @@
 
 def gathers_what_fits(patch: pytest.MonkeyPatch) -> None:
     """All machines are reserved for a gang that needs more than there is."""
-    original = GangReservations.denied_machines
+    original = GangReservations.machines_reserved_for_others
 
-    def denied_machines(self: GangReservations, job: Job) -> set[Any]:
+    def machines_reserved_for_others(self: GangReservations, job: Job) -> set[Any]:
         first = next(iter(self.cluster.jobs.values()))
         gangs = [j for j in self.cluster.jobs.values() if j.gang and j.size > 1]
         if gangs and job is not gangs[0] and self.cluster.wall_clock() - gangs[0].ready_at > 48.0:
             return set(self.cluster.machines)
         return original(self, job) if first else set()
 
-    patch.setattr(GangReservations, "denied_machines", denied_machines)
+    patch.setattr(GangReservations, "machines_reserved_for_others", machines_reserved_for_others)
 
 
 def gathered_room_is_used(patch: pytest.MonkeyPatch) -> None:
     """Machines reserved for a gang are unusable even for work that can be preempted."""
 
-    def denied_machines(self: GangReservations, job: Job) -> set[Any]:
+    def machines_reserved_for_others(self: GangReservations, job: Job) -> set[Any]:
         return {id for id, (owner, _) in self.reserved.items() if owner is not job}
 
-    patch.setattr(GangReservations, "denied_machines", denied_machines)
+    patch.setattr(GangReservations, "machines_reserved_for_others", machines_reserved_for_others)
 
 
 def hearing_off(patch: pytest.MonkeyPatch) -> None:
@@ -549,17 +551,17 @@
 
 def given_up(patch: pytest.MonkeyPatch) -> None:
     """Machines that receive nothing are never returned."""
-    patch.setattr(Reachability, "machines_to_return", lambda *_: [])
+    patch.setattr(Reachability, "unreachable_machines_to_delete", lambda *_: [])
 
 
 def returned_anew(patch: pytest.MonkeyPatch) -> None:
     """A machine that is heard again after a long silence counts as unreachable at once."""
 
     def heard_after_silence(self: Reachability, machine: Machine, now: Any) -> None:
-        self.suspect(machine, now, sure=True)
+        self.suspect_unreachable(machine, now, mark_unreachable=True)
 
     patch.setattr(Reachability, "heard_after_silence", heard_after_silence)
-    patch.setattr(reachability, "PROMPT_PROBE_S", 1e9)
+    patch.setattr(reachability, "REPORTING_MACHINE_PROBE_INTERVAL_S", 1e9)
 
 
 def many_unheard(patch: pytest.MonkeyPatch) -> None:
@@ -585,7 +587,9 @@
 
 def confirmed(patch: pytest.MonkeyPatch) -> None:
     """A machine that is known only from a heartbeat counts as existing at once."""
-    patch.setattr(Machine, "confirmed", property(lambda _: True, lambda *_: None), raising=False)
+    patch.setattr(
+        Machine, "existence_confirmed", property(lambda _: True, lambda *_: None), raising=False
+    )
 
 
 def cheap_only(patch: pytest.MonkeyPatch) -> None:
@@ -605,7 +609,7 @@
     """A successful lease renewal counts as proof that the leader knows of all cancellations."""
 
     def may_answer(self: LeaseBounds, known: Any, held: Any, now: Any) -> bool:
-        return known is not None and now < held + self.keepalive_s
+        return known is not None and now < held + self.renewal_window_s
 
     patch.setattr(LeaseBounds, "may_answer", may_answer)
 
@@ -626,7 +630,7 @@
 
     def init(self: LeaseBounds, workers: Any) -> None:
         original(self, workers)
-        self.keepalive_s = 60.0
+        self.renewal_window_s = 60.0
 
     patch.setattr(LeaseBounds, "__init__", init)
 
@@ -653,7 +657,7 @@
 
 def gang_done_together(patch: pytest.MonkeyPatch) -> None:
     """The completion of one task of a gang does not complete the others."""
-    patch.setattr(Job, "completed_with", lambda self, index: (index,))
+    patch.setattr(Job, "tasks_completed_with", lambda self, index: (index,))
 
 
 def late_start(patch: pytest.MonkeyPatch) -> None:
@@ -668,7 +672,7 @@
 
 def exited_raise(patch: pytest.MonkeyPatch) -> None:
     """The token is not rotated for exited attempts that can't be forgotten."""
-    patch.setattr(TokenRotation, "unforgotten_exit", lambda *_: None)
+    patch.setattr(TokenRotation, "note_deferred_forget", lambda *_: None)
 
 
 def unwanted_start(patch: pytest.MonkeyPatch) -> None:
@@ -679,7 +683,7 @@
 def cancelled_use(patch: pytest.MonkeyPatch) -> None:
     """As in a former fault, jobs that are not live count as using nothing, unless this leader
     placed them."""
-    patch.setattr(Scheduler, "count_remaining", lambda *_: None)
+    patch.setattr(Scheduler, "add_cancelled_job", lambda *_: None)
     original = Scheduler.remove_job
 
     def remove_job(self: Scheduler, id: Any) -> None:
@@ -694,8 +698,11 @@
     original = JobStateCache.state
 
     async def state(self: JobStateCache, id: Any, urgent: bool = False) -> Any:
-        known = self.finals.get(id) or self.live.get(id)
-        if known is not None and self.clock() - self.read_at <= job_state_cache.MAX_STALENESS_S:
+        known = self.final_records.get(id) or self.live_jobs.get(id)
+        if (
+            known is not None
+            and self.clock() - self.refresh_sent_at <= job_state_cache.MAX_STALENESS_S
+        ):
             return known
         return await original(self, id, urgent=urgent)
 
--- a/tests/network.py
+++ b/tests/network.py
@@ -125,8 +125,8 @@
         target: str,
         body: bytes = b"",
         timeout: float = 2.0,
-        fresh: bool = False,
-        still: Callable[[], bool] | None = None,
+        new_connection: bool = False,
+        may_send: Callable[[], bool] | None = None,
     ) -> Response:
         network = self.network
         receiver = network.owners.get(address, "nobody")
@@ -134,7 +134,7 @@
         if address not in network.serving or network.links.refuses(self.owner, receiver, target):
             await curio.sleep(MESSAGE_DELAY_S)
             raise RequestNotSentError(f"{address}: refused")
-        if self.ended or still is not None and not still():
+        if self.ended or may_send is not None and not may_send():
             raise RequestNotSentError(f"{method} {address}: its sender has ended or withdrawn it")
         sent = network.clock()
         note(self.owner, receiver, method, target, body, sent)
@@ -177,5 +177,5 @@
             if server is not None:
                 await server.handler(request)
 
-    async def forget(self, address: Address) -> None:
+    async def close_idle_connections(self, address: Address) -> None:
         """Do nothing: connections are not simulated."""
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -289,9 +289,8 @@
         self.lost_commands: list[HeldCommand] = []  # never delivered, but not given up yet
         times = self.settings.platform.cluster.workers
         self.leader_since = self.now
-        self.keepalive_s = LeaseBounds(
-            times
-        ).keepalive_s  # the former leader may answer for this long
+        # The former leader may answer for this long.
+        self.renewal_window_s = LeaseBounds(times).renewal_window_s
         # By name of the other controllers: their zone and their side of the lease delegation.
         self.delegates = {
             peer.label: (peer.site, Delegate(self.settings.platform.cluster.workers))
@@ -368,7 +367,7 @@
         assert scheduler is not None
         for key, got in list(self.store.keys.items()):
             if key.startswith(LIVE_JOBS_PREFIX):
-                scheduler.put_job(wire.convert(got.data, JobRecord), got.version)
+                scheduler.add_job(wire.convert(got.data, JobRecord), got.version)
         job_records.apply_final_records(scheduler, self.store.core.news(FINAL_JOBS_PREFIX, 0))
         scheduler.finish_loading()
         self.seen_revision = self.store.revision
@@ -529,7 +528,7 @@
         scheduler = self.scheduler
         if scheduler is not None and not self.paused:
             now = Instant(self.now)
-            scheduler.wake(now)
+            scheduler.discount_process_pause(now)
             if self.watching and self.store.mode != "down":
                 job_records.apply_changes(scheduler, self.store.core.news("", self.seen_revision))
                 self._resolve_dependencies(scheduler)
@@ -539,7 +538,7 @@
                 self._delegate(scheduler, now)
             self._time_out_commands(scheduler, now)
             scheduler.tick(now)
-            if scheduler.token_rotation.wanted and self.store.mode == "ok":
+            if scheduler.token_rotation.requested and self.store.mode == "ok":
                 self.store.apply([], [transactions.put(Key("term"), 1)])
                 scheduler.token_rotated(FencingToken(self.store.revision))
                 self.epoch = self.store.revision
@@ -560,7 +559,7 @@
 
     def _delegate(self, scheduler: Scheduler, now: Instant) -> None:
         for name, (zone, delegate) in self.delegates.items():
-            if zone not in self.cut_off_zones and now - delegate.asked_at >= 1.0:
+            if zone not in self.cut_off_zones and now - delegate.requested_at >= 1.0:
                 delegation = scheduler.delegate(
                     ControllerName(name), delegate.serial, delegate.unused, now
                 )
@@ -577,10 +576,10 @@
             job_records.apply_unknown_job(
                 scheduler, id, self.store.keys[Key(LIVE_JOBS_PREFIX + id)], now
             )
-        scheduler.repair(now)
+        scheduler.run_maintenance(now)
 
     def _resolve_dependencies(self, scheduler: Scheduler) -> None:
-        for id in list(scheduler.waiting_jobs.graph.unresolved_ids):
+        for id in list(scheduler.waiting_jobs.graph.unresolved_dependency_ids):
             found = self.store.keys.get(Key(FINAL_JOBS_PREFIX + id))
             if found is not None:
                 job_records.apply_final_record(scheduler, id, found.data)
@@ -639,7 +638,7 @@
             unreachable = worker is None or worker.dead or worker.cut
             report = None if unreachable else self._execute(worker, command)  # type: ignore[arg-type]
             scheduler.command_completed(command, report, False, now)
-            command = self.commands.completed(command.machine)
+            command = self.commands.complete_and_take_next(command.machine)
 
     def _time_out_commands(self, scheduler: Scheduler, now: Instant) -> None:
         """Time out the commands that were not answered in time."""
@@ -656,7 +655,11 @@
             ):
                 held_command.gives_up_at = None
                 scheduler.command_completed(held_command.command, None, True, now)
-                self._send(scheduler, self.commands.completed(held_command.command.machine), now)
+                self._send(
+                    scheduler,
+                    self.commands.complete_and_take_next(held_command.command.machine),
+                    now,
+                )
         self.lost_commands = [
             held_command
             for held_command in self.lost_commands
@@ -673,14 +676,16 @@
             if held_command.gives_up_at is not None and held_command.sender is self.scheduler:
                 now = Instant(self.now)
                 held_command.sender.command_completed(held_command.command, report, False, now)
-                self._send(held_command.sender, self.commands.completed(worker.host), now)  # type: ignore[arg-type]
+                self._send(
+                    held_command.sender, self.commands.complete_and_take_next(worker.host), now
+                )  # type: ignore[arg-type]
 
     def delete(self, name: str) -> None:
         del self.workers[name]
         if self.scheduler is not None:
             self.scheduler.remove_machines([name], Instant(self.now))  # type: ignore[list-item]
         if self.autoscaler is not None:
-            self.autoscaler.machines_removed([name])  # type: ignore[list-item]
+            self.autoscaler.machines_deleted([name])  # type: ignore[list-item]
 
     # ---- workers -----------------------------------------------------------------------
 
@@ -722,7 +727,7 @@
         if (
             worker.astray
             and self.former_leaders
-            and self.now - self.leader_since < self.keepalive_s
+            and self.now - self.leader_since < self.renewal_window_s
         ):
             leader = self.former_leaders[-1]  # it still answers, as it knows of no other leader
         assert leader is not None
--- a/tests/simulated_controllers.py
+++ b/tests/simulated_controllers.py
@@ -243,7 +243,7 @@
         node = self.nodes.pop(name, None)
         if node is None:
             return
-        for client in (node.client, node.upstream):
+        for client in (node.client, node.upstream_client):
             client.ended = True  # type: ignore[attr-defined]
         # The controller first: while it runs, it may be elected and start another leader task.
         await self.tasks.pop(name).cancel()
--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -7,7 +7,7 @@
 import curio
 
 from umberward.core.actor import Actor
-from umberward.core.event_loop import BatchingSelector
+from umberward.core.event_loop import ThrottledSelector
 
 
 class Echo(Actor):
@@ -16,7 +16,7 @@
 
 
 def test_messages_between_actors_rarely_poll_sockets() -> None:
-    selector = BatchingSelector()
+    selector = ThrottledSelector()
 
     async def main() -> None:
         echo = Echo()
@@ -26,7 +26,7 @@
         await running.cancel()
 
     curio.run(main, selector=selector)
-    assert selector.polls < 150  # at least 600 without the selector
+    assert selector.poll_count < 150  # at least 600 without the selector
 
 
 def test_a_request_to_an_idle_actor_switches_no_task() -> None:
@@ -80,4 +80,4 @@
         await busy_task.cancel()
         return received
 
-    assert curio.run(main, selector=BatchingSelector()) == b"heard"
+    assert curio.run(main, selector=ThrottledSelector()) == b"heard"
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -250,7 +250,7 @@
     job.requeued_tasks = UnsearchableList(job.requeued_tasks)
     job.mark_done(0)
     assert job.startable_count() == 900
-    job.put_back(5)
+    job.requeue_task(5)
     job.mark_done(7)
     assert job.startable_count() == 899
 
--- a/tests/test_inflight_commands.py
+++ b/tests/test_inflight_commands.py
@@ -86,23 +86,27 @@
     at = 1000.0
 
     def requested(reason: Any, since: float, now: float) -> bool:
-        rotation.wanted = False
+        rotation.requested = False
         reason(Instant(since), Instant(now))
-        return rotation.wanted
+        return rotation.requested
 
-    assert not requested(rotation.unwanted_start, at, at + 1.0)
-    assert requested(rotation.unwanted_start, at, at + token_rotation.UNWANTED_START_S + 0.1)
+    assert not requested(rotation.note_unwanted_start, at, at + 1.0)
+    assert requested(
+        rotation.note_unwanted_start, at, at + token_rotation.UNWANTED_START_MIN_AGE_S + 0.1
+    )
     rotation.started()
-    assert not requested(rotation.unwanted_start, at, at + 10.0)  # a rotation is in progress
+    assert not requested(rotation.note_unwanted_start, at, at + 10.0)  # a rotation is in progress
     rotation.failed()
-    assert requested(rotation.unwanted_start, at, at + 10.0)
+    assert requested(rotation.note_unwanted_start, at, at + 10.0)
     rotation.started()
     rotation.completed(Instant(at + 10.0))
-    assert not requested(rotation.unwanted_start, at, at + 11.0)
-    late = at + 10.0 + token_rotation.UNFORGOTTEN_EXIT_S + 1.0
-    assert not requested(rotation.unforgotten_exit, at, late)
+    assert not requested(rotation.note_unwanted_start, at, at + 11.0)
+    late = at + 10.0 + token_rotation.DEFERRED_FORGET_MIN_AGE_S + 1.0
+    assert not requested(rotation.note_deferred_forget, at, late)
     assert requested(
-        rotation.unforgotten_exit, at, at + 11.0 + token_rotation.UNFORGOTTEN_EXIT_ROTATION_S
+        rotation.note_deferred_forget,
+        at,
+        at + 11.0 + token_rotation.DEFERRED_FORGET_ROTATION_INTERVAL_S,
     )
     assert rotation.count == 1
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -54,7 +54,7 @@
 
 
 def _start_beside_an_unplaced_task(setup: Setup) -> None:
-    setup.scheduler.add_unplaced_task(setup.other, TASK)
+    setup.scheduler.add_task_without_placement(setup.other, TASK)
     setup.scheduler.send_start(setup.placement)
 
 
@@ -89,7 +89,7 @@
 def test_in_service_the_action_is_refused(what: str, monkeypatch: pytest.MonkeyPatch) -> None:
     violate, invariant = VIOLATIONS[what]
     logged: list[dict[str, Any]] = []
-    monkeypatch.setattr(Invariants, "raises", False)
+    monkeypatch.setattr(Invariants, "raise_on_violation", False)
     monkeypatch.setattr(invariants.log, "error", lambda event, **fields: logged.append(fields))
     setup = Setup()
     violate(setup)
@@ -111,7 +111,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """If the machine is not reconciled again, the invariant alone refuses the second start."""
-    monkeypatch.setattr(Invariants, "raises", False)
+    monkeypatch.setattr(Invariants, "raise_on_violation", False)
     mutations.settle_again(monkeypatch)
     path = next(path for path in FILES if path.stem == "takeover_report_before_jobs")
     with pytest.raises(ScenarioFailure, match=Invariant.STARTED_ALONE.value):
@@ -120,8 +120,8 @@
 
 def test_a_stray_is_no_more_when_its_machine_is_gone() -> None:
     setup = Setup()
-    setup.scheduler.add_unplaced_task(setup.other, TASK)
-    setup.scheduler.add_unplaced_task(setup.other, TASK)
+    setup.scheduler.add_task_without_placement(setup.other, TASK)
+    setup.scheduler.add_task_without_placement(setup.other, TASK)
     assert setup.scheduler.tasks_without_placement == {TASK: 1}
     setup.scheduler.remove_machines([MachineId(setup.other.id)], Instant(setup.player.cluster.now))
     assert not setup.scheduler.tasks_without_placement
--- a/tests/test_leader_election.py
+++ b/tests/test_leader_election.py
@@ -127,7 +127,7 @@
         LeaseId(1),
         Instant(99.0),
     )
-    assert election.bounds.keepalive_s == 0.0
+    assert election.bounds.renewal_window_s == 0.0
     assert (
         election.is_leader()
         and election.may_answer(Instant(99.0))
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -16,11 +16,11 @@
 @pytest.fixture(autouse=True)
 def reset_logging() -> object:
     yield
-    log.configure("error", "lines", keep=False)
+    log.configure("error", "lines", cache_loggers=False)
 
 
 def test_line_format(capsys: pytest.CaptureFixture[str]) -> None:
-    log.configure("info", "lines", keep=False)
+    log.configure("info", "lines", cache_loggers=False)
     logger = log.logger("umberward.x")
     logger.debug("not_said")
     logger.info("moves", task=TaskId(JobId("req-1"), 2), reason="dear machine")
@@ -28,7 +28,7 @@
 
 
 def test_library_records_have_the_same_format(capsys: pytest.CaptureFixture[str]) -> None:
-    log.configure("info", "json", keep=False)
+    log.configure("info", "json", cache_loggers=False)
     logging.getLogger("curio.kernel").warning("took %d s", 3)
     logging.getLogger("curio.kernel").debug("not said")
     (line,) = capsys.readouterr().err.splitlines()
@@ -41,7 +41,7 @@
 
 
 def test_json_format(capsys: pytest.CaptureFixture[str]) -> None:
-    log.configure("error", "json", keep=False)
+    log.configure("error", "json", cache_loggers=False)
     logger = log.logger("umberward.x")
     logger.info("not_said")
     try:
--- a/tests/test_peer_link.py
+++ b/tests/test_peer_link.py
@@ -128,9 +128,9 @@
     election.fencing_token = FencingToken(20)
 
     async def run() -> None:
-        await election.superseded_by(FencingToken(20))
+        await election.step_down_if_superseded(FencingToken(20))
         assert not lost and election.fencing_token == 20
-        await election.superseded_by(FencingToken(21))
+        await election.step_down_if_superseded(FencingToken(21))
 
     curio.run(run)
     assert lost and election.fencing_token is None and not election.may_keep_alive()
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -35,7 +35,7 @@
     if what == "machine gone":
         scheduler.remove_machines([machine.id], scheduler.now)
     else:
-        scheduler.release_all(machine, what)
+        scheduler.release_all_placements(machine, what)
     assert scheduler.quota.used[TeamName("red")] == NO_RESOURCES
     assert machine.allocated == NO_RESOURCES and not machine.placements
     assert not any(scheduler.running_by_key.values())
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -54,7 +54,7 @@
 
 
 def test_without_a_rest_it_would_keep_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(leader_election, "RESTARTED_LEADER_PAUSE_S", -1.0)
+    monkeypatch.setattr(leader_election, "RESTARTED_LEADER_CAMPAIGN_DELAY_S", -1.0)
     terms_of_k0, longest_wait_s, _ = _crash_repeatedly()
     assert terms_of_k0 > 0 or longest_wait_s >= 0.3
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -180,7 +180,7 @@
     def do_aim(self, kind: str, job_class: str, within_s: str) -> None:
         """Give the current leader an objective for the job class: to start `within_s`."""
         assert kind == "wait" and self.cluster.scheduler is not None
-        self.cluster.scheduler.class_aims[job_class] = (float(within_s), None)
+        self.cluster.scheduler.strictest_objectives[job_class] = (float(within_s), None)
 
     def do_watch(self, mode: str) -> None:
         """Whether the leader receives changes from the state service."""
@@ -279,7 +279,7 @@
 
     def do_copy_lacks(self, id: str) -> None:
         """Remove the job from the controller's cache of job states, long after its last listing."""
-        self.cluster.job_states.live.pop(JobId(id), None)
+        self.cluster.job_states.live_jobs.pop(JobId(id), None)
         self.cluster.job_states.listed_at -= 100.0
 
     def do_notice(self, name: str, seconds: str) -> None:
@@ -335,9 +335,9 @@
             running = await curio.spawn(Server(address, answer, 8).run, daemon=True)
             await curio.sleep(0.05)
             client = Client(4)
-            await client.request(address, "POST", "/do", timeout=0.5, still=lambda: True)
+            await client.request(address, "POST", "/do", timeout=0.5, may_send=lambda: True)
             with contextlib.suppress(RequestNotSentError):
-                await client.request(address, "POST", "/do", timeout=0.5, still=lambda: False)
+                await client.request(address, "POST", "/do", timeout=0.5, may_send=lambda: False)
             await running.cancel()
 
         curio.run(ask)
@@ -563,7 +563,7 @@
     def see_pass_share(self, milliseconds: str) -> int:
         """Percentage of the time spent in passes if each takes this long."""
         took = float(milliseconds) / 1000
-        return int(100 * took / leader_loop.pass_pause(took))
+        return int(100 * took / leader_loop.pass_interval_s(took))
 
     def see_retry_after(self) -> bool:
         return self.last.retry_after is not None
@@ -597,7 +597,7 @@
         return self._increase("heartbeats_decoded", seconds)
 
     def cost_searching(self, seconds: str) -> int:
-        return self._increase("searches", seconds)
+        return self._increase("room_searches", seconds)
 
     def cost_considering(self, seconds: str) -> int:
         """Jobs examined for tasks to place."""
@@ -617,9 +617,9 @@
     def cost_renting(self) -> int:
         """Comparisons of machine sizes with waiting jobs, to decide what to rent."""
         assert self.cluster.autoscaler is not None
-        self.cluster.autoscaler.comparisons = 0
+        self.cluster.autoscaler.fit_checks = 0
         self.cluster.autoscaler.scale_out_requests(Instant(self.cluster.now))
-        return self.cluster.autoscaler.comparisons
+        return self.cluster.autoscaler.fit_checks
 
     def cost_probing(self, seconds: str) -> int:
         before = self.cluster.probes
@@ -675,7 +675,7 @@
 
     def see_unheard(self) -> bool:
         assert self.cluster.scheduler is not None
-        return self.cluster.scheduler.heard_no_machine(Instant(self.cluster.now))
+        return self.cluster.scheduler.no_heartbeat_this_term(Instant(self.cluster.now))
 
     def see_deaf(self, name: str) -> bool:
         assert self.cluster.scheduler is not None
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -43,13 +43,13 @@
 def test_copies_are_known_and_the_memory_of_them_is_bounded() -> None:
     news = DuplicateFilter()
     host = MachineId("i-1")
-    assert news.is_new(host, 1, 5)
-    assert not news.is_new(host, 1, 5)
-    assert not news.is_new(host, 1, 4)
-    assert news.is_new(host, 2, 1)  # in a new session, sequence numbers start again
-    assert not news.is_new(host, 1, 99)
+    assert news.record_if_new(host, 1, 5)
+    assert not news.record_if_new(host, 1, 5)
+    assert not news.record_if_new(host, 1, 4)
+    assert news.record_if_new(host, 2, 1)  # in a new session, sequence numbers start again
+    assert not news.record_if_new(host, 1, 99)
     for number in range(MAX_REMEMBERED_WORKERS + 10):
-        news.is_new(MachineId(f"i-x{number}"), 1, 1)
+        news.record_if_new(MachineId(f"i-x{number}"), 1, 1)
     assert len(news.latest) == MAX_REMEMBERED_WORKERS
 
 
@@ -90,9 +90,9 @@
     now = time.monotonic()
     node.election.renewed_at = Instant(now - silent_s)
     if silent_s > 1.0:
-        node.peers.contacts.asked_since = now - silent_s
+        node.peers.contacts.polling_since = now - silent_s
     if peer_contact_age_s is not None:
-        node.peers.contacts.by_peer["k1"] = PeerContact(now, peer_contact_age_s, 0.1, None)
+        node.peers.contacts.contacts_by_peer["k1"] = PeerContact(now, peer_contact_age_s, 0.1, None)
     assert _request_status(node, "GET", "/ready") == ready
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -26,9 +26,9 @@
 
     async def serve(self, request: Request) -> Response:
         if request.path == "/hello":
-            assert request.origin is not None
-            await self.server.name_connection(request.origin, request.query)
-        self.most = max(self.most, SHARED_SOCKETS - self.sockets.left)
+            assert request.connection is not None
+            await self.server.set_client_name(request.connection, request.query)
+        self.most = max(self.most, SHARED_SOCKETS - self.sockets.available)
         return Response(200)
 
     async def count_answered_reports(self) -> int:
@@ -85,7 +85,7 @@
 def test_takeover_with_1000_machines_refuses_none() -> None:
     simulation = TakeoverSimulation()
     assert curio.run(simulation.count_answered_reports) == 2 * MACHINE_COUNT
-    assert simulation.server.refused == 0
+    assert simulation.server.refused_connections == 0
     assert simulation.most <= SHARED_SOCKETS
 
 
@@ -94,6 +94,6 @@
         return False
 
     monkeypatch.setattr(Server, "_evict", none)
-    monkeypatch.setattr(http.server, "SOCKET_POLLS", 1)
+    monkeypatch.setattr(http.server, "MAX_SOCKET_POLLS", 1)
     simulation = TakeoverSimulation()
     assert curio.run(simulation.count_answered_reports) < 2 * MACHINE_COUNT
--- a/tests/traffic_runs.py
+++ b/tests/traffic_runs.py
@@ -205,7 +205,7 @@
 
 def record(keep: Path | None = None, timed: bool = False) -> dict[str, Digest]:
     """Execute all runs. `keep`: a folder for their messages; `timed`: print how long each takes."""
-    Invariants.raises = True  # as in the tests
+    Invariants.raise_on_violation = True  # as in the tests
     digests = {}
     for name, run in all_runs().items():
         began = time.perf_counter()
--- a/umberward/clients/cloud_client.py
+++ b/umberward/clients/cloud_client.py
@@ -1,7 +1,7 @@
 """Client of the cloud's machine API, within its rate limit (PROTOCOL, "Controller nodes -> cloud").
 
-Only the leader makes changes: the predicate `still` is checked right before a request is sent, and
-the request is dropped if it returns False.
+Only the leader makes changes: the predicate `may_send` is checked right before a request is sent,
+and the request is dropped if it returns False.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
     CloudStatusError,
     CloudUnavailableError,
     NoCapacityError,
-    RateBudgetError,
+    RateBudgetExceededError,
 )
 from umberward.clients.rate_budget import RateBudget
 from umberward.core.types import Address, MachineId, MachineTypeName, ScaleOutRequest
@@ -58,7 +58,7 @@
         return {MachineTypeName(machine_type.name): machine_type for machine_type in offered}
 
     async def scale_out(
-        self, request: ScaleOutRequest, still: Callable[[], bool]
+        self, request: ScaleOutRequest, may_send: Callable[[], bool]
     ) -> list[MachineId]:
         """Rent machines; returns the rented ones, which may be fewer than requested.
 
@@ -72,17 +72,17 @@
             "reclaimable": request.offer.spot,
             "how_many": request.machine_count,
         }
-        response = await self._send("POST", "/hosts", body, still)
+        response = await self._send("POST", "/hosts", body, may_send)
         if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
             raise NoCapacityError
         if response.status != HTTPStatus.OK:
             raise CloudStatusError("rent", response.status)
         return [MachineId(name) for name in self._decode_scale_out(response.body).machine_ids]
 
-    async def terminate(self, machine_ids: list[MachineId], still: Callable[[], bool]) -> None:
+    async def terminate(self, machine_ids: list[MachineId], may_send: Callable[[], bool]) -> None:
         """Delete machines; after the return, they and all their tasks have certainly ended."""
         await self._send_repeatable(
-            "POST", "/hosts/delete", "delete", body={"hosts": machine_ids}, still=still
+            "POST", "/hosts/delete", "delete", body={"hosts": machine_ids}, may_send=may_send
         )
 
     async def list_machines(self) -> list[CloudMachine]:
@@ -105,14 +105,14 @@
         operation: str,
         *,
         body: object = None,
-        still: Callable[[], bool] | None = None,
+        may_send: Callable[[], bool] | None = None,
     ) -> Response:
         """Send an idempotent request and return its successful response.
 
         `operation`: its name in error messages. Raises only CloudUnavailableError.
         """
         try:
-            response = await self._send(method, target, body, still)
+            response = await self._send(method, target, body, may_send)
         except NoResponseError as error:
             raise CloudUnavailableError(str(error)) from None
         if response.status != HTTPStatus.OK:
@@ -120,17 +120,17 @@
         return response
 
     async def _send(
-        self, method: str, target: str, body: object, still: Callable[[], bool] | None
+        self, method: str, target: str, body: object, may_send: Callable[[], bool] | None
     ) -> Response:
         """Return the response to a request. Raises CloudUnavailableError or NoResponseError."""
         try:
             await self.budget.take(1, URGENT, BUDGET_WAIT_S)
-        except RateBudgetError as error:
+        except RateBudgetExceededError as error:
             raise CloudUnavailableError(str(error)) from None
         data = b"" if body is None else wire.encode(body)
         try:
             response = await self.client.request(
-                self.address, method, target, data, REQUEST_TIMEOUT_S, still=still
+                self.address, method, target, data, REQUEST_TIMEOUT_S, may_send=may_send
             )
         except RequestNotSentError as error:
             raise CloudUnavailableError(str(error)) from None
--- a/umberward/clients/errors.py
+++ b/umberward/clients/errors.py
@@ -15,7 +15,7 @@
     """The request to the state service was certainly not executed."""
 
 
-class RateBudgetError(StateUnavailableError):
+class RateBudgetExceededError(StateUnavailableError):
     """This controller's share of a service's rate limit is used up; nothing was sent."""
 
     def __init__(self, wait_s: float) -> None:
--- a/umberward/clients/rate_budget.py
+++ b/umberward/clients/rate_budget.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from umberward.clients.errors import RateBudgetError
+from umberward.clients.errors import RateBudgetExceededError
 from umberward.protocol.transactions import Priority
 
 # Share of one second's tokens that requests of a priority leave to those of higher ones.
@@ -53,7 +53,8 @@
     async def take(self, count: int, priority: Priority, max_wait_s: float) -> None:
         """Take `count` tokens, waiting for them for at most `max_wait_s` seconds.
 
-        Raises RateBudgetError, without further waiting, if they would become available later.
+        Raises RateBudgetExceededError, without further waiting, if they would become available
+        later.
         """
         deadline = time.monotonic() + max_wait_s
         while True:
@@ -62,7 +63,7 @@
                 self.tokens -= count
                 return
             if time.monotonic() + wait_s > deadline:
-                raise RateBudgetError(wait_s)
+                raise RateBudgetExceededError(wait_s)
             await curio.sleep(wait_s + TIMER_MARGIN_S)
 
     def _refill(self) -> None:
--- a/umberward/clients/state_client.py
+++ b/umberward/clients/state_client.py
@@ -17,7 +17,7 @@
 from umberward.clients.errors import (
     CompareAndSwapError,
     LeaseExpiredError,
-    RateBudgetError,
+    RateBudgetExceededError,
     RateLimitedError,
     RevisionCompactedError,
     StateUnavailableError,
@@ -38,7 +38,7 @@
     "LeaseExpiredError",
     "ListResult",
     "RateBudget",
-    "RateBudgetError",
+    "RateBudgetExceededError",
     "RateLimitedError",
     "RevisionCompactedError",
     "StateClient",
@@ -105,8 +105,8 @@
     """Operations on the state service.
 
     All of them raise StateUnavailableError if the request was certainly not executed, and
-    UnknownOutcomeError if it may have been; each operation documents further errors. `patience` is
-    the time in seconds that a request may wait for the rate budget.
+    UnknownOutcomeError if it may have been; each operation documents further errors.
+    `budget_wait_s` is the time in seconds that a request may wait for the rate budget.
     """
 
     def __init__(
@@ -161,11 +161,11 @@
         key: Key,
         priority: Priority = NORMAL,
         timeout: float = READ_TIMEOUT_S,
-        patience: float = READ_BUDGET_WAIT_S,
+        budget_wait_s: float = READ_BUDGET_WAIT_S,
     ) -> VersionedValue | None:
         """Return the value of a key; None: there is no such key."""
         response = await self._send(
-            _Request("GET", f"/kv/{key}", None, timeout, priority, patience)
+            _Request("GET", f"/kv/{key}", None, timeout, priority, budget_wait_s)
         )
         if response.status == HTTPStatus.NOT_FOUND:
             return None
@@ -231,7 +231,7 @@
         conditions: Iterable[tuple[Key, Version]],
         writes: list[dict[str, Any]],
         priority: Priority = NORMAL,
-        patience: float = REQUEST_BUDGET_WAIT_S,
+        budget_wait_s: float = REQUEST_BUDGET_WAIT_S,
         timeout: float = COMMIT_TIMEOUT_S,
     ) -> Revision:
         """Execute `writes` if every key still has the version in `conditions` (0: no such key).
@@ -245,7 +245,7 @@
         }
         if writes:
             body["writes"] = writes
-        deadline = time.monotonic() + patience
+        deadline = time.monotonic() + budget_wait_s
         while True:
             remaining_wait_s = max(0.0, deadline - time.monotonic())
             if writes:
--- a/umberward/control/controller.py
+++ b/umberward/control/controller.py
@@ -72,9 +72,9 @@
         self.client = Client(shared_sockets)
         # A separate client: connections to many workers must not use up the sockets needed for the
         # state service and the cloud.
-        self.upstream = Client(UPSTREAM_SOCKETS)
-        self.store = StateClient(settings.state, cluster.state, cluster.size, self.upstream)
-        self.cloud = CloudClient(settings.cloud, cluster.cloud.rps, self.upstream)
+        self.upstream_client = Client(UPSTREAM_SOCKETS)
+        self.store = StateClient(settings.state, cluster.state, cluster.size, self.upstream_client)
+        self.cloud = CloudClient(settings.cloud, cluster.cloud.rps, self.upstream_client)
         self.machine_types: dict[MachineTypeName, MachineType] = {}
         self.leader_loop: LeaderLoop | None = None
         self.leader_task: curio.Task | None = None
@@ -85,7 +85,7 @@
         )
         self.peers = self._create_peer_link()
         self.heartbeat_api = HeartbeatApi(
-            self, self.election, self.peers, self._name_connection, clock
+            self, self.election, self.peers, self._set_client_name, clock
         )
         self.router = self._create_router()
         self.machine_type_loader = MachineTypeLoader(
@@ -134,7 +134,7 @@
             self.server.run,
             Server(self.settings.peer_bind, self.peers.serve, PEER_SOCKETS).run,
             self.election.keep_lease,
-            self.election.follow,
+            self.election.follow_leader_key,
             self.job_states.run,
             self.machine_type_loader.run,
             self.peers.run,
@@ -160,7 +160,7 @@
             self.machine_types,
             fencing_token,
             self.rng,
-            self.job_states.finals.get,
+            self.job_states.final_records.get,
             self.peers.contacts.peers_receive_heartbeats,
             self.job_states.revision_before,
             self.peers.snapshots.recent(),
@@ -218,8 +218,8 @@
     async def _serve_forwarded_heartbeat(self, body: bytes) -> Response:
         return await self.heartbeat_api.serve_forwarded(body)
 
-    def _name_connection(self, connection: Connection, machine_id: str) -> Awaitable[None]:
-        return self.server.name_connection(connection, machine_id)
+    def _set_client_name(self, connection: Connection, machine_id: str) -> Awaitable[None]:
+        return self.server.set_client_name(connection, machine_id)
 
 
 def _shared_sockets(process_limit: int) -> SocketBudget:
--- a/umberward/control/heartbeat_api.py
+++ b/umberward/control/heartbeat_api.py
@@ -57,18 +57,18 @@
         local_leader: LocalLeader,
         election: LeaderElection,
         peers: PeerLink,
-        name_connection: Callable[[Connection, str], Awaitable[None]],
+        set_client_name: Callable[[Connection, str], Awaitable[None]],
         clock: Callable[[], float],
     ) -> None:
         """Create the handler of one controller.
 
-        `name_connection` tells the HTTP server which machine is at the other end of a connection.
+        `set_client_name` tells the HTTP server which machine is at the other end of a connection.
         `clock` is a monotonic clock, in seconds.
         """
         self.local_leader = local_leader
         self.election = election
         self.peers = peers
-        self.name_connection = name_connection
+        self.set_client_name = set_client_name
         self.clock = clock
         self.forwarding = HeartbeatForwarding()
         self.duplicate_filter = DuplicateFilter()
@@ -80,12 +80,14 @@
         except wire.MalformedMessageError as error:
             return error_response(400, str(error))
         machine_id = MachineId(header.machine_id)
-        is_new = self.duplicate_filter.is_new(machine_id, header.incarnation, header.sequence)
+        is_new = self.duplicate_filter.record_if_new(
+            machine_id, header.incarnation, header.sequence
+        )
         if is_new:
             # A delayed duplicate does not show that the worker is connected here or currently sends
             # its heartbeats to this controller.
-            if request.origin is not None:
-                await self.name_connection(request.origin, header.machine_id)
+            if request.connection is not None:
+                await self.set_client_name(request.connection, header.machine_id)
             self.peers.contacts.note_heartbeat()
         response = await self._answer_as_leader(header, request.body)
         if response is not None:
--- a/umberward/control/job_api.py
+++ b/umberward/control/job_api.py
@@ -103,7 +103,7 @@
         """
         try:
             return await self._submit(body)
-        except state_client.RateBudgetError as error:
+        except state_client.RateBudgetExceededError as error:
             log.info(
                 "submission_not_accepted",
                 error="this controller's share of the write rate is used up",
@@ -118,9 +118,9 @@
             submission = self.admission.decode(body)
         except wire.MalformedMessageError as error:
             # A repeated submission of an accepted job gets its state, whatever the body contains.
-            existing = await self._known_response(extract_job_id(body))
+            existing = await self._existing_job_response(extract_job_id(body))
             return existing or rejection_response(400, str(error))
-        final = self.job_states.finals.get(submission.job_id)
+        final = self.job_states.final_records.get(submission.job_id)
         if final is not None:
             return final_response(submission.job_id, final)
         self._require_state_service()
@@ -131,7 +131,7 @@
             if submission.job_id in submission.dependencies:
                 raise SelfDependencyError  # rejected like an infeasible job
         except JobRejectedError as error:
-            existing = await self._known_response(submission.job_id)
+            existing = await self._existing_job_response(submission.job_id)
             return existing or rejection_response(422, str(error))
         if submission.dependencies:
             return await self._submit_dependent(submission)
@@ -143,7 +143,7 @@
         states = await self.job_states.states([job_id, *dependencies])
         if states.pop(job_id) is not None:
             # Accepted before: return its state, whatever the states of its dependencies are.
-            return await self._known_response(job_id) or _retry_later_response()
+            return await self._existing_job_response(job_id) or _retry_later_response()
         try:
             outcome = resolve_dependencies(states)
         except JobRejectedError as error:
@@ -163,13 +163,13 @@
         writes = [transactions.put(key, record)]
         for attempt in range(1, MAX_SUBMIT_ATTEMPTS + 1):
             try:
-                await self.store.commit(conditions, writes, patience=SUBMIT_BUDGET_WAIT_S)
+                await self.store.commit(conditions, writes, budget_wait_s=SUBMIT_BUDGET_WAIT_S)
             except (state_client.CompareAndSwapError, state_client.UnknownOutcomeError):
                 # Accepted before, or the outcome is unknown: read the stored state to find out.
-                existing = await self._known_response(job_id)
+                existing = await self._existing_job_response(job_id)
                 if existing is not None:
                     return existing
-            except state_client.RateBudgetError:
+            except state_client.RateBudgetExceededError:
                 raise  # `submit` responds with the time to wait
             except state_client.StateUnavailableError:
                 if attempt == MAX_SUBMIT_ATTEMPTS:
@@ -181,7 +181,7 @@
     def _accepted_response(self, job_id: JobId, record: JobRecord | FinalJobRecord) -> Response:
         log.debug("accepted", job=job_id)
         if isinstance(record, FinalJobRecord):
-            self.job_states.keep_final(job_id, record)
+            self.job_states.add_final_record(job_id, record)
             return final_response(job_id, record, status=201)
         state = JobStateResponse(job_id=job_id, phase=wire.PENDING, done_count=0)
         return state_response(state, status=201)
@@ -191,11 +191,11 @@
     async def poll(self, job_id: JobId) -> Response:
         """Respond 200 with the job's state, 404 if no controller has accepted it, or 503."""
         try:
-            final = self.job_states.finals.get(job_id)
+            final = self.job_states.final_records.get(job_id)
             if final is not None:
                 return final_response(job_id, final)
             self._require_state_service()
-            return await self._known_response(job_id, urgent=False) or Response(404)
+            return await self._existing_job_response(job_id, urgent=False) or Response(404)
         except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
             log.debug("poll_not_answered", job=job_id, error=error)
             return _retry_later_response()
@@ -216,7 +216,7 @@
                     continue
                 self._report_cancellation(job_id)
                 return response
-        except state_client.RateBudgetError as error:
+        except state_client.RateBudgetExceededError as error:
             return _rate_limited_response(error)
         except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
             log.info("cancellation_not_accepted", job=job_id, error=error)
@@ -246,12 +246,12 @@
             )
         except (state_client.CompareAndSwapError, state_client.UnknownOutcomeError):
             raise JobChangedError(job_id) from None
-        self.job_states.keep_final(job_id, final)
+        self.job_states.add_final_record(job_id, final)
         return final_response(job_id, final)
 
     def _report_cancellation(self, job_id: JobId) -> None:
         """Log and announce a confirmed cancellation, including one that was made earlier."""
-        final = self.job_states.finals.get(job_id)
+        final = self.job_states.final_records.get(job_id)
         if final is not None and final.phase == CANCELLED:
             log.info("cancelled_by_user", job=job_id)
             self.hooks.on_cancelled(job_id)
@@ -294,7 +294,7 @@
         if not self.hooks.state_reachable():
             raise state_client.StateUnavailableError(STATE_UNREACHABLE)
 
-    async def _known_response(
+    async def _existing_job_response(
         self, job_id: JobId | None, *, urgent: bool = True
     ) -> Response | None:
         """The state of an accepted job; None without an id or if no controller has accepted it.
@@ -326,6 +326,6 @@
     return Response(503, retry_after=RETRY_AFTER_S)
 
 
-def _rate_limited_response(error: state_client.RateBudgetError) -> Response:
+def _rate_limited_response(error: state_client.RateBudgetExceededError) -> Response:
     """Tell the user to retry when this controller's share of the write rate allows it."""
     return Response(429, retry_after=max(RETRY_AFTER_S, error.wait_s))
--- a/umberward/control/job_state_cache.py
+++ b/umberward/control/job_state_cache.py
@@ -20,7 +20,7 @@
 from umberward.control.absent_jobs import AbsentJobs
 from umberward.control.revision_history import RevisionHistory
 from umberward.control.stored_jobs import done_task_count, final_key, live_key
-from umberward.core.actor import Question
+from umberward.core.actor import PendingRequest
 from umberward.core.log import logger
 from umberward.core.settings import Settings
 from umberward.core.types import JobId, Revision
@@ -71,8 +71,8 @@
 class JobStateCache:
     """An actor that answers all waiting requests after a single refresh.
 
-    `live` and `finals` hold the states by job id. `read_at` is when the latest refresh was sent and
-    `listed_at` when all live jobs were last listed, both by `clock`.
+    `live_jobs` and `final_records` hold the states by job id. `refresh_sent_at` is when the latest
+    refresh was sent and `listed_at` when all live jobs were last listed, both by `clock`.
     """
 
     def __init__(
@@ -83,14 +83,14 @@
         self.clock = clock
         cluster = settings.platform.cluster
         self.refresh_pause_s = cluster.size / (cluster.state.rps * REFRESH_RATE_SHARE)
-        self.live: dict[JobId, LiveJobState] = {}
-        self.dependency_graph = DependencyGraph(self.live.__contains__)
-        self.finals: OrderedDict[JobId, FinalJobRecord] = OrderedDict()
+        self.live_jobs: dict[JobId, LiveJobState] = {}
+        self.dependency_graph = DependencyGraph(self.live_jobs.__contains__)
+        self.final_records: OrderedDict[JobId, FinalJobRecord] = OrderedDict()
         self.max_final_records = settings.operator.poll_cache
-        self.absent = AbsentJobs(self.max_final_records)
+        self.absent_jobs = AbsentJobs(self.max_final_records)
         self.watched_revision: Revision | None = None  # None: the live jobs must be listed
         self.listed_at = 0.0
-        self.read_at = 0.0
+        self.refresh_sent_at = 0.0
         takeover_s = LeaseBounds(cluster.workers).takeover_s
         self.revision_history = RevisionHistory(takeover_s + IDLE_REFRESH_S)
         self.mailbox: curio.Queue = curio.Queue()
@@ -106,13 +106,13 @@
         """
         requested_at = self.clock()
         while True:
-            final = self.finals.get(job_id)
+            final = self.final_records.get(job_id)
             if final is not None:
                 return final
             await self._request_refresh(urgent=urgent)
             state = await self._lookup(job_id)
             now = self.clock()
-            if isinstance(state, FinalJobRecord) or now - self.read_at <= MAX_STALENESS_S:
+            if isinstance(state, FinalJobRecord) or now - self.refresh_sent_at <= MAX_STALENESS_S:
                 return state
             if now - requested_at > MAX_ANSWER_TIME_S:
                 raise state_client.StateUnavailableError(STALE_ANSWER)
@@ -137,19 +137,19 @@
         """
         return self.revision_history.before(moment)
 
-    def keep_final(self, job_id: JobId, final: FinalJobRecord) -> None:
+    def add_final_record(self, job_id: JobId, final: FinalJobRecord) -> None:
         """Add a job that has ended; its record never changes, so it needs no refresh."""
-        self.live.pop(job_id, None)
-        self.absent.discard(job_id)
+        self.live_jobs.pop(job_id, None)
+        self.absent_jobs.discard(job_id)
         self.dependency_graph.note_ended(job_id, final.phase)
         # Only the leader needs the remaining tasks; users never see them.
-        self.finals[job_id] = msgspec.structs.replace(final, remaining=None)
-        while len(self.finals) > self.max_final_records:
-            self.finals.popitem(last=False)
+        self.final_records[job_id] = msgspec.structs.replace(final, remaining=None)
+        while len(self.final_records) > self.max_final_records:
+            self.final_records.popitem(last=False)
 
     async def _request_refresh(self, *, urgent: bool) -> None:
         """Wait for a refresh that is sent after this call. Raises its error if it fails."""
-        question = Question(RefreshRequested())
+        question = PendingRequest(RefreshRequested())
         await self.mailbox.put(question)
         if urgent:
             await self.urgent_request.set()
@@ -162,9 +162,9 @@
     async def _lookup(self, job_id: JobId) -> JobState | None:
         """The job's state as of the latest refresh, with further requests if necessary."""
         # A final record takes precedence: it may have been returned to a user during the refresh.
-        state = self.finals.get(job_id) or self.live.get(job_id)
+        state = self.final_records.get(job_id) or self.live_jobs.get(job_id)
         if state is None:
-            if self.absent.is_absent(job_id):
+            if self.absent_jobs.is_absent(job_id):
                 return None
             return await self._lookup_stored(job_id)
         if isinstance(state, LiveJobState) and state.has_dependencies and not state.placed_below:
@@ -177,8 +177,8 @@
         In that case the job is cancelled too, even if its own record does not say so yet, and every
         controller must return the same state.
         """
-        for dependency in self.dependency_graph.unresolved(job_id):
-            final = self.finals.get(dependency)
+        for dependency in self.dependency_graph.unresolved_dependencies(job_id):
+            final = self.final_records.get(dependency)
             if final is not None:
                 self.dependency_graph.note_ended(dependency, final.phase)
             elif await self._lookup_stored(dependency) is None:
@@ -187,18 +187,18 @@
         cause = self.dependency_graph.cancelled_by.get(job_id)
         if cause is not None:
             return FinalJobRecord(CANCELLED, cancelled_by=cause)
-        return self.finals.get(job_id, state)
+        return self.final_records.get(job_id, state)
 
     async def _lookup_stored(self, job_id: JobId) -> JobState | None:
         """The stored state of a job that was not live as of the latest refresh."""
-        lookup = self.absent.begin(job_id)
+        lookup = self.absent_jobs.begin(job_id)
         try:
             stored_final = await self.store.get(final_key(job_id))
             stored_live = None
             if stored_final is None and self.clock() - self.listed_at > RECENT_LISTING_S:
                 stored_live = await self.store.get(live_key(job_id))
         except BaseException:
-            self.absent.discard(job_id)
+            self.absent_jobs.discard(job_id)
             raise
         if stored_final is not None:
             return self._add_stored_final(job_id, stored_final.data)
@@ -206,9 +206,9 @@
             # The cache has missed a job that was accepted: polls must not report it as unknown.
             log.warning("job_missing_from_cache", job=job_id)
             self._apply_live(live_key(job_id), stored_live.data)
-            return self.live[job_id]
+            return self.live_jobs[job_id]
         # Not earlier: concurrent requests must not take an unfinished lookup for a result.
-        self.absent.confirm(job_id, lookup)
+        self.absent_jobs.confirm(job_id, lookup)
         return None
 
     def _add_stored_final(self, job_id: JobId, data: object) -> FinalJobRecord:
@@ -217,7 +217,7 @@
         if final is None:
             reason = f"the stored final record of {job_id} can't be decoded"
             raise state_client.StateUnavailableError(reason)
-        self.keep_final(job_id, final)
+        self.add_final_record(job_id, final)
         return final
 
     # ---- refresh -----------------------------------------------------------------------
@@ -232,9 +232,9 @@
             await curio.sleep(self.refresh_pause_s)
             await curio.ignore_after(BATCH_WINDOW_S, self.urgent_request.wait)
 
-    async def _receive_questions(self) -> list[Question]:
+    async def _receive_questions(self) -> list[PendingRequest]:
         """Wait up to IDLE_REFRESH_S for a question and return all that have arrived."""
-        questions: list[Question] = []
+        questions: list[PendingRequest] = []
         first = await curio.ignore_after(IDLE_REFRESH_S, self.mailbox.get)
         if first is not None:
             questions.append(first)
@@ -266,7 +266,7 @@
     async def _refresh(self) -> None:
         sent_at = self.clock()
         await self._read_changes()
-        self.read_at = sent_at
+        self.refresh_sent_at = sent_at
         if self.watched_revision is not None:
             self.revision_history.record(self.watched_revision, self.clock())
 
@@ -281,8 +281,8 @@
                 return
         self.listed_at = self.clock()
         entries, listed_revision = await self.store.list_all(LIVE_JOBS_PREFIX)
-        self.live.clear()
-        self.absent.clear()
+        self.live_jobs.clear()
+        self.absent_jobs.clear()
         self.dependency_graph.clear()
         for entry in entries:
             self._apply_live(entry.key, entry.data)
@@ -300,19 +300,19 @@
     def _apply_change(self, change: wire.KeyChange) -> None:
         if change.deleted_key is not None and change.deleted_key.startswith(LIVE_JOBS_PREFIX):
             job_id = JobId(change.deleted_key[len(LIVE_JOBS_PREFIX) :])
-            self.live.pop(job_id, None)
-            self.dependency_graph.note_gone(job_id)
+            self.live_jobs.pop(job_id, None)
+            self.dependency_graph.note_removed(job_id)
         elif change.put_key is not None and change.put_key.startswith(LIVE_JOBS_PREFIX):
             self._apply_live(change.put_key, change.data)
         elif change.put_key is not None and change.put_key.startswith(FINAL_JOBS_PREFIX):
             final = _decode_final(change.data, change.put_key)
             if final is not None:
-                self.keep_final(JobId(change.put_key[len(FINAL_JOBS_PREFIX) :]), final)
+                self.add_final_record(JobId(change.put_key[len(FINAL_JOBS_PREFIX) :]), final)
 
     def _apply_live(self, key: str, data: object) -> None:
         """Add or update a live job, from its key and its record."""
         job_id = JobId(key[len(LIVE_JOBS_PREFIX) :])
-        self.absent.discard(job_id)
+        self.absent_jobs.discard(job_id)
         self.dependency_graph.note_live(job_id)
         try:
             record = wire.convert(data, JobRecord)
@@ -322,10 +322,10 @@
         except (wire.MalformedMessageError, ValueError) as error:
             # The job was accepted nevertheless, so polls must find it.
             _log_malformed_record(key, error)
-            self.live[job_id] = LiveJobState(0, 0, service=False, has_dependencies=False)
+            self.live_jobs[job_id] = LiveJobState(0, 0, service=False, has_dependencies=False)
             return
         is_service = record.spec.kind == wire.SERVICE
-        self.live[job_id] = LiveJobState(
+        self.live_jobs[job_id] = LiveJobState(
             record.placed_below, done_count, is_service, bool(dependencies)
         )
         if dependencies:
--- a/umberward/control/peer_contacts.py
+++ b/umberward/control/peer_contacts.py
@@ -54,8 +54,8 @@
         self.election = election
         self.client = client
         self.clock = election.clock
-        self.by_peer: dict[str, PeerContact] = {}
-        self.asked_since = math.inf  # when peers were first queried in this state service outage
+        self.contacts_by_peer: dict[str, PeerContact] = {}
+        self.polling_since = math.inf  # when peers were first queried in this state service outage
         self.heartbeat_at = -math.inf  # when a worker last sent a heartbeat to this controller
         heartbeat_interval_s = settings.platform.cluster.workers.report_s
         self.heartbeat_recency_s = (
@@ -87,12 +87,12 @@
 
     async def refresh_without_state(self) -> None:
         """Query all peers, and record when this began."""
-        self.asked_since = min(self.asked_since, self.clock())
+        self.polling_since = min(self.polling_since, self.clock())
         await self.refresh()
 
     def note_state_contact(self) -> None:
         """Record that the state service is in contact, so peers need not be queried."""
-        self.asked_since = math.inf
+        self.polling_since = math.inf
 
     async def refresh(self) -> None:
         """Query the status of all peers, one after another."""
@@ -107,16 +107,16 @@
             contact = PeerContact(
                 self.clock(), status.state_contact_age_s, status.heartbeat_age_s, status.leader
             )
-            self.by_peer[peer] = contact
+            self.contacts_by_peer[peer] = contact
             if contact.has_state_contact and status.leader != self.name:
                 # Another controller may have been elected while this one was cut off.
-                await self.election.superseded_by(FencingToken(status.leader_version))
+                await self.election.step_down_if_superseded(FencingToken(status.leader_version))
 
     def _valid_contacts_with_state(self) -> list[PeerContact]:
         now = self.clock()
         return [
             contact
-            for contact in self.by_peer.values()
+            for contact in self.contacts_by_peer.values()
             if contact.is_valid(now) and contact.has_state_contact
         ]
 
@@ -130,9 +130,9 @@
         If the state service does not respond either, it is this controller that is cut off.
         """
         now = self.clock()
-        if not self.addresses or now - self.asked_since < STATE_CONTACT_TIMEOUT_S:
+        if not self.addresses or now - self.polling_since < STATE_CONTACT_TIMEOUT_S:
             return False
-        return not any(contact.is_valid(now) for contact in self.by_peer.values())
+        return not any(contact.is_valid(now) for contact in self.contacts_by_peer.values())
 
     def leader_for(self, fencing_token: int) -> ControllerName | None:
         """The leader to redirect a worker with this token to; None if it must search itself.
@@ -164,5 +164,5 @@
             contact.received_at >= asked_at
             and contact.has_state_contact
             and contact.heartbeat_age_s < self.heartbeat_recency_s
-            for contact in self.by_peer.values()
+            for contact in self.contacts_by_peer.values()
         )
--- a/umberward/control/peer_delegation.py
+++ b/umberward/control/peer_delegation.py
@@ -54,14 +54,14 @@
 
     async def _request(self, leader: Address) -> None:
         request = DelegationRequest(self.name, self.delegate.serial, self.delegate.unused)
-        asked_at = Instant(self.clock())
+        requested_at = Instant(self.clock())
         try:
             response = await self.client.request(
                 leader, "GET", request.to_target(), b"", PEER_TIMEOUT_S
             )
             if response.status == HTTPStatus.OK:
                 delegation = peer_messages.decode(response.body, Delegation)
-                self.delegate.accept(delegation, asked_at, Instant(self.clock()))
+                self.delegate.accept(delegation, requested_at, Instant(self.clock()))
         except (RequestNotSentError, NoResponseError, InvalidPeerMessageError) as error:
             log.debug("delegation_not_available", error=error)
 
--- a/umberward/control/readiness.py
+++ b/umberward/control/readiness.py
@@ -63,5 +63,5 @@
 
     def is_state_reachable(self) -> bool:
         """Whether the state service has answered this controller within the contact timeout."""
-        last_contact_at = max(self.election.renewed_at, self.job_states.read_at)
+        last_contact_at = max(self.election.renewed_at, self.job_states.refresh_sent_at)
         return self.clock() - last_contact_at < STATE_CONTACT_TIMEOUT_S
--- a/umberward/core/actor.py
+++ b/umberward/core/actor.py
@@ -23,7 +23,7 @@
     """Base class of messages whose response is an `AnswerT`."""
 
 
-class Question:
+class PendingRequest:
     """A queued request whose sender waits for the response.
 
     The response's type depends on the request and is not checked here; see `Actor.ask`.
@@ -79,7 +79,7 @@
             # This saves two task switches, which cost more than the handling of a heartbeat. Nearly
             # all heartbeats of a large fleet take this path.
             return await self._handle_or_log(request)  # type: ignore[no-any-return]
-        question = Question(request)
+        question = PendingRequest(request)
         await self.mailbox.put(question)
         return await question.wait()  # type: ignore[no-any-return]
 
@@ -89,7 +89,7 @@
         try:
             while True:
                 message = await self.mailbox.get()
-                if isinstance(message, Question):
+                if isinstance(message, PendingRequest):
                     await message.reply(await self._handle_or_log(message.message))
                 else:
                     await self._handle_or_log(message)
@@ -98,7 +98,7 @@
             # Otherwise their senders would wait forever.
             while not self.mailbox.empty():
                 message = await self.mailbox.get()
-                if isinstance(message, Question):
+                if isinstance(message, PendingRequest):
                     await message.reply(None)
 
     async def _handle_or_log(self, message: Any) -> Any:  # noqa: ANN401 - see Question
--- a/umberward/core/event_loop.py
+++ b/umberward/core/event_loop.py
@@ -15,7 +15,7 @@
 POLL_INTERVAL_S = 0.002  # between polls of the sockets while tasks are ready to run
 
 
-class BatchingSelector(selectors.DefaultSelector):
+class ThrottledSelector(selectors.DefaultSelector):
     """A selector that limits how often sockets are polled while tasks are ready to run.
 
     curio polls before each round of ready tasks, and every message between actors causes a round.
@@ -26,7 +26,7 @@
         """Create a selector without sockets."""
         super().__init__()
         self.last_poll_at = 0.0  # seconds of the monotonic clock
-        self.polls = 0  # number of polls so far
+        self.poll_count = 0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         """Return the events as `selectors` does, or none without polling if it is too early.
@@ -37,11 +37,11 @@
             return []
         events = super().select(timeout)
         self.last_poll_at = time.monotonic()
-        self.polls += 1
+        self.poll_count += 1
         return events
 
 
 def run(main: Callable[[*Arguments], Awaitable[Result]], *args: *Arguments) -> Result:
     """Run `main(*args)` as the main task; returns its result or raises its exception."""
-    result: Result = curio.run(main, *args, selector=BatchingSelector())
+    result: Result = curio.run(main, *args, selector=ThrottledSelector())
     return result
--- a/umberward/core/log.py
+++ b/umberward/core/log.py
@@ -26,11 +26,12 @@
     return structlog.get_logger(name)
 
 
-def configure(level: str, form: str, *, keep: bool = True) -> None:
+def configure(level: str, form: str, *, cache_loggers: bool = True) -> None:
     """Set the level and format of all log lines; must be called before the program logs anything.
 
-    `level`: one of LEVELS; `form`: "json" or "lines". With `keep`, loggers cache the configuration
-    at their first line, which makes them faster; later calls of this function do not affect them.
+    `level`: one of LEVELS; `form`: "json" or "lines". With `cache_loggers`, loggers cache the
+    configuration at their first line, which makes them faster; later calls of this function do not
+    affect them.
     """
     structlog.configure(
         processors=[
@@ -40,7 +41,7 @@
         ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
         logger_factory=_LineWriter,
-        cache_logger_on_first_use=keep,
+        cache_logger_on_first_use=cache_loggers,
     )
     # Libraries, such as the event loop, log in the same format and at the same level.
     logging.basicConfig(handlers=[_LibraryHandler()], level=LEVELS[level], force=True)
@@ -89,4 +90,4 @@
     return msgspec.json.encode(fields).decode()
 
 
-configure("error", "lines", keep=False)  # default for use as a library: only errors
+configure("error", "lines", cache_loggers=False)  # default for use as a library: only errors
--- a/umberward/core/types.py
+++ b/umberward/core/types.py
@@ -28,11 +28,11 @@
 Instant = NewType("Instant", float)  # a reading of the process's monotonic clock, in seconds
 WallTime = NewType("WallTime", float)  # wall-clock time in seconds since the Unix epoch
 
-MAX_TASKS = 100_000  # per job
+MAX_TASKS_PER_JOB = 100_000
 MAX_PORT = 65535
 TASK_ID_CACHE_SIZE = 32768  # parsed ids; successive heartbeats name the same tasks
-JOB_PREFIX = "req-"
-_JOB_ID = re.compile(JOB_PREFIX + r"[0-9]{1,18}\Z")
+JOB_ID_PREFIX = "req-"
+_JOB_ID = re.compile(JOB_ID_PREFIX + r"[0-9]{1,18}\Z")
 
 
 class TaskId(NamedTuple):
@@ -106,7 +106,7 @@
         """Return these minus `times` times the other resources."""
         return self.plus(other, -times)
 
-    def minimum(self, other: Resources) -> Resources:
+    def elementwise_min(self, other: Resources) -> Resources:
         """Return the smaller amount of each resource."""
         return Resources(*map(min, self, other))
 
@@ -120,7 +120,7 @@
 
     def count_within(self, room: Resources) -> int:
         """Return how many tasks of this size fit into `room`."""
-        count = MAX_TASKS
+        count = MAX_TASKS_PER_JOB
         for needed, free in zip(self, room, strict=True):
             if needed > 0:
                 count = min(count, int((free + ROUNDING_TOLERANCE) / needed))
--- a/umberward/graphs/failure_pages.py
+++ b/umberward/graphs/failure_pages.py
@@ -14,16 +14,16 @@
 PAGE_VALUE_DIVISOR = 2  # a page takes at most 1/2 of the largest value
 
 
-def paginate(failures: Iterable[Failure], value_limit: int) -> list[list[Failure]]:
+def paginate(failures: Iterable[Failure], max_value_bytes: int) -> list[list[Failure]]:
     """Divide failures among page records in order, so that a full page never changes.
 
-    `value_limit` is the maximum size of a value in the state service, in bytes.
+    `max_value_bytes` is the maximum size of a value in the state service, in bytes.
     """
     pages: list[list[Failure]] = []
     page_bytes = 0
     for failure in failures:
         failure_bytes = wire.json_size(failure) + SEPARATOR_BYTES
-        if not pages or page_bytes + failure_bytes > value_limit // PAGE_VALUE_DIVISOR:
+        if not pages or page_bytes + failure_bytes > max_value_bytes // PAGE_VALUE_DIVISOR:
             pages.append([])
             page_bytes = PAGE_OVERHEAD_BYTES
         pages[-1].append(failure)
--- a/umberward/graphs/graph_api.py
+++ b/umberward/graphs/graph_api.py
@@ -10,7 +10,7 @@
 from umberward.clients.state_client import StateClient
 from umberward.core.log import logger
 from umberward.core.settings import Settings
-from umberward.core.types import MAX_TASKS, MachineTypeName, WallTime
+from umberward.core.types import MAX_TASKS_PER_JOB, MachineTypeName, WallTime
 from umberward.graphs import model, records
 from umberward.graphs.errors import GraphRejectedError
 from umberward.graphs.graph_reader import GraphReader, StoredGraph
@@ -88,7 +88,7 @@
         except GraphRejectedError as error:
             log.info("graph_refused", status=error.status, error=error)
             return Response(error.status, wire.encode({"error": str(error)}))
-        except state_client.RateBudgetError as error:
+        except state_client.RateBudgetExceededError as error:
             return Response(429, retry_after=max(RETRY_AFTER_S, error.wait_s))
         except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
             log.info("graph_not_served", error=error)
@@ -236,6 +236,6 @@
     name, _, value = query.partition("=")
     if not query:
         return 0
-    if name != "from" or not value.isdecimal() or int(value) > MAX_TASKS:
+    if name != "from" or not value.isdecimal() or int(value) > MAX_TASKS_PER_JOB:
         raise GraphRejectedError(400, "expected from=NUMBER")
     return int(value)
--- a/umberward/graphs/graph_job.py
+++ b/umberward/graphs/graph_job.py
@@ -22,7 +22,7 @@
 from umberward.protocol.wire import JobRecord
 from umberward.scheduling.failure_attribution import (
     FAULTY_JOB_AFTER_MACHINES,
-    QUARANTINE_DECISION_S,
+    QUARANTINE_TIMEOUT_S,
 )
 from umberward.scheduling.jobs import Job
 from umberward.scheduling.machines import Machine
@@ -85,7 +85,7 @@
         return (
             not self.counts()
             or self.machine_succeeded_since(machines)
-            or now - self.at > QUARANTINE_DECISION_S
+            or now - self.at > QUARANTINE_TIMEOUT_S
         )
 
     def machine_succeeded_since(self, machines: Mapping[MachineId, Machine]) -> bool:
@@ -106,16 +106,16 @@
         run: RunRecord,
         version: Version,
         failures: list[Failure],
-        value_limit: int,
+        max_value_bytes: int,
     ) -> None:
         """Create the array from its stored progress.
 
         `version` is that of the array's record, 0 if there is none; `failures` are those in its
-        page records; `value_limit` is the maximum size of a value in the state service, in bytes.
+        page records; `max_value_bytes` is the maximum size of a value in the state service.
         """
         spec = graph.shape.spec(graph.id, graph.options, kind)
         record = JobRecord(spec, graph.record.at, run.placed_below, run.done_below, run.done_bitmap)
-        super().__init__(record, version, value_limit)
+        super().__init__(record, version, max_value_bytes)
         # Tasks are queued when they become ready, not in the order of their indices.
         self.next_fresh_task = self.size
         self.graph = graph
@@ -128,9 +128,9 @@
         # Tasks without retries left; they get more if a machine proves to be at fault.
         self.undecided_tasks: set[int] = set()
         self.failures = list(failures)
-        self.failure_pages = paginate(failures, value_limit)
+        self.failure_pages = paginate(failures, max_value_bytes)
         self.sent_failure_count = self.stored_failure_count = len(failures)
-        self.page_limit_bytes = value_limit
+        self.page_limit_bytes = max_value_bytes
 
     # ---- queue of startable tasks --------------------------------------------------------
 
@@ -139,12 +139,12 @@
         # A former leader may have started the task, so it is not queued while it is unlocated. A
         # task that was found running, from which its needs were inferred as done, has a placement.
         if index not in self.unlocated_tasks and index not in self.placements:
-            self.put_back(index)
+            self.requeue_task(index)
 
-    def put_back(self, index: int) -> None:
+    def requeue_task(self, index: int) -> None:
         """Queue a task again if it is ready and is not an undecided task."""
         if index not in self.undecided_tasks and self.graph.is_ready(self.kind, index):
-            super().put_back(index)
+            super().requeue_task(index)
 
     def count_lost_tasks(self) -> int:
         """Return 0: `Job` would count the tasks that are not ready as lost."""
@@ -154,7 +154,7 @@
         """Return the number of queued tasks within the window of the done bitmap."""
         return bisect.bisect_left(self.requeued_tasks, self.done_below + self.window)
 
-    def take_task(self) -> int:
+    def dequeue_task(self) -> int:
         """Remove the next task to place from the queue; retries come first."""
         for index in self.retries:
             if index < self.done_below + self.window and self.remove_requeued(index):
@@ -210,15 +210,15 @@
         else:
             self.retries[index] = None
 
-    def failure_excused(self, index: int) -> bool:
+    def failure_ignored_for_machines(self, index: int) -> bool:
         """Whether the task's failures do not count against the machines on which it failed."""
         fails_everywhere = len(set(self._failure_machines(index))) >= FAULTY_JOB_AFTER_MACHINES
         never_succeeded = (
-            not self.ran_well and len(self.failed_machines) >= FAULTY_JOB_AFTER_MACHINES
+            not self.known_to_work and len(self.failed_machines) >= FAULTY_JOB_AFTER_MACHINES
         )
         return fails_everywhere or never_succeeded
 
-    def judge_failures(self, machines: Mapping[MachineId, Machine], now: Instant) -> bool:
+    def attribute_failures(self, machines: Mapping[MachineId, Machine], now: Instant) -> bool:
         """Retry or fail the undecided tasks that can be decided now.
 
         Returns False if no failed attempts are left to consider.
@@ -284,7 +284,7 @@
         pages = paginate([*self.failures, failure], self.page_limit_bytes)
         starts_page = len(pages) > len(self.failure_pages)
         if starts_page and self.stored_failure_count < len(self.failures):
-            return  # one page is written at a time; the next `judge_failures` tries again
+            return  # one page is written at a time; the next `attribute_failures` tries again
         log.info("task_failed_permanently", task=f"{self.id}/{index}", machines=",".join(names))
         self.failures.append(failure)
         self.failure_pages = pages
--- a/umberward/graphs/graph_state.py
+++ b/umberward/graphs/graph_state.py
@@ -54,7 +54,7 @@
             AcceptedGraph(graph_id, record, version),
             Shape(tasks),
             progress,
-            self.scheduler.value_limit,
+            self.scheduler.max_value_bytes,
             SchedulerCallbacks(
                 request_pass=self._request_pass,
                 progress_changed=self.scheduler.writer.note_completions,
--- a/umberward/graphs/graph_submission.py
+++ b/umberward/graphs/graph_submission.py
@@ -289,7 +289,7 @@
         self, conditions: list[tuple[Key, Version]], writes: list[dict[str, Any]]
     ) -> None:
         """Commit, waiting up to MAX_WRITE_WAIT_S for the write budget."""
-        await self._store.commit(conditions, writes, patience=MAX_WRITE_WAIT_S)
+        await self._store.commit(conditions, writes, budget_wait_s=MAX_WRITE_WAIT_S)
 
 
 def _not_accepted_conditions(graph_id: GraphId) -> list[tuple[Key, Version]]:
--- a/umberward/graphs/live.py
+++ b/umberward/graphs/live.py
@@ -48,12 +48,12 @@
         accepted: AcceptedGraph,
         shape: Shape,
         progress: records.Progress,
-        value_limit: int,
+        max_value_bytes: int,
         callbacks: SchedulerCallbacks,
     ) -> None:
         """Create the graph from its stored progress.
 
-        `value_limit` is the maximum size of a value in the state service, in bytes.
+        `max_value_bytes` is the maximum size of a value in the state service, in bytes.
         """
         self.id = accepted.id
         self.record = accepted.record
@@ -66,15 +66,15 @@
         # Position of a task that will not run -> position of the failed task that it needs.
         self.not_run: dict[int, int] = {}
         self.jobs = [
-            self._create_job(kind, progress, value_limit) for kind in range(len(shape.kinds))
+            self._create_job(kind, progress, max_value_bytes) for kind in range(len(shape.kinds))
         ]
         self._restore()
 
-    def _create_job(self, kind: int, progress: records.Progress, value_limit: int) -> DagJob:
+    def _create_job(self, kind: int, progress: records.Progress, max_value_bytes: int) -> DagJob:
         """Create the array of one kind from its stored progress."""
         run, version = progress.runs.get(kind, (RunRecord(), 0))
         failures = progress.failed.get(kind, [])
-        return DagJob(self, kind, run, Version(version), failures, value_limit)
+        return DagJob(self, kind, run, Version(version), failures, max_value_bytes)
 
     def _restore(self) -> None:
         """Queue the startable tasks according to the stored progress, which may be out of date."""
@@ -172,7 +172,7 @@
 
     def retry_task(self, job: DagJob, index: int) -> None:
         """Queue the task for another attempt."""
-        job.put_back(index)
+        job.requeue_task(index)
         self.callbacks.request_pass(job)
 
     def _mark_dependents_not_run(self, position: int) -> None:
--- a/umberward/graphs/model.py
+++ b/umberward/graphs/model.py
@@ -15,7 +15,14 @@
 
 import msgspec
 
-from umberward.core.types import JOB_PREFIX, MAX_TASKS, JobId, MachineTypeName, Resources, TeamName
+from umberward.core.types import (
+    JOB_ID_PREFIX,
+    MAX_TASKS_PER_JOB,
+    JobId,
+    MachineTypeName,
+    Resources,
+    TeamName,
+)
 from umberward.graphs.errors import (
     CyclicGraphError,
     DuplicateNameError,
@@ -44,7 +51,7 @@
 
 _GRAPH_ID = re.compile(GRAPH_PREFIX + rf"[0-9]{{1,{GRAPH_DIGITS}}}\Z")
 _JOB_ID = re.compile(
-    rf"{JOB_PREFIX}{GRAPH_JOB_DIGIT}([0-9]{{{GRAPH_DIGITS}}})([0-9]{{{KIND_DIGITS}}})\Z"
+    rf"{JOB_ID_PREFIX}{GRAPH_JOB_DIGIT}([0-9]{{{GRAPH_DIGITS}}})([0-9]{{{KIND_DIGITS}}})\Z"
 )
 
 TaskName = Annotated[str, msgspec.Meta(min_length=1, max_length=100, pattern=r"^[^\x00-\x1f]*$")]
@@ -132,7 +139,7 @@
 def job_id(graph_id: GraphId, kind: int) -> JobId:
     """Return the id of the array for tasks of this kind; users' own jobs never have such an id."""
     number = int(graph_id[len(GRAPH_PREFIX) :])
-    return JobId(f"{JOB_PREFIX}{GRAPH_JOB_DIGIT}{number:0{GRAPH_DIGITS}d}{kind:0{KIND_DIGITS}d}")
+    return JobId(f"{JOB_ID_PREFIX}{GRAPH_JOB_DIGIT}{number:0{GRAPH_DIGITS}d}{kind:0{KIND_DIGITS}d}")
 
 
 def graph_of(job_id: str) -> tuple[GraphId, int] | None:
@@ -306,7 +313,7 @@
 
     `machine_types` are those of the cluster; None: unknown, so tasks may be of any size.
     """
-    if len(tasks) > min(MAX_GRAPH_TASKS, MAX_TASKS):
+    if len(tasks) > min(MAX_GRAPH_TASKS, MAX_TASKS_PER_JOB):
         return [Problem(None, f"{len(tasks)} tasks, at most {MAX_GRAPH_TASKS} are taken")]
     numbers: dict[str, int] = {}
     for number, task in enumerate(tasks):
--- a/umberward/graphs/records.py
+++ b/umberward/graphs/records.py
@@ -169,9 +169,9 @@
     return data
 
 
-def pieces(text: str, value_limit: int) -> list[str]:
-    """Split text into pieces that each fit into a value of at most `value_limit` bytes."""
-    size = value_limit - PIECE_RESERVE_BYTES
+def pieces(text: str, max_value_bytes: int) -> list[str]:
+    """Split text into pieces that each fit into a value of at most `max_value_bytes` bytes."""
+    size = max_value_bytes - PIECE_RESERVE_BYTES
     return [text[start : start + size] for start in range(0, len(text), size)]
 
 
--- a/umberward/graphs/store.py
+++ b/umberward/graphs/store.py
@@ -103,7 +103,7 @@
             [],
             deletions[start : start + batch_size],
             priority=transactions.BACKGROUND,
-            patience=MAX_DELETE_WAIT_S,
+            budget_wait_s=MAX_DELETE_WAIT_S,
         )
     note_deletion = transactions.delete(records.stale_key(graph_id, opened))
     await store.commit([], [note_deletion], priority=transactions.BACKGROUND)
--- a/umberward/leader/command_sender.py
+++ b/umberward/leader/command_sender.py
@@ -66,7 +66,7 @@
 
     async def command_completed(self, machine: MachineId) -> None:
         """Send the machine's next queued command, if any, as the one in flight has completed."""
-        await self._spawn_command(self.queue.completed(machine))
+        await self._spawn_command(self.queue.complete_and_take_next(machine))
 
     async def _spawn_command(self, command: DirectCommand | None) -> None:
         if command is not None:
@@ -116,7 +116,7 @@
             "/do",
             wire.encode(body),
             COMMAND_TIMEOUT_S,
-            still=self._send_condition(command),
+            may_send=self._send_condition(command),
         )
         heartbeat = None
         if response.status in HEARTBEAT_STATUSES:
--- a/umberward/leader/failover_snapshot.py
+++ b/umberward/leader/failover_snapshot.py
@@ -101,7 +101,7 @@
         machine_images=machine_images,
         runtime_ratio=dict(scheduler.runtime_ratios),
         headroom_peak=scheduler.headroom.peak,
-        accelerated_spec=scheduler.headroom.latest_spec,
+        accelerated_spec=scheduler.headroom.latest_accelerated_spec,
         quarantined=[
             str(machine.id) for machine in scheduler.machines.values() if machine.quarantined
         ],
@@ -111,9 +111,9 @@
                 str(pending.offer.type),
                 str(pending.offer.zone),
                 pending.offer.spot,
-                now - pending.since,
+                now - pending.requested_at,
             )
-            for machine_id, pending in autoscaler.pending.items()
+            for machine_id, pending in autoscaler.pending_machines.items()
         },
         no_capacity=[
             CapacityPause(str(offer.type), str(offer.zone), offer.spot, until - now, pause_s)
@@ -252,7 +252,7 @@
         if machine_id not in scheduler.machines:
             rented_at = Instant(now - booting.pending_s - age_s)
             pending = PendingMachine(_offer(booting), rented_at)
-            autoscaler.pending.setdefault(machine_id, pending)
+            autoscaler.pending_machines.setdefault(machine_id, pending)
 
 
 def _offer(entry: BootingMachine | CapacityPause) -> MachineOffer:
--- a/umberward/leader/leader_election.py
+++ b/umberward/leader/leader_election.py
@@ -55,7 +55,7 @@
 FREE_KEY_WATCH_HOLD_S = 1.0  # while there is no leader and this controller may not campaign yet
 MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.2, 0.4
 STEP_DOWN_CAMPAIGN_DELAY_LEASES = 2  # lease lengths without campaigning after stepping down
-RESTARTED_LEADER_PAUSE_S = 1.0  # time in which only the others campaign after a leader's restart
+RESTARTED_LEADER_CAMPAIGN_DELAY_S = 1.0  # after a leader's restart only the others campaign
 
 
 class LeaderElection:
@@ -70,7 +70,7 @@
         on_lost: Callable[[], Awaitable[None]],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Create an election that does nothing until `keep_lease` and `follow` run.
+        """Create an election that does nothing until `keep_lease` and `follow_leader_key` run.
 
         `on_elected(fencing_token)` is awaited when this controller becomes the leader, `on_lost()`
         when it ceases to be; `clock`: monotonic, in seconds.
@@ -97,7 +97,7 @@
         self.campaign_not_before = 0.0
 
     def _warn_if_keepalive_too_short(self, workers: WorkerTimes) -> None:
-        if self.bounds.keepalive_s < MIN_KEEPALIVE_S:
+        if self.bounds.renewal_window_s < MIN_KEEPALIVE_S:
             log.warning(
                 "no_keepalive_without_state_service",
                 reason="cluster.workers.cancel_s leaves none above cluster.workers.lease_s",
@@ -132,8 +132,8 @@
         Commands that start nothing may then be sent, and heartbeats may be answered if `may_answer`
         allows it.
         """
-        keepalive_s = max(self.bounds.keepalive_s, self.lease_seconds)
-        return self.fencing_token is not None and self.clock() < self.renewed_at + keepalive_s
+        renewal_window_s = max(self.bounds.renewal_window_s, self.lease_seconds)
+        return self.fencing_token is not None and self.clock() < self.renewed_at + renewal_window_s
 
     def may_answer(self, jobs_read_at: Instant | None) -> bool:
         """Whether a heartbeat may be answered, which extends the worker's incarnation.
@@ -143,7 +143,7 @@
         """
         if self.fencing_token is None or jobs_read_at is None:
             return False
-        if self.bounds.keepalive_s < MIN_KEEPALIVE_S and self.is_leader():
+        if self.bounds.renewal_window_s < MIN_KEEPALIVE_S and self.is_leader():
             return True  # otherwise every incarnation would expire; a warning was logged at start
         return self.bounds.may_answer(jobs_read_at, self.renewed_at, Instant(self.clock()))
 
@@ -186,7 +186,7 @@
             self.clock() + STEP_DOWN_CAMPAIGN_DELAY_LEASES * self.lease_seconds
         )
 
-    async def superseded_by(self, seen_token: FencingToken) -> None:
+    async def step_down_if_superseded(self, seen_token: FencingToken) -> None:
         """Give up the leadership if a worker has seen a higher fencing token.
 
         It shows that another controller was elected, even if this one has not yet read that from
@@ -262,7 +262,7 @@
 
     # ---- the leader key ----------------------------------------------------------------
 
-    async def follow(self) -> None:
+    async def follow_leader_key(self) -> None:
         """Follow the leader key and campaign when it is free, until cancelled."""
         while True:
             try:
@@ -327,8 +327,8 @@
         they have the former one's snapshot. Otherwise, a controller that repeatedly crashes and
         restarts within its former lease would also prevent the others from leading.
         """
-        self.campaign_not_before = self.clock() + RESTARTED_LEADER_PAUSE_S
-        log.info("restarted_leader_yields", rest_s=RESTARTED_LEADER_PAUSE_S)
+        self.campaign_not_before = self.clock() + RESTARTED_LEADER_CAMPAIGN_DELAY_S
+        log.info("restarted_leader_yields", rest_s=RESTARTED_LEADER_CAMPAIGN_DELAY_S)
         await self.store.commit(
             [(LEADER_KEY, version)],
             [transactions.delete(LEADER_KEY)],
--- a/umberward/leader/leader_loop.py
+++ b/umberward/leader/leader_loop.py
@@ -74,7 +74,7 @@
 PASS_INTERVAL_RATIO = 4.0
 # With thousands of waiting jobs a pass is slow and changes little, so the interval grows by up to
 # this multiple of the pass's duration, in full for a pass of SLOW_PASS_S or longer.
-SLOW_PASS_PAUSE_RATIO = 6.0
+SLOW_PASS_INTERVAL_RATIO = 6.0
 SLOW_PASS_S = 0.1
 IDLE_PASS_INTERVAL_S = 1.0  # extra time until the next pass if no event requests one
 ASSUMED_SNAPSHOT_AGE_S = 15.0  # an assumption, as a stored snapshot does not record its age
@@ -224,7 +224,7 @@
     async def handle(self, message: LeaderMessage) -> object:
         """Apply the message to the scheduler, run a pass if due and start the resulting I/O."""
         now = monotonic_now()
-        self.scheduler.wake(now)
+        self.scheduler.discount_process_pause(now)
         answer: object = None
         handler = self._handlers.get(type(message))
         if handler is not None:
@@ -312,7 +312,7 @@
 
     async def _live_jobs_page_read(self, message: LiveJobsPageRead, now: Instant) -> list[JobId]:
         unknown_ids = self.scheduler.find_unknown_jobs(message.entries, now)
-        self.scheduler.repair(now)
+        self.scheduler.run_maintenance(now)
         return unknown_ids
 
     async def _unknown_job_read(self, message: UnknownJobRead, now: Instant) -> None:
@@ -332,13 +332,13 @@
             # The state service responds but workers do not; another controller may reach them.
             await curio.spawn(self.election.step_down, "hardly any worker is heard", daemon=True)
         elif (
-            scheduler.heard_no_machine(now)
+            scheduler.no_heartbeat_this_term(now)
             and self.election.is_leader()
             and not self._checking_peers
         ):
             self._checking_peers = True
             await curio.spawn(self._step_down_if_peers_receive_heartbeats, daemon=True)
-        if scheduler.token_rotation.wanted and self.election.is_leader():
+        if scheduler.token_rotation.requested and self.election.is_leader():
             scheduler.token_rotation.started()
             await curio.spawn(self._rotate_token, daemon=True)
 
@@ -348,14 +348,14 @@
         """Report to the election that a worker has seen a higher fencing token."""
         seen, self.scheduler.higher_token_seen = self.scheduler.higher_token_seen, FencingToken(0)
         # Not owned by the loop, as it may end the loop; see `_timer_tick`.
-        await curio.spawn(self.election.superseded_by, seen, daemon=True)
+        await curio.spawn(self.election.step_down_if_superseded, seen, daemon=True)
 
     def _run_due_pass(self, now: Instant) -> None:
         due = self.scheduler.pass_wanted and now >= self._next_pass_at
         idle_due = now >= self._next_pass_at + IDLE_PASS_INTERVAL_S
         if (due or idle_due) and self.commands.may_start():
             self.scheduler.run_pass(now)
-            self._next_pass_at = now + pass_pause(monotonic_now() - now)
+            self._next_pass_at = now + pass_interval_s(monotonic_now() - now)
 
     async def _flush_scheduler_output(self) -> None:
         """Start sending the scheduler's outbox and committing its pending writes."""
@@ -389,7 +389,7 @@
         self.scheduler.token_rotated(fencing_token)
 
 
-def pass_pause(pass_s: float) -> float:
+def pass_interval_s(pass_s: float) -> float:
     """Seconds between the starts of two scheduling passes, if the first one took `pass_s`."""
-    slow_pass_ratio = SLOW_PASS_PAUSE_RATIO * min(1.0, pass_s / SLOW_PASS_S)
+    slow_pass_ratio = SLOW_PASS_INTERVAL_RATIO * min(1.0, pass_s / SLOW_PASS_S)
     return max(MIN_PASS_INTERVAL_S, (PASS_INTERVAL_RATIO + slow_pass_ratio) * pass_s)
--- a/umberward/leader/machine_scaler.py
+++ b/umberward/leader/machine_scaler.py
@@ -94,7 +94,7 @@
 
     def _machines_removed(self, machine_ids: list[MachineId]) -> None:
         self.scheduler.remove_machines(machine_ids, monotonic_now())
-        self.autoscaler.machines_removed(machine_ids)
+        self.autoscaler.machines_deleted(machine_ids)
 
     # ---- scaling out -------------------------------------------------------------------
 
@@ -121,7 +121,7 @@
                 machine_ids = await self.cloud.scale_out(request, self.election.is_leader)
             except NoCapacityError:
                 log.info("no_capacity", **request.offer._asdict())
-                self.autoscaler.no_capacity(request.offer, monotonic_now())
+                self.autoscaler.request_refused(request.offer, monotonic_now())
                 return
             except NoResponseError:
                 # The request may have been executed. A retry with the same id rents nothing twice,
--- a/umberward/leader/snapshot_store.py
+++ b/umberward/leader/snapshot_store.py
@@ -69,7 +69,7 @@
                 [self.context.election.leadership_condition()],
                 [transactions.put(key, part)],
                 priority=transactions.BACKGROUND,
-                patience=0.0,  # do not wait for the rate budget: all other writes go first
+                budget_wait_s=0.0,  # do not wait for the rate budget: all other writes go first
             )
         except (
             state_client.StateUnavailableError,
@@ -85,6 +85,6 @@
         scheduler = self.context.scheduler
         return failover_snapshot.split_snapshot(
             failover_snapshot.take_snapshot(scheduler, self.autoscaler, monotonic_now()),
-            scheduler.writer.block_size,
-            scheduler.value_limit,
+            scheduler.writer.machines_per_block,
+            scheduler.max_value_bytes,
         )
--- a/umberward/leader/state_sync.py
+++ b/umberward/leader/state_sync.py
@@ -124,7 +124,7 @@
         Returns None if the state service no longer keeps these changes.
         """
         scheduler = self.context.scheduler
-        if scheduler.loaded or not scheduler.quota.any_limits:
+        if scheduler.loaded or not scheduler.quota.has_any_limit:
             return []
         store = self.context.store
         takeover_s = scheduler.delegator.bounds.takeover_s
--- a/umberward/leader/transaction_writer.py
+++ b/umberward/leader/transaction_writer.py
@@ -65,7 +65,7 @@
                 conditions,
                 transaction.writes,
                 priority=transaction.priority,
-                patience=URGENT_BUDGET_WAIT_S if urgent else NON_URGENT_BUDGET_WAIT_S,
+                budget_wait_s=URGENT_BUDGET_WAIT_S if urgent else NON_URGENT_BUDGET_WAIT_S,
             )
         except state_client.ValueTooLargeError:
             await curio.sleep(REJECTED_WRITE_RETRY_DELAY_S)
--- a/umberward/protocol/http/client.py
+++ b/umberward/protocol/http/client.py
@@ -52,12 +52,12 @@
 class Client:
     """Sends requests over pooled connections."""
 
-    def __init__(self, most: SocketBudget | int) -> None:
-        """Create a client; `most` is a number of sockets, or a budget shared with a server."""
-        self.sockets = SocketBudget.of(most)
-        self.waiting: deque[curio.Event] = deque()  # requests that wait for a socket
+    def __init__(self, socket_budget: SocketBudget | int) -> None:
+        """Create a client; `socket_budget` is a number of sockets, or shared with a server."""
+        self.socket_budget = SocketBudget.of(socket_budget)
+        self.socket_waiters: deque[curio.Event] = deque()  # requests that wait for a socket
         # Pooled connections; the least recently used address comes first.
-        self.idle: OrderedDict[Address, list[_PooledConnection]] = OrderedDict()
+        self.idle_connections: OrderedDict[Address, list[_PooledConnection]] = OrderedDict()
 
     async def request(
         self,
@@ -66,19 +66,19 @@
         target: str,
         body: bytes = b"",
         timeout: float = 2.0,
-        fresh: bool = False,  # noqa: FBT001, FBT002 (callers name it)
-        still: Callable[[], bool] | None = None,
+        new_connection: bool = False,  # noqa: FBT001, FBT002 (callers name it)
+        may_send: Callable[[], bool] | None = None,
     ) -> Response:
         """Send a request and wait for its response.
 
-        `timeout` limits the whole exchange, in seconds; `fresh` requires a new connection. `still`
-        is called immediately before sending: the request is not sent if it returns False. It
-        guards against decisions that are outdated because the process has waited for a socket or
-        a connection, or was paused. Raises RequestNotSentError or NoResponseError.
+        `timeout` limits the whole exchange, in seconds; `new_connection` rules out a pooled one.
+        `may_send` is called immediately before sending: the request is not sent if it returns
+        False. It guards against decisions that are outdated because the process has waited for a
+        socket or a connection, or was paused. Raises RequestNotSentError or NoResponseError.
         """
         deadline = time.monotonic() + timeout
-        connection = await self._connect(address, deadline, fresh=fresh)
-        if still is not None and not still():
+        connection = await self._connect(address, deadline, new_connection=new_connection)
+        if may_send is not None and not may_send():
             await self._close(connection.sock)
             raise RequestNotSentError(f"{method} {address}: no longer valid when ready to be sent")
         head = _RequestHead(method, target, str(address), len(body))
@@ -96,31 +96,31 @@
         await self._return_to_pool(address, connection)
         return response
 
-    async def forget(self, address: Address) -> None:
+    async def close_idle_connections(self, address: Address) -> None:
         """Close the idle connections to an address that is no longer used."""
-        for connection in self.idle.pop(address, []):
+        for connection in self.idle_connections.pop(address, []):
             await self._close(connection.sock)
 
     async def close_idle_connection(self) -> bool:
         """Close an idle connection to the least recently used address; return False if none."""
-        if not self.idle:
+        if not self.idle_connections:
             return False
-        connection = self._take_idle_connection(next(iter(self.idle)), 0)
+        connection = self._take_idle_connection(next(iter(self.idle_connections)), 0)
         await self._close(connection.sock)
         return True
 
     async def _connect(
-        self, address: Address, deadline: float, *, fresh: bool
+        self, address: Address, deadline: float, *, new_connection: bool
     ) -> _PooledConnection:
         """A usable idle connection, or a new one. Raises RequestNotSentError."""
-        while not fresh and address in self.idle:
+        while not new_connection and address in self.idle_connections:
             connection = self._take_idle_connection(address, -1)
             if self._is_usable(connection.sock):
                 return connection
             await self._close(connection.sock)
         # Idle connections use up the budget. With more addresses than sockets they would exhaust
         # it, and no further address could be reached.
-        while self.sockets.available_to_client <= 0 and await self.close_idle_connection():
+        while self.socket_budget.available_to_client <= 0 and await self.close_idle_connection():
             pass
         await self._acquire_socket(address, deadline)
         sock = sockets.socket(sockets.AF_INET, sockets.SOCK_STREAM)
@@ -138,34 +138,37 @@
 
     async def _return_to_pool(self, address: Address, connection: _PooledConnection) -> None:
         """Keep the connection for later requests, or close it if it can't be reused."""
-        idle = self.idle.get(address, [])
+        idle = self.idle_connections.get(address, [])
         states = (connection.state.our_state, connection.state.their_state)
         if states not in (EXCHANGE_DONE, PARSER_UNUSED) or len(idle) >= MAX_IDLE_PER_ADDRESS:
             await self._close(connection.sock)
             return
         if states == EXCHANGE_DONE:
             connection.state.start_next_cycle()
-        self.idle[address] = [*idle, connection]
-        self.idle.move_to_end(address)
+        self.idle_connections[address] = [*idle, connection]
+        self.idle_connections.move_to_end(address)
 
     async def _acquire_socket(self, address: Address, deadline: float) -> None:
         """Wait for a socket in the budget and reserve it. Raises RequestNotSentError."""
-        while self.sockets.available_to_client <= 0:
+        while self.socket_budget.available_to_client <= 0:
             freed = curio.Event()
-            self.waiting.append(freed)
+            self.socket_waiters.append(freed)
             # The server releases sockets without notifying the client.
             wait_s = min(max(deadline - time.monotonic(), MIN_TIMEOUT_S), SOCKET_RECHECK_S)
-            if await curio.ignore_after(wait_s, freed.wait) is None and freed in self.waiting:
-                self.waiting.remove(freed)
-            if time.monotonic() >= deadline and self.sockets.available_to_client <= 0:
+            if (
+                await curio.ignore_after(wait_s, freed.wait) is None
+                and freed in self.socket_waiters
+            ):
+                self.socket_waiters.remove(freed)
+            if time.monotonic() >= deadline and self.socket_budget.available_to_client <= 0:
                 raise RequestNotSentError(f"{address}: socket limit reached")
-        self.sockets.sent += 1
+        self.socket_budget.client_sockets += 1
 
     def _take_idle_connection(self, address: Address, position: int) -> _PooledConnection:
-        idle = self.idle[address]
+        idle = self.idle_connections[address]
         connection = idle.pop(position)
         if not idle:
-            del self.idle[address]
+            del self.idle_connections[address]
         return connection
 
     @staticmethod
@@ -182,9 +185,9 @@
 
     async def _close(self, sock: curio.io.Socket) -> None:
         await sock.close()
-        self.sockets.sent -= 1
-        if self.waiting:
-            await self.waiting.popleft().set()
+        self.socket_budget.client_sockets -= 1
+        if self.socket_waiters:
+            await self.socket_waiters.popleft().set()
 
     @staticmethod
     async def _round_trip(
--- a/umberward/protocol/http/connection.py
+++ b/umberward/protocol/http/connection.py
@@ -36,7 +36,7 @@
         self.sock = sock
         self.deadline = time.monotonic() + IDLE_TIMEOUT_S
         self.task: Any = None
-        self.name = ""  # the client, once `Server.name_connection` has been called
+        self.name = ""  # the client, once `Server.set_client_name` has been called
         self.quiescent = True  # waiting for a request
         self.response_sent = False  # at least one response has been sent
 
--- a/umberward/protocol/http/messages.py
+++ b/umberward/protocol/http/messages.py
@@ -33,13 +33,13 @@
 
 
 class Request(NamedTuple):
-    """A request received by the server; `origin` is the connection it arrived on."""
+    """A request received by the server; `connection` is the one it arrived on."""
 
     method: str
     path: str
     query: str
     body: bytes
-    origin: Connection | None = None
+    connection: Connection | None = None
 
 
 class Response(NamedTuple):
--- a/umberward/protocol/http/server.py
+++ b/umberward/protocol/http/server.py
@@ -30,7 +30,7 @@
 
 SWEEP_INTERVAL_S = 1.0  # how often connections past their deadline are closed
 SOCKET_POLL_INTERVAL_S = 0.01  # interval of checks for a free socket in the budget
-SOCKET_POLLS = 20  # such checks before a new connection is refused
+MAX_SOCKET_POLLS = 20  # such checks before a new connection is refused
 ACCEPT_RETRY_S = 0.05
 LISTEN_BACKLOG = 256
 
@@ -44,20 +44,20 @@
         self,
         address: Address,
         handler: Handler,
-        most: SocketBudget | int,
+        socket_budget: SocketBudget | int,
         client: Client | None = None,
     ) -> None:
-        """Create a server; `most` is a number of sockets, or a budget shared with `client`.
+        """Create a server; `socket_budget` is a number of sockets, or shared with `client`.
 
         When the budget is exhausted, idle connections of `client` are closed.
         """
         self.address = address
         self.handler = handler
-        self.sockets = SocketBudget.of(most)
+        self.socket_budget = SocketBudget.of(socket_budget)
         self.client = client
         self.connections: set[Connection] = set()
         self.connections_by_name: dict[str, Connection] = {}
-        self.refused = 0  # connections closed at once because the socket budget was exhausted
+        self.refused_connections = 0  # closed at once because the socket budget was exhausted
 
     @property
     def connection_count(self) -> int:
@@ -90,7 +90,7 @@
                 if await self._wait_for_socket():
                     await self._open(sock)
                 else:
-                    self.refused += 1
+                    self.refused_connections += 1
                     await sock.close()
 
     async def _wait_for_socket(self) -> bool:
@@ -99,8 +99,8 @@
         Meanwhile, clients that have reconnected may be identified, which closes their earlier
         connections.
         """
-        for _ in range(SOCKET_POLLS):
-            if self.sockets.left > 0 or await self._evict():
+        for _ in range(MAX_SOCKET_POLLS):
+            if self.socket_budget.available > 0 or await self._evict():
                 return True
             await curio.sleep(SOCKET_POLL_INTERVAL_S)
         return False
@@ -113,10 +113,10 @@
         """
         connection = Connection(sock)
         self.connections.add(connection)
-        self.sockets.served += 1
+        self.socket_budget.server_sockets += 1
         connection.task = await curio.spawn(self._serve, connection, daemon=True)
 
-    async def name_connection(self, connection: Connection, name: str) -> None:
+    async def set_client_name(self, connection: Connection, name: str) -> None:
         """Record which client has connected, and close its earlier connection if there is one.
 
         The client has abandoned that one, though the server may never have seen it closed.
@@ -150,7 +150,7 @@
     def _forget(self, connection: Connection) -> None:
         if connection in self.connections:
             self.connections.remove(connection)
-            self.sockets.served -= 1
+            self.socket_budget.server_sockets -= 1
         if self.connections_by_name.get(connection.name) is connection:
             del self.connections_by_name[connection.name]
 
--- a/umberward/protocol/http/socket_budget.py
+++ b/umberward/protocol/http/socket_budget.py
@@ -11,12 +11,12 @@
     with the client's idle connections, and the client is limited to the rest.
     """
 
-    def __init__(self, limit: int, most_of_client: int) -> None:
-        """Limit both sides to `limit` sockets, and the client to `most_of_client` of them."""
+    def __init__(self, limit: int, client_limit: int) -> None:
+        """Limit both sides to `limit` sockets, and the client to `client_limit` of them."""
         self.limit = limit
-        self.most_of_client = most_of_client
-        self.served = 0  # open connections accepted by the server
-        self.sent = 0  # open connections made by the client
+        self.client_limit = client_limit
+        self.server_sockets = 0  # open connections accepted by the server
+        self.client_sockets = 0  # open connections made by the client
 
     @classmethod
     def of(cls, budget: SocketBudget | int) -> SocketBudget:
@@ -24,11 +24,11 @@
         return budget if isinstance(budget, SocketBudget) else cls(budget, budget)
 
     @property
-    def left(self) -> int:
+    def available(self) -> int:
         """The number of sockets that the server may still open."""
-        return self.limit - self.served - self.sent
+        return self.limit - self.server_sockets - self.client_sockets
 
     @property
     def available_to_client(self) -> int:
         """The number of sockets that the client may still open."""
-        return min(self.left, self.most_of_client - self.sent)
+        return min(self.available, self.client_limit - self.client_sockets)
--- a/umberward/protocol/job_spec.py
+++ b/umberward/protocol/job_spec.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from umberward.core.types import MAX_TASKS
+from umberward.core.types import MAX_TASKS_PER_JOB
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 Positive = Annotated[float, msgspec.Meta(gt=0, le=1e9)]
@@ -48,7 +48,7 @@
     team: Name
     kind: str
     priority: str
-    task_count: Annotated[int, msgspec.Meta(ge=1, le=MAX_TASKS)]
+    task_count: Annotated[int, msgspec.Meta(ge=1, le=MAX_TASKS_PER_JOB)]
     cores: NonNegative
     accelerators: NonNegative
     mem_gb: NonNegative
--- a/umberward/protocol/wire.py
+++ b/umberward/protocol/wire.py
@@ -29,7 +29,7 @@
 | `generation`, `news` | `revision`, `changes` |
 | `write`, `delete` | `put_key`, `deleted_key` |
 
-Enumerated values are in `umberward.protocol.words`, stored records in
+Enumerated values are in `umberward.protocol.constants`, stored records in
 `umberward.protocol.state_records`. All message types of the package can be imported from here.
 """
 
@@ -42,7 +42,7 @@
 import msgspec
 
 from umberward.core.types import (
-    JOB_PREFIX,
+    JOB_ID_PREFIX,
     Attempt,
     JobId,
     TaskId,
@@ -56,6 +56,18 @@
     MachineTypeList,
     ScaleOutResponse,
 )
+from umberward.protocol.constants import (
+    MAX_BODY_BYTES,
+    MAX_DELETIONS_PER_REQUEST,
+    MAX_MACHINES_PER_PAGE,
+    MAX_MACHINES_PER_REQUEST,
+    PRIORITIES,
+    CommandVerb,
+    JobKind,
+    JobPhase,
+    MachinePhase,
+    TaskPhase,
+)
 from umberward.protocol.job_spec import JobSpec, Name, NonNegative, Positive
 from umberward.protocol.state_messages import (
     CommitResponse,
@@ -78,18 +90,6 @@
     LeaderRecord,
     RemainingTasks,
 )
-from umberward.protocol.words import (
-    MAX_BODY_BYTES,
-    MAX_DELETIONS_PER_REQUEST,
-    MAX_MACHINES_PER_PAGE,
-    MAX_MACHINES_PER_REQUEST,
-    PRIORITIES,
-    CommandVerb,
-    JobKind,
-    JobPhase,
-    MachinePhase,
-    TaskPhase,
-)
 
 __all__ = [
     "ARRAY",
@@ -369,12 +369,12 @@
 
 def pack_dependencies(job_ids: Iterable[JobId]) -> str:
     """Join job ids without their common prefix, so that hundreds of them fit into one record."""
-    return " ".join(job_id.removeprefix(JOB_PREFIX) for job_id in job_ids)
+    return " ".join(job_id.removeprefix(JOB_ID_PREFIX) for job_id in job_ids)
 
 
 def unpack_dependencies(text: str) -> list[JobId]:
     """The job ids in a text from `pack_dependencies`."""
-    return [JobId(JOB_PREFIX + digits) for digits in text.split()]
+    return [JobId(JOB_ID_PREFIX + digits) for digits in text.split()]
 
 
 def json_size(data: object) -> int:
--- a/umberward/scheduling/autoscaler.py
+++ b/umberward/scheduling/autoscaler.py
@@ -56,10 +56,10 @@
         self.scheduler = scheduler
         self.prefix = prefix
         self.request_count = 0
-        self.comparisons = 0  # checks whether a machine has room for a waiting job
+        self.fit_checks = 0  # checks whether a machine has room for a waiting job
         # By refused offer: the time before which it is not requested, and the pause in seconds.
         self.no_capacity_until: dict[MachineOffer, tuple[Instant, float]] = {}
-        self.pending: dict[MachineId, PendingMachine] = {}
+        self.pending_machines: dict[MachineId, PendingMachine] = {}
         # Machines that run according to the cloud but have not reported, and since when.
         self.unreported_machines: dict[MachineId, Instant] = {}
         # Jobs that wait for affordable machines, as of the last decision to scale out.
@@ -72,13 +72,13 @@
     ) -> None:
         """Record the machines of a request; fewer than requested count as a refusal of more."""
         for machine_id in machine_ids:
-            self.pending[machine_id] = PendingMachine(request.offer, now)
+            self.pending_machines[machine_id] = PendingMachine(request.offer, now)
         if len(machine_ids) < request.machine_count:
-            self.no_capacity(request.offer, now)
+            self.request_refused(request.offer, now)
         else:
             self.no_capacity_until.pop(request.offer, None)
 
-    def no_capacity(self, offer: MachineOffer, now: Instant) -> None:
+    def request_refused(self, offer: MachineOffer, now: Instant) -> None:
         """Pause requests for an offer that the cloud refused, longer with each refusal."""
         first_pause_s = NO_CAPACITY_PAUSE_S / PAUSE_GROWTH_RATIO
         _, pause_s = self.no_capacity_until.get(offer, (now, first_pause_s))
@@ -100,7 +100,7 @@
             if machine.phase == FAILED:
                 failed.append(machine_id)
             elif machine_id in known:
-                self.pending.pop(machine_id, None)
+                self.pending_machines.pop(machine_id, None)
             elif machine.phase == BOOTING:
                 self._note_booting(machine_id, machine, now)
             else:
@@ -112,16 +112,16 @@
         return failed
 
     def _note_booting(self, machine_id: MachineId, machine: CloudMachine, now: Instant) -> None:
-        if machine_id not in self.pending:
+        if machine_id not in self.pending_machines:
             offer = MachineOffer(
                 MachineTypeName(machine.machine_type), ZoneName(machine.zone), machine.spot
             )
-            self.pending[machine_id] = PendingMachine(offer, Instant(now - machine.age_s))
+            self.pending_machines[machine_id] = PendingMachine(offer, Instant(now - machine.age_s))
 
-    def machines_removed(self, machine_ids: Iterable[MachineId]) -> None:
+    def machines_deleted(self, machine_ids: Iterable[MachineId]) -> None:
         """Forget machines that the cloud has deleted."""
         for machine_id in machine_ids:
-            self.pending.pop(machine_id, None)
+            self.pending_machines.pop(machine_id, None)
             self.unreported_machines.pop(machine_id, None)
 
     # ---- scaling in ----------------------------------------------------------------------
@@ -142,11 +142,14 @@
 
     def _machines_failed_to_boot(self, now: Instant) -> list[MachineId]:
         overdue = []
-        for machine_id, pending in self.pending.items():
+        for machine_id, pending in self.pending_machines.items():
             machine_type = self.scheduler.machine_types.get(pending.offer.type)
             if machine_type is None:
                 continue
-            if now - pending.since > FAILED_BOOT_RATIO * machine_type.boot_s + FAILED_BOOT_MARGIN_S:
+            if (
+                now - pending.requested_at
+                > FAILED_BOOT_RATIO * machine_type.boot_s + FAILED_BOOT_MARGIN_S
+            ):
                 overdue.append(machine_id)
         overdue += [
             machine_id
@@ -157,7 +160,7 @@
 
     def unreachable_machines_to_return(self, now: Instant) -> list[Machine]:
         """Return the machines to return because this leader's messages do not reach them."""
-        return self.scheduler.reachability.machines_to_return(now)
+        return self.scheduler.reachability.unreachable_machines_to_delete(now)
 
     def machines_to_return(self, now: Instant) -> list[Machine]:
         """Return the empty machines to return: idle for long, or quarantined."""
@@ -171,10 +174,10 @@
         if not scheduler.loaded or now - scheduler.started_at < FIRST_DECISION_DELAY_S:
             return []
         for machine_id in scheduler.machines:
-            self.pending.pop(machine_id, None)
+            self.pending_machines.pop(machine_id, None)
         waiting = scheduler.jobs_without_room(now)
         existing = simulate_existing(scheduler, waiting)
-        booting = simulate_pending(scheduler, self.pending.values(), now)
+        booting = simulate_pending(scheduler, self.pending_machines.values(), now)
         machine_counts = Counter(machine.offer for machine in booting)
         machine_counts.update(
             {offer: len(machines) for offer, machines in scheduler.schedulable.by_offer.items()}
@@ -187,7 +190,7 @@
         plan.request_for_headroom()
         plan.request_for_jobs(waiting)
         plan.request_for_consolidation()
-        self.comparisons += plan.comparisons
+        self.fit_checks += plan.fit_checks
         return [self._new_request(offer, count) for offer, count in offers.requested.items()]
 
     def _new_request(self, offer: MachineOffer, machine_count: int) -> ScaleOutRequest:
--- a/umberward/scheduling/cluster_state.py
+++ b/umberward/scheduling/cluster_state.py
@@ -34,7 +34,7 @@
 from umberward.scheduling.job_timing import DEFAULT_START_WITHIN_S, JobTiming
 from umberward.scheduling.jobs import Job, Placement, PreemptionKey
 from umberward.scheduling.machines import Machine
-from umberward.scheduling.objectives import NO_AIM
+from umberward.scheduling.objectives import NO_STRICTEST_OBJECTIVES
 from umberward.scheduling.quota import Quota
 from umberward.scheduling.schedulable_machines import SchedulableMachines
 from umberward.scheduling.token_rotation import TokenRotation
@@ -82,7 +82,7 @@
         super().__init__(cluster.objectives, machine_types)
         self.worker_times = cluster.workers
         # Largest value of the state service, in bytes.
-        self.value_limit = int(cluster.state.strictest().value_kb * 1024)
+        self.max_value_bytes = int(cluster.state.strictest().value_kb * 1024)
         self.operator = settings.operator
         self.quota = Quota(cluster.teams)
         self.wall_clock = wall_clock
@@ -106,7 +106,7 @@
         self.token_rotation = TokenRotation()
         self.started_at = now
         self.now = now
-        self.last_wake = now  # last check for a pause of this process
+        self.last_pause_check_at = now  # last check for a pause of this process
         self.last_heartbeat_at = now  # last heartbeat of any worker
         # Every cancellation before this time is known: when the latest answered listing of the
         # jobs was requested. None: no listing has been read in this term.
@@ -122,7 +122,7 @@
         # Jobs that may have tasks to place, in the order in which they were added here.
         self.jobs_to_place: dict[JobId, Job] = {}
         self.jobs_to_write: set[JobId] = set()  # jobs with a placement intent or an end to store
-        self.standings_outdated = True
+        self.precedences_outdated = True
         # Number of placements by preemption key: most jobs can preempt none, and then no machine
         # needs to be examined.
         self.running_by_key: Counter[PreemptionKey] = Counter()
@@ -133,7 +133,7 @@
         self.schedulable = SchedulableMachines()
         self.unscheduled_checks: list[Machine] = []  # new machines without a time for their checks
         # Machines that recently did not answer a probe.
-        self.unanswered_probes: set[MachineId] = set()
+        self.unresponsive_machines: set[MachineId] = set()
         self.machines_to_delete: set[MachineId] = set()  # to request as soon as the cloud answers
         # Deleted machines, whose late heartbeats are ignored. A dict keeps the order, so that the
         # oldest can be dropped.
@@ -150,22 +150,22 @@
         self.heartbeats_decoded = 0  # heartbeats decoded in full
         self.jobs_examined = 0  # jobs examined for tasks to place
         self.machines_examined = 0  # machines examined for work to preempt
-        self.searches = 0  # searches for free resources among all machines
+        self.room_searches = 0  # searches for free resources among all machines
 
     # ---- where jobs may run --------------------------------------------------------------
 
-    def set_standing(self, job: Job, priority: int, standing: tuple[int, int]) -> None:
-        """Set the job's priority and service rank, which also decide what it may preempt."""
-        if (priority, standing) == (job.priority, job.standing):
+    def set_precedence(self, job: Job, priority: int, precedence: tuple[int, int]) -> None:
+        """Set the job's priority and precedence, which also decide what it may preempt."""
+        if (priority, precedence) == (job.priority, job.precedence):
             return
-        job.priority, job.standing = priority, standing
+        job.priority, job.precedence = priority, precedence
         for placement in job.placements.values():
             self.running_by_key[placement.preemption_key] -= 1
             placement.preemption_key = job.preemption_key
             self.running_by_key[placement.preemption_key] += 1
             machine = self.machines.get(placement.machine)
             if machine is not None:
-                machine.standing_changed()
+                machine.precedence_changed()
 
     def admits_offer(
         self,
@@ -205,14 +205,19 @@
         self.offers_version += 1
         self.schedulable.changed.update(dict.fromkeys(self.machines))
 
-    def barred_machines(self, job: Job, open_machines: set[MachineId]) -> set[MachineId]:
+    def headroom_limited_machines(self, job: Job, open_machines: set[MachineId]) -> set[MachineId]:
         """Return those of `open_machines` on which the job may not use the reserved headroom."""
-        spec = self.headroom.latest_spec
+        spec = self.headroom.latest_accelerated_spec
         start_within_s = None
         if spec is not None:
-            start_within_s, _ = self.class_aims.get(spec.job_class, NO_AIM)
-        return self.headroom.barred_machines(
-            job, open_machines, self.estimate(job), start_within_s or DEFAULT_START_WITHIN_S
+            start_within_s, _ = self.strictest_objectives.get(
+                spec.job_class, NO_STRICTEST_OBJECTIVES
+            )
+        return self.headroom.headroom_limited_machines(
+            job,
+            open_machines,
+            self.expected_task_runtime(job),
+            start_within_s or DEFAULT_START_WITHIN_S,
         )
 
     def find_or_add_machine(
@@ -286,7 +291,7 @@
                 job.unstored_intents -= 1
         if not requeue:
             return
-        job.put_back(placement.task.number)
+        job.requeue_task(placement.task.number)
         self.jobs_to_place[job.id] = job
         if job.gang:
             # The rest of a gang cannot run without this task.
@@ -294,7 +299,7 @@
                 if other.stop_grace_s is None:
                     self.stop(other, 0.0)
 
-    def release_all(self, machine: Machine, reason: str) -> None:
+    def release_all_placements(self, machine: Machine, reason: str) -> None:
         """Release all placements of a machine whose incarnation has ended; log the `reason`."""
         if machine.placements:
             log.info("tasks_lost", machine=machine.id, tasks=len(machine.placements), reason=reason)
@@ -302,22 +307,22 @@
         for placement in list(machine.placements.values()):
             self.release(machine, placement)
         machine.exited_tasks.clear()
-        machine.unforgotten_since = None
-        self.clear_unplaced_tasks(machine)
+        machine.forget_deferred_since = None
+        self.clear_tasks_without_placement(machine)
 
-    def add_unplaced_task(self, machine: Machine, task: TaskId) -> None:
+    def add_task_without_placement(self, machine: Machine, task: TaskId) -> None:
         """Record a task that the machine runs without a placement and that is to be stopped."""
-        if task not in machine.unplaced_tasks:
-            machine.unplaced_tasks.add(task)
+        if task not in machine.tasks_without_placement:
+            machine.tasks_without_placement.add(task)
             self.tasks_without_placement[task] += 1
 
-    def clear_unplaced_tasks(self, machine: Machine) -> None:
+    def clear_tasks_without_placement(self, machine: Machine) -> None:
         """Forget the tasks that the machine was recorded to run without a placement."""
-        for task in machine.unplaced_tasks:
+        for task in machine.tasks_without_placement:
             self.tasks_without_placement[task] -= 1
             if not self.tasks_without_placement[task]:
                 del self.tasks_without_placement[task]
-        machine.unplaced_tasks.clear()
+        machine.tasks_without_placement.clear()
 
     def stop(self, placement: Placement, grace_s: float) -> None:
         """Stop a task with `grace_s` seconds to save a checkpoint; a shorter grace overrides."""
--- a/umberward/scheduling/command_queue.py
+++ b/umberward/scheduling/command_queue.py
@@ -34,7 +34,7 @@
             return None
         return self._prepare(command)
 
-    def completed(self, machine_id: MachineId) -> DirectCommand | None:
+    def complete_and_take_next(self, machine_id: MachineId) -> DirectCommand | None:
         """Record that the command in flight was answered or given up; return the next one."""
         self._inflight.discard(machine_id)
         waiting = self._waiting.pop(machine_id, [])
--- a/umberward/scheduling/command_results.py
+++ b/umberward/scheduling/command_results.py
@@ -46,7 +46,7 @@
         if command.incarnation == machine.incarnation:
             self._settle_starts(machine, command, may_be_executed=may_be_executed)
         if heartbeat is None:
-            self.reachability.suspect(machine, now)
+            self.reachability.suspect_unreachable(machine, now)
             return
         if heartbeat.machine_id != command.machine:
             self._address_reused(machine, command, heartbeat, now)
@@ -63,7 +63,7 @@
             return
         if heartbeat.machine_id != machine.id:
             # Another machine now uses this one's address.
-            self.reachability.suspect(machine, now, sure=True)
+            self.reachability.suspect_unreachable(machine, now, mark_unreachable=True)
         elif (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence):
             # An old heartbeat is not applied below, but the machine has answered.
             machine.last_heard_at = self.cluster.last_heartbeat_at = now
@@ -81,7 +81,7 @@
         machine.probe_unanswered = True
         machine.unchanged_heartbeat = None
         machine.availability_changed()
-        self.cluster.unanswered_probes.add(machine.id)
+        self.cluster.unresponsive_machines.add(machine.id)
 
     @staticmethod
     def _settle_starts(machine: Machine, command: DirectCommand, *, may_be_executed: bool) -> None:
@@ -115,4 +115,4 @@
             ):
                 # The task runs only there, and is adopted through that machine's heartbeat.
                 self.cluster.release(machine, placement, requeue=False)
-        self.reachability.suspect(machine, now, sure=True)
+        self.reachability.suspect_unreachable(machine, now, mark_unreachable=True)
--- a/umberward/scheduling/deadline_triage.py
+++ b/umberward/scheduling/deadline_triage.py
@@ -4,7 +4,7 @@
 misses its deadline anyway. The Moore-Hodgson algorithm minimizes the number of late jobs: it adds
 jobs in order of their latest starts, and whenever one would start too late, it removes the longest
 added so far. Removed jobs are served after the rest, but a job that has waited for
-`MISSED_GOALS_PRIORITY_S` is served first, whatever its size.
+`SERVE_MISSED_WITHIN_S` is served first, whatever its size.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from umberward.core.types import Instant, JobId, WallTime
 from umberward.scheduling.cluster_state import ClusterState
-from umberward.scheduling.job_timing import MISSED_GOALS_PRIORITY_S
+from umberward.scheduling.job_timing import SERVE_MISSED_WITHIN_S
 from umberward.scheduling.jobs import Job
 
 LATE_JOBS_INTERVAL_S = 0.4
@@ -85,16 +85,16 @@
         deadline_jobs = []
         free_at: float = wall
         for job in members:
-            task_s = self.cluster.estimate(job)
+            task_s = self.cluster.expected_task_runtime(job)
             amount = job.need.accelerators if kind.accelerated else job.need.cores
             work = job.startable_count() * amount * task_s
             if rate <= 0:
                 continue
-            if wall - job.ready_at > MISSED_GOALS_PRIORITY_S:
+            if wall - job.ready_at > SERVE_MISSED_WITHIN_S:
                 free_at += work / rate  # served first
                 continue
             # The last task starts before the job's work is done: others still run at that time.
-            start_by = self.cluster.service_order(job, wall) + REMAINING_RUN_SHARE * task_s
+            start_by = self.cluster.serve_by(job, wall) + REMAINING_RUN_SHARE * task_s
             deadline_jobs.append(DeadlineJob(start_by, work / rate, job.id))
         return choose_late_jobs(deadline_jobs, free_at)
 
--- a/umberward/scheduling/dependencies.py
+++ b/umberward/scheduling/dependencies.py
@@ -33,7 +33,7 @@
         self.dependents: dict[JobId, set[JobId]] = {}
         # Dependencies that are not live and whose end is not known: their final records must be
         # looked up before their dependents may start. A dictionary used as an ordered set.
-        self.unresolved_ids: dict[JobId, None] = {}
+        self.unresolved_dependency_ids: dict[JobId, None] = {}
         # By waiting job that can never run: the cancelled dependency that caused it.
         self.cancelled_by: dict[JobId, JobId] = {}
 
@@ -47,11 +47,11 @@
             if dependency_id in self.cancelled_by:
                 self._cancel_dependents([job_id], self.cancelled_by[dependency_id])
             elif not self.is_live(dependency_id):
-                self.unresolved_ids[dependency_id] = None
+                self.unresolved_dependency_ids[dependency_id] = None
 
     def note_live(self, job_id: JobId) -> None:
         """Note that the job is live: it has not ended yet and need not be looked up."""
-        self.unresolved_ids.pop(job_id, None)
+        self.unresolved_dependency_ids.pop(job_id, None)
 
     def note_started(self, job_id: JobId) -> None:
         """Note that, according to its record, the job no longer waits for others."""
@@ -60,7 +60,7 @@
     def note_ended(self, job_id: JobId, phase: str) -> list[JobId]:
         """Note that the job's end was committed; return the jobs that may start now."""
         self._remove(job_id)
-        self.unresolved_ids.pop(job_id, None)
+        self.unresolved_dependency_ids.pop(job_id, None)
         dependents = self.dependents.pop(job_id, set())
         if phase != wire.DONE:
             self._cancel_dependents(dependents, job_id)
@@ -76,22 +76,22 @@
                 ready.append(dependent_id)
         return sorted(ready)
 
-    def note_gone(self, job_id: JobId) -> None:
+    def note_removed(self, job_id: JobId) -> None:
         """Note that the job's live record was deleted and its end is not known."""
         self._remove(job_id)
         if job_id in self.dependents:
-            self.unresolved_ids[job_id] = None
+            self.unresolved_dependency_ids[job_id] = None
 
-    def unresolved(self, job_id: JobId) -> set[JobId]:
+    def unresolved_dependencies(self, job_id: JobId) -> set[JobId]:
         """Return the jobs to look up to determine whether this job can ever run."""
-        if not self.unresolved_ids:
+        if not self.unresolved_dependency_ids:
             return set()
         found: set[JobId] = set()
         seen = {job_id}
         to_visit = [job_id]
         while to_visit:
             for dependency_id in self.dependencies.get(to_visit.pop(), ()):
-                if dependency_id in self.unresolved_ids:
+                if dependency_id in self.unresolved_dependency_ids:
                     found.add(dependency_id)
                 if dependency_id not in seen:
                     seen.add(dependency_id)
@@ -102,7 +102,7 @@
         """Remove everything, before all records are read again."""
         self.dependencies.clear()
         self.dependents.clear()
-        self.unresolved_ids.clear()
+        self.unresolved_dependency_ids.clear()
         self.cancelled_by.clear()
 
     def _remove(self, job_id: JobId) -> None:
@@ -114,7 +114,7 @@
                 dependents.discard(job_id)
                 if not dependents:
                     del self.dependents[dependency_id]
-                    self.unresolved_ids.pop(dependency_id, None)
+                    self.unresolved_dependency_ids.pop(dependency_id, None)
 
     def _cancel_dependents(self, job_ids: Iterable[JobId], cause: JobId) -> None:
         """Mark these jobs and all that depend on them as cancelled by `cause`."""
@@ -167,7 +167,7 @@
         """Remove a job whose live record was deleted."""
         dependencies = list(self.graph.dependencies.get(job_id, ()))
         self.jobs.pop(job_id, None)
-        self.graph.note_gone(job_id)
+        self.graph.note_removed(job_id)
         self.demands.pop(job_id, None)
         self._recompute_demand(dependencies)
 
@@ -179,13 +179,13 @@
         """Return what the job's live dependents require of it."""
         return self.demands.get(job_id, NO_DEMAND)
 
-    def service_standing(self, job: Job) -> tuple[int, int]:
-        """Return the job's service rank, including the demand that is expected for its class.
+    def expected_precedence(self, job: Job) -> tuple[int, int]:
+        """Return the job's precedence, including the demand that is expected for its class.
 
         Expected demand alone preempts nothing: that requires a live job that depends on this one.
         """
         share, priority = self.class_demand.get(job.spec.job_class, (0.0, job.priority))
-        guaranteed, own_priority = job.standing
+        guaranteed, own_priority = job.precedence
         if share > EXPECTED_DEMAND_SHARE:
             return (guaranteed, min(own_priority, priority))
         return (guaranteed, own_priority)
@@ -258,4 +258,4 @@
             share, _ = self.class_demand.get(job.spec.job_class, (1.0, 0))
             self.class_demand[job.spec.job_class] = (share, demand.priority)
         if job_id in self.cluster.jobs:
-            self.cluster.standings_outdated = self.cluster.pass_wanted = True
+            self.cluster.precedences_outdated = self.cluster.pass_wanted = True
--- a/umberward/scheduling/failure_attribution.py
+++ b/umberward/scheduling/failure_attribution.py
@@ -22,7 +22,7 @@
 
 QUARANTINE_AFTER_FAILURES = 2  # failures on one machine of jobs that are not faulty
 FAULTY_JOB_AFTER_MACHINES = 3  # a job that fails on so many machines counts as faulty
-QUARANTINE_DECISION_S = 15.0  # a machine still in quarantine after this time is faulty
+QUARANTINE_TIMEOUT_S = 15.0  # a machine still in quarantine after this time is faulty
 CHECK_INTERVAL_S = 0.5  # between checks of the suspected jobs
 
 # Exponential backoff: the pause before a faulty job is retried doubles with each retry.
@@ -59,10 +59,10 @@
             self._delay_retry(job, now)
             return
         log.debug("task_failed", task=placement.task, machine=machine.id, ran_s=round(ran_s, 1))
-        if not job.ran_well:
+        if not job.known_to_work:
             self.suspected[job.id] = job
             self._clear_if_running_well(job, now)
-        if not job.ran_well and len(job.failed_machines) >= FAULTY_JOB_AFTER_MACHINES:
+        if not job.known_to_work and len(job.failed_machines) >= FAULTY_JOB_AFTER_MACHINES:
             self._mark_faulty(job, now)
             return
         self._update_quarantine(machine, now)
@@ -78,7 +78,7 @@
             machine.failures.clear()
             machine.succeeded_at = now
             self._update_quarantine(machine, now)
-        self._exonerate(job, now)
+        self._mark_known_to_work(job, now)
 
     def tick(self, now: Instant) -> None:
         """Make the decisions that depend on elapsed time; to be called a few times a second."""
@@ -87,14 +87,14 @@
         self.check_not_before = Instant(now + CHECK_INTERVAL_S)
         for job in list(self.suspected.values()):
             if job.ended:
-                self.forget_job(job, now)
+                self.job_ended(job, now)
             else:
                 self._clear_if_running_well(job, now)
         for job_id, job in list(self.undecided.items()):
-            if job.ended or not job.judge_failures(self.cluster.machines, now):
+            if job.ended or not job.attribute_failures(self.cluster.machines, now):
                 del self.undecided[job_id]
 
-    def forget_job(
+    def job_ended(
         self,
         job: Job,
         now: Instant,  # noqa: ARG002 - the scheduler passes the time with each event
@@ -125,9 +125,9 @@
         for failed in machine.failures:
             job_id = failed.job if isinstance(failed, TaskId) else failed
             job = self.cluster.jobs.get(job_id)
-            if job is not None and job.ran_well:
+            if job is not None and job.known_to_work:
                 return True
-        return now - machine.quarantined_since > QUARANTINE_DECISION_S
+        return now - machine.quarantined_since > QUARANTINE_TIMEOUT_S
 
     # ---- jobs --------------------------------------------------------------------------------
 
@@ -145,7 +145,7 @@
         job.failed_machines.add(machine.id)
         job.task_failed(task_id.number, machine.id, now)
         self.undecided[job.id] = job
-        if job.failure_excused(task_id.number):
+        if job.failure_ignored_for_machines(task_id.number):
             self._update_quarantines(job, now)
         self._update_quarantine(machine, now)
 
@@ -168,14 +168,14 @@
         ran_well_s = RAN_WELL_FACTOR * job.longest_failed_run_s + RAN_WELL_MARGIN_S
         for placement in job.placements.values():
             if placement.running_since is not None and now - placement.running_since > ran_well_s:
-                self._exonerate(job, now)
+                self._mark_known_to_work(job, now)
                 return
 
-    def _exonerate(self, job: Job, now: Instant) -> None:
+    def _mark_known_to_work(self, job: Job, now: Instant) -> None:
         """Record that the job runs well; its failures count against the machines from now on."""
-        if job.ran_well:
+        if job.known_to_work:
             return
-        job.ran_well = True
+        job.known_to_work = True
         self.suspected.pop(job.id, None)
         if job.faulty:
             log.info("job_fault_cleared", job=job.id)
@@ -214,7 +214,7 @@
                 job, number = self.cluster.jobs.get(failed.job), failed.number
             else:
                 job, number = self.cluster.jobs.get(failed), 0
-            if job is None or not job.failure_excused(number):
+            if job is None or not job.failure_ignored_for_machines(number):
                 # Repeated failures of one task say no more about a machine than one failure.
                 count += min(times, 1) if isinstance(failed, TaskId) else times
         return count
--- a/umberward/scheduling/failure_detector.py
+++ b/umberward/scheduling/failure_detector.py
@@ -24,14 +24,14 @@
 HEARD_TIMEOUT_MARGIN_S = 1.0  # added to the heartbeat timeout in that count
 MIN_WORKERS = 4  # with fewer, a network partition can't be told from failed workers
 MAX_PROBED_WORKERS = 8  # number of workers to probe when none is heard
-PROBE_WAIT_S = 1.2  # a reachable worker answers a probe within this time
+ISOLATION_PROBE_TIMEOUT_S = 1.2  # a reachable worker answers a probe within this time
 EVENLY_SPREAD_WORKERS = 20  # heartbeats of so many are spread evenly enough over their interval
 HEARTBEAT_INTERVAL_FACTOR = 1.25  # longest regular heartbeat interval, relative to the setting
 HEARTBEAT_MARGIN_S = 1.0  # added to that interval for network delays
 # Up to this many machines, or this fraction of all, may fail independently at once. If more are
 # silent, they are assumed to be cut off.
 MAX_INDEPENDENT_FAILURES = 3
-INDEPENDENT_FAILURE_SHARE = 0.1
+MAX_INDEPENDENT_FAILURE_FRACTION = 0.1
 MIN_ZONE_HEARD_FRACTION = 0.5  # a zone may be cut off if less of its machines is heard
 MIN_HEARD_FRACTION = 0.25  # the leader is isolated if less of the machines seen is heard
 ISOLATION_GRACE_TIMEOUTS = 2  # heartbeat timeouts after the term's start before isolation counts
@@ -59,14 +59,14 @@
         # When all workers were found silent and probed; None: isolation is not suspected.
         self.isolation_suspected_since: Instant | None = None
 
-    def detect_pause(self, now: Instant) -> None:
+    def discount_process_pause(self, now: Instant) -> None:
         """Do not count a pause of this process as silence of the machines.
 
         To be called before any decision, with a fresh `now`. Messages that arrived during the
         pause are still to be read, so the machines were not silent. Their leases ran on.
         """
-        pause_s = now - self.cluster.last_wake
-        self.cluster.last_wake = now
+        pause_s = now - self.cluster.last_pause_check_at
+        self.cluster.last_pause_check_at = now
         if pause_s <= PROCESS_PAUSE_THRESHOLD_S:
             return
         log.info("process_paused", seconds=round(pause_s, 1))
@@ -83,7 +83,7 @@
         if not self.cluster.reconciliation_completed and self.cluster.loaded:
             self._check_reconciliation_completed(now)
 
-    def hears_nothing(self, now: Instant) -> bool:
+    def all_workers_silent(self, now: Instant) -> bool:
         """Whether no worker is heard although, given their number, at least one should be."""
         self._update_machine_counts(now)
         if self.machines_seen < MIN_WORKERS:
@@ -101,7 +101,7 @@
             return False
         if (
             self.isolation_suspected_since is not None
-            and now - self.isolation_suspected_since > PROBE_WAIT_S
+            and now - self.isolation_suspected_since > ISOLATION_PROBE_TIMEOUT_S
         ):
             return True
         return (
@@ -109,29 +109,30 @@
             and self.machines_heard < MIN_HEARD_FRACTION * self.machines_seen
         )
 
-    def heard_no_machine(self, now: Instant) -> bool:
+    def no_heartbeat_this_term(self, now: Instant) -> bool:
         """Whether this leader has heard no machine since its term began, though it should have.
 
         By now each reachable machine should have sent a heartbeat or answered a probe.
-        `hears_nothing` and `is_isolated` rely on the machines seen, and a new leader that is cut
-        off has seen none. All machines may also be down, so this alone is no reason to step down.
+        `all_workers_silent` and `is_isolated` rely on the machines seen, and a new leader that is
+        cut off has seen none. All machines may also be down, so this alone is no reason to step
+        down.
         """
         if now - self.cluster.started_at < self._heartbeat_overdue_s():
             return False
         machines = self.cluster.machines.values()
         return len(machines) >= MIN_WORKERS and not any(m.heartbeat_seen for m in machines)
 
-    def select_machines_to_delete(self, now: Instant) -> None:
+    def mark_silent_machines_for_deletion(self, now: Instant) -> None:
         """Mark silent machines for deletion, which frees their tasks before the lease expires.
 
         If many machines are silent at once, the leader or their zone is cut off rather than the
         machines being down. Their tasks run until the leases expire, so the machines are kept
         until shortly before. If hardly any machine is heard, the leader itself is cut off.
         """
-        if not self.cluster.unanswered_probes:
+        if not self.cluster.unresponsive_machines:
             return
         silent = self._find_silent_machines(now)
-        self.cluster.unanswered_probes = {machine.id for machine in silent}
+        self.cluster.unresponsive_machines = {machine.id for machine in silent}
         if not silent:
             return
         preempted = [machine for machine in silent if machine.preempted_at is not None]
@@ -142,7 +143,7 @@
             for machine in silent
             if machine.zone not in cut_off_zones
             or machine.lease_expired
-            or machine.predecessor_expired
+            or machine.predecessor_tasks_ended
         ]
         self._mark_unless_cut_off(silent, preempted, now)
 
@@ -174,7 +175,7 @@
     def _check_reconciliation_completed(self, now: Instant) -> None:
         """Requeue unlocated tasks once each machine is reconciled or its old session is over."""
         if any(
-            not (machine.reconciled or machine.predecessor_expired)
+            not (machine.reconciled or machine.predecessor_tasks_ended)
             for machine in self.cluster.machines.values()
         ):
             return
@@ -222,7 +223,7 @@
         Machines that started together send their heartbeats together for a while, and are all
         silent in between.
         """
-        if not self.hears_nothing(now):
+        if not self.all_workers_silent(now):
             self.isolation_suspected_since = None
         elif self.isolation_suspected_since is None:
             self.isolation_suspected_since = now
@@ -245,7 +246,7 @@
         """
         lease_s = self.cluster.worker_times.lease_s
         silent = []
-        for machine_id in self.cluster.unanswered_probes:
+        for machine_id in self.cluster.unresponsive_machines:
             machine = self.cluster.machines.get(machine_id)
             if machine is None or not machine.probe_unanswered or machine.deletion_requested:
                 continue
@@ -270,14 +271,14 @@
             m for m in self.cluster.machines.values() if m.zone not in self.cut_off_zones
         ]
         alive_count = sum(1 for machine in connected_machines if self._is_heard(machine, now))
-        if self.hears_nothing(now) or not alive_count:
+        if self.all_workers_silent(now) or not alive_count:
             return
         # Machines with an overdue heartbeat count as silent, as the silence of machines that are
         # cut off together is not noticed for all at the same time.
         connected_preempted = sum(1 for m in preempted if m.zone not in self.cut_off_zones)
         overdue = len(connected_machines) - alive_count - connected_preempted
         if overdue <= max(
-            MAX_INDEPENDENT_FAILURES, INDEPENDENT_FAILURE_SHARE * len(connected_machines)
+            MAX_INDEPENDENT_FAILURES, MAX_INDEPENDENT_FAILURE_FRACTION * len(connected_machines)
         ):
             self._mark_for_deletion(silent)
         elif overdue <= MAX_OVERDUE_TO_ALIVE_RATIO * alive_count:
@@ -323,6 +324,10 @@
             machine.reconciled
             and machine.token_seen == self.cluster.fencing_token
             and now - machine.last_heard_at < self.cluster.heartbeat_timeout()
-            and not (machine.unplaced_tasks or machine.deletion_requested or machine.lease_expired)
+            and not (
+                machine.tasks_without_placement
+                or machine.deletion_requested
+                or machine.lease_expired
+            )
             and not (machine.has_stopping_tasks or self.cluster.has_unwanted_start(machine))
         )
--- a/umberward/scheduling/gang_reservation.py
+++ b/umberward/scheduling/gang_reservation.py
@@ -85,7 +85,7 @@
         gangs.sort(key=lambda job: (job.ready_at, job.id))
         return gangs
 
-    def denied_machines(self, job: Job) -> set[MachineId]:
+    def machines_reserved_for_others(self, job: Job) -> set[MachineId]:
         """Return the machines that the job may not use, as they are reserved for other gangs."""
         duration_s = math.inf if job.service else self.cluster.expected_duration(job)
         return {
@@ -201,4 +201,4 @@
         if owner.service:
             return math.inf
         ran_s = 0.0 if placement.running_since is None else now - placement.running_since
-        return max(MIN_REMAINING_RUN_S, self.cluster.estimate(owner) - ran_s)
+        return max(MIN_REMAINING_RUN_S, self.cluster.expected_task_runtime(owner) - ran_s)
--- a/umberward/scheduling/headroom.py
+++ b/umberward/scheduling/headroom.py
@@ -55,7 +55,7 @@
         self.machine_types = machine_types
         self.largest_need = NO_RESOURCES  # of all accelerated tasks seen
         # Of the latest accelerated job, whose constraints decide where such work may run.
-        self.latest_spec: JobSpec | None = None
+        self.latest_accelerated_spec: JobSpec | None = None
         self.lowest_priority = 0  # of all accelerated work seen; a lower one is a larger number
         self.running_count = 0  # accelerated tasks with a placement
         self.waiting_count = 0  # accelerated tasks that wait for one
@@ -81,7 +81,7 @@
             if job.needs_prompt_start:
                 self.waiting_count += job.startable_count()
                 self.lowest_priority = max(self.lowest_priority, job.priority)
-                self.latest_spec = job.spec
+                self.latest_accelerated_spec = job.spec
                 self._update_largest_need(job.need)
         tasks = self.running_count + self.waiting_count
         decayed = tasks + (self.peak - tasks) * math.exp((self.updated_at - now) / PEAK_DECAY_S)
@@ -92,8 +92,8 @@
         """Adopt the demand that the previous leader saw, unless this one has seen more."""
         self.peak = max(self.peak, peak)
         self.lowest_priority = max(self.lowest_priority, PRIORITIES[spec.priority])
-        if self.latest_spec is None:
-            self.latest_spec = spec
+        if self.latest_accelerated_spec is None:
+            self.latest_accelerated_spec = spec
         self._update_largest_need(need)
 
     def _update_largest_need(self, need: Resources) -> None:
@@ -113,7 +113,7 @@
         spot: bool,  # noqa: FBT001 - the fields of a MachineOffer, in order
     ) -> bool:
         """Tell whether accelerated work may run on such a machine if it is empty."""
-        spec, machine_type = self.latest_spec, self.machine_types.get(machine_type_name)
+        spec, machine_type = self.latest_accelerated_spec, self.machine_types.get(machine_type_name)
         if spec is None:
             return False
         return (
@@ -199,7 +199,7 @@
                 room = room.plus(load)
         return room
 
-    def barred_machines(
+    def headroom_limited_machines(
         self, job: Job, headroom_machines: set[MachineId], task_s: float, start_within_s: float
     ) -> set[MachineId]:
         """Return those of `headroom_machines` on which the job must leave the headroom free.
--- a/umberward/scheduling/heartbeat_forwarding.py
+++ b/umberward/scheduling/heartbeat_forwarding.py
@@ -40,7 +40,7 @@
         """Start without workers."""
         self.latest: OrderedDict[MachineId, HeartbeatPosition] = OrderedDict()
 
-    def is_new(self, machine_id: MachineId, incarnation: int, sequence: int) -> bool:
+    def record_if_new(self, machine_id: MachineId, incarnation: int, sequence: int) -> bool:
         """Whether this heartbeat is newer than all before it; if so, store its position."""
         position = (incarnation, sequence)
         latest = self.latest.get(machine_id)
--- a/umberward/scheduling/heartbeats.py
+++ b/umberward/scheduling/heartbeats.py
@@ -169,7 +169,11 @@
             and machine.reconciled
             and machine.block_number is not None
             and machine.preempted_at is None
-            and not (machine.exited_tasks or machine.unplaced_tasks or machine.deletion_requested)
+            and not (
+                machine.exited_tasks
+                or machine.tasks_without_placement
+                or machine.deletion_requested
+            )
             and all(
                 placement.seen_on_worker and placement.stop_grace_s is None
                 for placement in machine.placements.values()
@@ -205,7 +209,7 @@
             heartbeat.spot,
             now,
         )
-        machine.confirmed = False
+        machine.existence_confirmed = False
         log.info("machine_new", machine=machine_id, type=machine_type, zone=heartbeat.zone)
         return machine
 
@@ -288,7 +292,7 @@
         """Begin a new session; the worker has killed and forgotten all tasks of the previous."""
         periodic = source is HeartbeatSource.PERIODIC
         if machine.incarnation:
-            self.cluster.release_all(machine, "session over")
+            self.cluster.release_all_placements(machine, "session over")
         if periodic:
             self.reachability.periodic_heartbeat_received(machine, now)
         if periodic and machine.incarnation:
@@ -342,10 +346,10 @@
                 )
             )
             return False
-        if source is HeartbeatSource.PERIODIC and not machine.confirmed:
+        if source is HeartbeatSource.PERIODIC and not machine.existence_confirmed:
             # This may be a duplicate from a machine that was deleted so long ago that the leader
             # no longer knows it. A response or the next heartbeat confirms the machine.
-            machine.confirmed = True
+            machine.existence_confirmed = True
             self.cluster.outbox.append(Probe(machine.id, machine.address))
             return False
         machine.reconciled = True
--- a/umberward/scheduling/invariants.py
+++ b/umberward/scheduling/invariants.py
@@ -38,7 +38,7 @@
 class Invariants:
     """Checks the invariants and counts their violations."""
 
-    raises = False  # set by the tests
+    raise_on_violation = False  # set by the tests
 
     def __init__(self) -> None:
         """Start without violations."""
@@ -54,11 +54,11 @@
         )
 
     def may_start(
-        self, job: Job | None, placement: Placement, unplaced_tasks: Counter[TaskId]
+        self, job: Job | None, placement: Placement, tasks_without_placement: Counter[TaskId]
     ) -> bool:
         """Whether a start of the placement may be sent.
 
-        `unplaced_tasks` counts the tasks that workers run without a placement.
+        `tasks_without_placement` counts the tasks that workers run without a placement.
         """
         if job is None or job.ended:
             return self._refuse_placement(
@@ -68,9 +68,9 @@
         if other is not placement:
             held_on = None if other is None else other.machine
             return self._refuse_placement(Invariant.STARTED_ALONE, placement, held_on=held_on)
-        if unplaced_tasks and placement.task in unplaced_tasks:
+        if tasks_without_placement and placement.task in tasks_without_placement:
             return self._refuse_placement(
-                Invariant.STARTED_ALONE, placement, strays=unplaced_tasks[placement.task]
+                Invariant.STARTED_ALONE, placement, strays=tasks_without_placement[placement.task]
             )
         return True
 
@@ -102,7 +102,7 @@
     def _refuse(self, invariant: Invariant, **evidence: object) -> bool:
         """Count and log a violation, and return False; in tests, raise."""
         self.violations[invariant] += 1
-        if self.raises:
+        if self.raise_on_violation:
             raise InvariantViolationError(invariant, evidence)
         log.error(
             "invariant_violated",
--- a/umberward/scheduling/job_records.py
+++ b/umberward/scheduling/job_records.py
@@ -45,7 +45,7 @@
     A record that cannot be decoded is logged and otherwise ignored.
     """
     try:
-        scheduler.put_job(wire.convert(data, JobRecord), Version(version))
+        scheduler.add_job(wire.convert(data, JobRecord), Version(version))
     except wire.MalformedMessageError as error:
         log.error("record_malformed", key=key, error=error)  # noqa: TRY400 - no traceback
 
@@ -78,7 +78,7 @@
     try:
         final = wire.convert(data, FinalJobRecord)
         if final.remaining is not None:
-            scheduler.count_remaining(job_id, final.remaining)
+            scheduler.add_cancelled_job(job_id, final.remaining)
     except (wire.MalformedMessageError, ValueError) as error:
         log.error("record_malformed", job=job_id, error=error)  # noqa: TRY400 - no traceback
         return
--- a/umberward/scheduling/job_timing.py
+++ b/umberward/scheduling/job_timing.py
@@ -14,10 +14,10 @@
 from umberward.protocol.wire import MachineType
 from umberward.scheduling.jobs import NO_DEMAND, DependentDemand, Job
 from umberward.scheduling.objectives import (
-    NO_AIM,
     NO_OBJECTIVES,
-    ClassAim,
+    NO_STRICTEST_OBJECTIVES,
     ClassObjectives,
+    StrictestObjectives,
     parse_objectives,
 )
 
@@ -25,8 +25,8 @@
 START_WITHIN_S = 240.0  # every job should start within four minutes (the users' rules)
 # Ages, counted from when the job is ready, after which a waiting job is due for service: one that
 # has missed all its objectives, and one that can still meet one.
-MISSED_GOALS_PRIORITY_S = 0.4 * START_WITHIN_S
-WAITING_PRIORITY_S = 0.6 * START_WITHIN_S
+SERVE_MISSED_WITHIN_S = 0.4 * START_WITHIN_S
+SERVE_WITHIN_S = 0.6 * START_WITHIN_S
 DEFAULT_START_WITHIN_S = 120.0  # for jobs that have neither a deadline nor an objective
 # Share of the time until an array should start that it waits before it preempts other work: with a
 # guaranteed start, and without one.
@@ -45,9 +45,9 @@
         """Start without observed run times; the caller updates `machine_types` in place."""
         parsed = parse_objectives(objectives)
         self.machine_types = machine_types
-        self.class_aims: dict[str, ClassAim] = parsed.aims
+        self.strictest_objectives: dict[str, StrictestObjectives] = parsed.strictest
         self.class_objectives: dict[str, ClassObjectives] = parsed.by_class
-        self.guaranteed_start_s = parsed.guaranteed_start_s
+        self.guaranteed_start_within_s = parsed.guaranteed_start_within_s
         # By job: what the jobs that depend on it require of it.
         self.demands: dict[JobId, DependentDemand] = {}
         # By job class: moving average of observed run time divided by the owners' estimate.
@@ -59,9 +59,11 @@
         It follows from the job's own deadline, the objectives of its class and its dependents.
         """
         spec = job.spec
-        estimate = ESTIMATE_MARGIN * self.estimate(job)
+        estimate = ESTIMATE_MARGIN * self.expected_task_runtime(job)
         start_by = job.ready_at + DEFAULT_START_WITHIN_S
-        start_within_s, finish_within_s = self.class_aims.get(spec.job_class, NO_AIM)
+        start_within_s, finish_within_s = self.strictest_objectives.get(
+            spec.job_class, NO_STRICTEST_OBJECTIVES
+        )
         if start_within_s is not None:
             start_by = job.ready_at + start_within_s
         if finish_within_s is not None:
@@ -74,7 +76,7 @@
     def latest_starts(self, job: Job) -> list[float]:
         """Return the latest start time for each of the job's objectives, in ascending order."""
         spec = job.spec
-        estimate = ESTIMATE_MARGIN * self.estimate(job)
+        estimate = ESTIMATE_MARGIN * self.expected_task_runtime(job)
         objectives = self.class_objectives.get(spec.job_class, NO_OBJECTIVES)
         latest_starts = [job.ready_at + within_s for within_s in objectives.start_within_s]
         latest_starts += [
@@ -90,25 +92,25 @@
             latest_starts = [min([demand.finish_by - estimate, *latest_starts])]
         return sorted(latest_starts)
 
-    def service_order(self, job: Job, wall_now: WallTime) -> float:
-        """Return the time by which jobs of equal service rank are ordered, the earliest first.
+    def serve_by(self, job: Job, wall_now: WallTime) -> float:
+        """Return the time by which jobs of equal precedence are ordered, the earliest first.
 
         It is the latest start for the next objective that the job can still meet: a missed
         objective is no reason to be served before jobs that can still meet theirs. A job that has
         missed all its objectives is served after the others, but first once it has waited for
-        `MISSED_GOALS_PRIORITY_S`. Replicas of services are ordered by `start_by` alone, as each
+        `SERVE_MISSED_WITHIN_S`. Replicas of services are ordered by `start_by` alone, as each
         second without a replica counts the same.
         """
         if job.service:
             return self.start_by(job)
-        if self.can_reach(job, wall_now):
+        if self.can_meet_objective(job, wall_now):
             # Every job should start in time: a distant objective must not delay it without bound.
             return min(
-                job.next_latest_start, max(self.start_by(job), job.ready_at + WAITING_PRIORITY_S)
+                job.next_latest_start, max(self.start_by(job), job.ready_at + SERVE_WITHIN_S)
             )
-        return max(self.start_by(job), job.ready_at + MISSED_GOALS_PRIORITY_S)
+        return max(self.start_by(job), job.ready_at + SERVE_MISSED_WITHIN_S)
 
-    def can_reach(self, job: Job, wall_now: WallTime) -> bool:
+    def can_meet_objective(self, job: Job, wall_now: WallTime) -> bool:
         """Tell whether the job can still meet an objective, and update `next_latest_start`."""
         if wall_now > job.next_latest_start or job.id in self.demands:
             reachable = (start_by for start_by in self.latest_starts(job) if start_by >= wall_now)
@@ -117,25 +119,27 @@
 
     def requires_prompt_start(self, job: Job) -> bool:
         """Tell whether the job needs accelerators and should start soon after its submission."""
-        start_within_s, _ = self.class_aims.get(job.spec.job_class, NO_AIM)
+        start_within_s, _ = self.strictest_objectives.get(
+            job.spec.job_class, NO_STRICTEST_OBJECTIVES
+        )
         has_start_aim = start_within_s is not None
         return job.need.accelerators > 0 and (has_start_aim or job.spec.deadline_s is None)
 
     def expected_duration(self, job: Job) -> float:
         """Return the seconds from the job's start to its end if all its tasks start at once."""
-        return ESTIMATE_MARGIN * self.estimate(job) + self.slowest_image_pull_s(job)
+        return ESTIMATE_MARGIN * self.expected_task_runtime(job) + self.slowest_image_pull_s(job)
 
     def slowest_image_pull_s(self, job: Job) -> float:
         """Return the seconds that the slowest machine type takes to pull the job's image."""
         rates = (machine_type.image_pull_gb_per_s for machine_type in self.machine_types.values())
         return job.spec.image_gb / min(rates, default=1.0)
 
-    def estimate(self, job: Job) -> float:
+    def expected_task_runtime(self, job: Job) -> float:
         """Return a task's expected run time: the owner's estimate times the class's ratio."""
         return job.spec.expected_runtime_s * self.runtime_ratios.get(job.spec.job_class, 1.0)
 
     def preemption_delay(self, job: Job) -> float:
         """Return the seconds that an array waits for room before it preempts other work."""
-        if self.guaranteed_start_s is not None:
-            return GUARANTEED_PREEMPTION_DELAY_SHARE * self.guaranteed_start_s
+        if self.guaranteed_start_within_s is not None:
+            return GUARANTEED_PREEMPTION_DELAY_SHARE * self.guaranteed_start_within_s
         return PREEMPTION_DELAY_SHARE * (self.start_by(job) - job.ready_at)
--- a/umberward/scheduling/jobs.py
+++ b/umberward/scheduling/jobs.py
@@ -70,8 +70,8 @@
     attributes_failures_per_task = False
     conditions: tuple[tuple[Key, Version], ...] = ()
 
-    def __init__(self, record: JobRecord, version: Version, value_limit: int) -> None:
-        """Create a job from its record; `value_limit`: bytes of a value in the state service."""
+    def __init__(self, record: JobRecord, version: Version, max_value_bytes: int) -> None:
+        """Create a job from its record; `max_value_bytes` is the state service's limit."""
         spec = record.spec
         self.spec: JobSpec = spec
         self.id = JobId(spec.job_id)
@@ -88,13 +88,13 @@
         self.version = version
         self.ended = False
         self.record_unreadable = False  # the stored record cannot be decoded
-        self._init_progress(record, value_limit)
+        self._init_progress(record, max_value_bytes)
         self._init_failures()
         self._init_scheduling()
 
-    def _init_progress(self, record: JobRecord, value_limit: int) -> None:
+    def _init_progress(self, record: JobRecord, max_value_bytes: int) -> None:
         """Initialize the progress of the tasks from the record."""
-        bitmap_bytes = value_limit - wire.json_size(self.spec) - RECORD_OVERHEAD_BYTES
+        bitmap_bytes = max_value_bytes - wire.json_size(self.spec) - RECORD_OVERHEAD_BYTES
         self.window = max(
             MIN_TASK_WINDOW, min(MAX_TASK_WINDOW, bitmap_bytes * TASKS_PER_BITMAP_BYTE)
         )
@@ -103,7 +103,8 @@
         self.done_below, self.done_bitmap = self.stored_progress
         self.progress_stored_at = 0.0  # monotonic time
         if self.gang and self.done_count:
-            # An earlier version stored only some tasks of a gang as done, see `completed_with`.
+            # An earlier version stored only some tasks of a gang as done, see
+            # `tasks_completed_with`.
             self.done_below, self.done_bitmap = self.size, 0
         self.placements: dict[int, Placement] = {}
         self.unstored_intents = 0  # placements whose intent is not committed yet
@@ -123,7 +124,7 @@
         self.longest_failed_run_s = 0.0
         self.started_replicas: set[int] = set()  # tasks that have run; used for services
         self.has_begun = False  # a task was reported as running
-        self.ran_well = False  # a task succeeded, or ran much longer than those that failed
+        self.known_to_work = False  # a task succeeded, or ran much longer than those that failed
         self.preempted_at = 0.0
 
     def _init_scheduling(self) -> None:
@@ -141,7 +142,7 @@
         )
         # Suitable offers, with the `ClusterState.offers_version` for which they were computed.
         self.suitable_offers: tuple[int, set[MachineOffer]] | None = None
-        self.standing = (1, self.priority)  # service rank: smaller values are served first
+        self.precedence = (1, self.priority)  # smaller values are served first
         # The job needs accelerators and should start soon after its submission.
         self.needs_prompt_start = False
         # Wall-clock time of the latest start that meets the next objective.
@@ -181,7 +182,7 @@
     @property
     def preemption_key(self) -> PreemptionKey:
         """What decides which other work may preempt the job's tasks, and which they may preempt."""
-        return PreemptionKey(self.need.accelerators > 0, self.priority, self.standing)
+        return PreemptionKey(self.need.accelerators > 0, self.priority, self.precedence)
 
     @property
     def avoided_machines(self) -> set[MachineId]:
@@ -210,7 +211,7 @@
         """Return whether the completion of the task is stored in the state service."""
         return self.stored_progress.includes(index)
 
-    def completed_with(self, index: int) -> Iterable[int]:
+    def tasks_completed_with(self, index: int) -> Iterable[int]:
         """Return the tasks that are completed if this one is.
 
         For a gang these are all its tasks, no matter which leader placed it and which of its
@@ -257,14 +258,14 @@
         end = min(self.size, self.done_below + self.window)
         return len(self.requeued_tasks) + max(0, end - self.next_fresh_task)
 
-    def take_task(self) -> int:
+    def dequeue_task(self) -> int:
         """Take the next task to place; the caller must requeue it if it is not placed."""
         if self.requeued_tasks:
             return self.requeued_tasks.pop(0)
         self.next_fresh_task += 1
         return self.next_fresh_task - 1
 
-    def put_back(self, index: int) -> None:
+    def requeue_task(self, index: int) -> None:
         """Requeue a task unless it is queued or done."""
         position = bisect.bisect_left(self.requeued_tasks, index)
         if not self.is_done(index) and not self._requeued_at(position, index):
@@ -293,7 +294,7 @@
     def requeue_unlocated(self) -> None:
         """Requeue the unlocated tasks: all machines have reported, and none runs them."""
         for index in self.unlocated_tasks:
-            self.put_back(index)
+            self.requeue_task(index)
         self.unlocated_tasks.clear()
 
     def count_lost_tasks(self) -> int:
@@ -322,14 +323,14 @@
         """Record a failure on a machine. Only for jobs that attribute failures per task."""
         raise NotImplementedError
 
-    def judge_failures(self, machines: Mapping[MachineId, Any], now: Instant) -> bool:
+    def attribute_failures(self, machines: Mapping[MachineId, Any], now: Instant) -> bool:
         """Attribute the failures that are still open; return False if none are left.
 
         Only for jobs that attribute failures per task.
         """
         raise NotImplementedError
 
-    def failure_excused(self, index: int) -> bool:  # noqa: ARG002 - subclasses use it
+    def failure_ignored_for_machines(self, index: int) -> bool:  # noqa: ARG002 - subclasses use it
         """Return whether failures of this task must not count against machines."""
         return self.faulty
 
--- a/umberward/scheduling/lease_bounds.py
+++ b/umberward/scheduling/lease_bounds.py
@@ -20,11 +20,11 @@
 
     They follow from the workers' settings. Let `jobs_read_at` be the time at which the latest
     answered read of the jobs was *requested*: a cancellation unknown to the controller was
-    confirmed after it. A response sent at t < jobs_read_at + keepalive_s answers a heartbeat that
-    was sent before t, so the session that it renews is over by
+    confirmed after it. A response sent at t < jobs_read_at + renewal_window_s answers a heartbeat
+    that was sent before t, so the session that it renews is over by
 
         t + lease_s * CLOCK_DRIFT_FACTOR
-            < jobs_read_at + (keepalive_s + lease_s) * CLOCK_DRIFT_FACTOR
+            < jobs_read_at + (renewal_window_s + lease_s) * CLOCK_DRIFT_FACTOR
             = jobs_read_at + cancel_s - LEASE_MARGIN_S
 
     by any of the clocks, and so within `cancel_s` of the cancellation. `lease_renewed_at`, the
@@ -33,18 +33,18 @@
     this controller renewed being over `takeover_s` after its election.
 
     Attributes:
-        keepalive_s: how long after `jobs_read_at` responses may renew sessions; 0 if the settings
-            leave no time for renewals without the state service.
+        renewal_window_s: how long after `jobs_read_at` responses may renew sessions; 0 if the
+            settings leave no time for renewals without the state service.
         lease_s: how long after a response was ready the session that it renews is over.
         delegated_lease_s: how long after a machine was delegated its session is over; the delegate
-            answers for at most `keepalive_s`.
+            answers for at most `renewal_window_s`.
         takeover_s: how long after a term began each session that a former leader renewed is over;
             that leader's last lease renewal was granted before the term.
     """
 
     def __init__(self, workers: WorkerTimes) -> None:
         """Derive the bounds from the lease and cancellation times of the workers' settings."""
-        self.keepalive_s = max(
+        self.renewal_window_s = max(
             0.0, (workers.cancel_s - LEASE_MARGIN_S) / CLOCK_DRIFT_FACTOR - workers.lease_s
         )
         self.lease_s = workers.lease_s * CLOCK_DRIFT_FACTOR + LEASE_MARGIN_S
@@ -61,7 +61,7 @@
         knows of no cancellations and must not answer.
         """
         return jobs_read_at is not None and now < (
-            min(jobs_read_at, lease_renewed_at) + self.keepalive_s
+            min(jobs_read_at, lease_renewed_at) + self.renewal_window_s
         )
 
     def may_start(self, jobs_read_at: Instant | None, now: Instant) -> bool:
--- a/umberward/scheduling/lease_delegation.py
+++ b/umberward/scheduling/lease_delegation.py
@@ -146,26 +146,26 @@
         self.fencing_token = FencingToken(0)  # that of the leader that issued it
         self.machine_ids: frozenset[str] = frozenset()  # whose heartbeats may be answered
         self.jobs_read_at = Instant(0.0)  # the leader knew of all cancellations up to then
-        self.asked_at = Instant(0.0)  # when the delegation in force was requested
+        self.requested_at = Instant(0.0)  # when the delegation in force was requested
         self.leader_responded_at = Instant(0.0)  # when the leader last responded
         self.last_used_at = Instant(-1.0)  # when a delegation was last used
 
     @property
     def unused(self) -> bool:
         """Whether no session was renewed since the delegation in force was requested."""
-        return self.last_used_at < self.asked_at
+        return self.last_used_at < self.requested_at
 
-    def accept(self, delegation: Delegation, asked_at: Instant, now: Instant) -> None:
+    def accept(self, delegation: Delegation, requested_at: Instant, now: Instant) -> None:
         """Put a delegation into force.
 
-        `asked_at` is when this controller sent the request. The leader issued the delegation
+        `requested_at` is when this controller sent the request. The leader issued the delegation
         later, so durations counted from the request are on the safe side.
         """
         self.serial = delegation.serial
         self.fencing_token = FencingToken(delegation.fencing_token)
         self.machine_ids = frozenset(delegation.machine_ids)
-        self.jobs_read_at = Instant(asked_at - delegation.jobs_read_age_s)
-        self.asked_at = asked_at
+        self.jobs_read_at = Instant(requested_at - delegation.jobs_read_age_s)
+        self.requested_at = requested_at
         self.leader_responded_at = now
 
     def may_answer(self, machine_id: MachineId, fencing_token: int, now: Instant) -> bool:
@@ -176,7 +176,7 @@
         """
         if (
             fencing_token != self.fencing_token
-            or not self.bounds.may_answer(self.jobs_read_at, self.asked_at, now)
+            or not self.bounds.may_answer(self.jobs_read_at, self.requested_at, now)
             or now - self.leader_responded_at <= LEADER_REACHABLE_S
             or machine_id not in self.machine_ids
         ):
--- a/umberward/scheduling/machine_blocks.py
+++ b/umberward/scheduling/machine_blocks.py
@@ -34,10 +34,10 @@
     """Assigns machines to blocks, and tracks the blocks to be written."""
 
     def __init__(self, cluster: ClusterState) -> None:
-        """Derive the number of machines per block from `cluster.value_limit` (bytes)."""
-        self.block_size = max(
+        """Derive the number of machines per block from `cluster.max_value_bytes` (bytes)."""
+        self.machines_per_block = max(
             MIN_MACHINES_PER_BLOCK,
-            min(MAX_MACHINES_PER_BLOCK, cluster.value_limit // VALUE_BYTES_PER_MACHINE),
+            min(MAX_MACHINES_PER_BLOCK, cluster.max_value_bytes // VALUE_BYTES_PER_MACHINE),
         )
         self.machines_moving_out: dict[
             int, set[MachineId]
@@ -98,7 +98,9 @@
         So the old block is written only together with or after the new ones.
         """
         machine_ids = self._blocks[number].machine_ids
-        machine_ids_to_move = sorted(machine_ids)[min(self.block_size, len(machine_ids) // 2) :]
+        machine_ids_to_move = sorted(machine_ids)[
+            min(self.machines_per_block, len(machine_ids) // 2) :
+        ]
         machine_ids.difference_update(machine_ids_to_move)
         self.machines_moving_out.setdefault(number, set()).update(machine_ids_to_move)
         for machine_id in machine_ids_to_move:
@@ -106,14 +108,14 @@
             if machine is not None:
                 self.assign(machine)
 
-    def changed_in_write_order(self) -> list[int]:
+    def changed_blocks_in_write_order(self) -> list[int]:
         """The numbers of the blocks to write; blocks that machines leave come last."""
         return sorted(
             self._changed_numbers,
             key=lambda number: (number in self.machines_moving_out, number),
         )
 
-    def destinations(self, number: int) -> set[int]:
+    def destination_blocks(self, number: int) -> set[int]:
         """The blocks that machines of this one move to, which must be stored no later than it."""
         return {
             self._pending_numbers[machine_id]
@@ -159,7 +161,10 @@
 
     def _accepts_machine(self, number: int) -> bool:
         block = self._blocks.setdefault(number, MachineBlock())
-        return len(block.machine_ids) < self.block_size and number not in self.machines_moving_out
+        return (
+            len(block.machine_ids) < self.machines_per_block
+            and number not in self.machines_moving_out
+        )
 
     def _remove_from_block(self, machine_id: MachineId, number: int) -> None:
         self._changed_numbers.add(number)
--- a/umberward/scheduling/machine_checks.py
+++ b/umberward/scheduling/machine_checks.py
@@ -88,12 +88,12 @@
         """End the machine's session, or a former leader's, once it is certain to be over."""
         if machine.reconciled:
             return self._check_lease(machine, now)
-        if machine.predecessor_expired:
+        if machine.predecessor_tasks_ended:
             return NO_CHECK_DUE
         takeover_s = self.delegator.bounds.takeover_s
         if now - self.cluster.started_at > takeover_s:
             # No former leader can have renewed its session for so long.
-            machine.predecessor_expired = True
+            machine.predecessor_tasks_ended = True
             return NO_CHECK_DUE
         return Instant(self.cluster.started_at + takeover_s)
 
@@ -109,7 +109,7 @@
         return Instant(machine.answered_at + self.delegator.bounds.lease_s)
 
     def _expire_lease(self, machine: Machine) -> None:
-        self.cluster.release_all(machine, "lease over")
+        self.cluster.release_all_placements(machine, "lease over")
         machine.min_incarnation = Incarnation(machine.incarnation + 1)
         machine.answered_at = None
         machine.lease_expired = True
--- a/umberward/scheduling/machine_selection.py
+++ b/umberward/scheduling/machine_selection.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Container, Mapping
 from typing import NamedTuple
 
-from umberward.core.types import MAX_TASKS, ImageName, MachineId, Resources, ZoneName
+from umberward.core.types import MAX_TASKS_PER_JOB, ImageName, MachineId, Resources, ZoneName
 from umberward.scheduling.best_fit import MachineRoom, best_fit
 from umberward.scheduling.cluster_state import ClusterState
 from umberward.scheduling.jobs import Job, Placement
@@ -38,7 +38,7 @@
     `ending`: a placement of the job that is about to end. `preferred`: the machines on which room
     is reserved for the job; without them a moved replica would return to where its image is.
     """
-    cluster.searches += 1
+    cluster.room_searches += 1
     spec = job.spec
     tasks_by_zone = Counter(
         placement.zone for placement in job.placements.values() if placement is not ending
@@ -65,7 +65,7 @@
 
 def max_tasks_per_zone(job: Job) -> int:
     """Return the limit of the job's tasks per zone: half of them if the job is spread."""
-    return (job.size + 1) // 2 if job.spec.spread else MAX_TASKS
+    return (job.size + 1) // 2 if job.spec.spread else MAX_TASKS_PER_JOB
 
 
 def _machine_rooms(
--- a/umberward/scheduling/machines.py
+++ b/umberward/scheduling/machines.py
@@ -63,10 +63,10 @@
     delegated_at: Instant | None = field(init=False, default=None)
     token_seen: FencingToken = field(init=False, default=FencingToken(0))
     # False while its only heartbeat may be an old duplicate of a machine that was deleted long ago.
-    confirmed: bool = field(init=False, default=True)
+    existence_confirmed: bool = field(init=False, default=True)
     reconciled: bool = field(init=False, default=False)  # its tasks are known under this token
     # All tasks that it ran for a previous leader have certainly ended.
-    predecessor_expired: bool = field(init=False, default=False)
+    predecessor_tasks_ended: bool = field(init=False, default=False)
     # Its lease has expired and no message of it has arrived since.
     lease_expired: bool = field(init=False, default=False)
 
@@ -95,9 +95,9 @@
     inflight_starts: InflightStarts = field(init=False, default_factory=InflightStarts)
     exited_tasks: set[TaskId] = field(init=False, default_factory=set)  # exited but still listed
     # Since when an exited attempt has stayed listed because a start of it may still arrive.
-    unforgotten_since: Instant | None = field(init=False, default=None)
+    forget_deferred_since: Instant | None = field(init=False, default=None)
     # Tasks listed as running without a placement; they are to be stopped.
-    unplaced_tasks: set[TaskId] = field(init=False, default_factory=set)
+    tasks_without_placement: set[TaskId] = field(init=False, default_factory=set)
     allocated: Resources = field(init=False, default=NO_RESOURCES)
     idle_since: Instant = field(init=False)
     # Cached images and their sizes in GB, the least recently used first.
@@ -142,9 +142,9 @@
         self.availability_changed()
         self.unchanged_heartbeat = None
         self._free = None
-        self.standing_changed()
+        self.precedence_changed()
 
-    def standing_changed(self) -> None:
+    def precedence_changed(self) -> None:
         """Note that the work which may preempt a task here has changed."""
         self._preemptable = None
         self._load = None
@@ -175,7 +175,7 @@
                 or self.deletion_requested
                 or self.probe_unanswered
                 or self.lease_expired
-                or self.unplaced_tasks
+                or self.tasks_without_placement
             )
             and not self.partially_reachable
         )
--- a/umberward/scheduling/objectives.py
+++ b/umberward/scheduling/objectives.py
@@ -18,14 +18,14 @@
 GUARANTEE_KIND = "guarantee"
 
 
-class ClassAim(NamedTuple):
+class StrictestObjectives(NamedTuple):
     """The strictest objective of each kind for a job class, in seconds; None: there is none."""
 
     start_within_s: float | None
     finish_within_s: float | None
 
 
-NO_AIM = ClassAim(None, None)
+NO_STRICTEST_OBJECTIVES = StrictestObjectives(None, None)
 
 
 class ClassObjectives(NamedTuple):
@@ -43,9 +43,9 @@
 class Objectives:
     """The parsed objectives of a deploy file."""
 
-    aims: dict[str, ClassAim] = field(default_factory=dict)
+    strictest: dict[str, StrictestObjectives] = field(default_factory=dict)
     by_class: dict[str, ClassObjectives] = field(default_factory=dict)
-    guaranteed_start_s: float | None = None  # time within which guaranteed work should start
+    guaranteed_start_within_s: float | None = None  # time within which guaranteed work should start
 
 
 def parse_objectives(objectives: Iterable[Objective]) -> Objectives:
@@ -53,12 +53,12 @@
     parsed = Objectives()
     for objective in objectives:
         if objective.kind == GUARANTEE_KIND and objective.within_s:
-            parsed.guaranteed_start_s = objective.within_s
+            parsed.guaranteed_start_within_s = objective.within_s
         if objective.job_class is not None:
             _add_class_objective(parsed.by_class, objective.job_class, objective)
             if objective.within_s:
-                aim = parsed.aims.get(objective.job_class, NO_AIM)
-                parsed.aims[objective.job_class] = _stricter_aim(
+                aim = parsed.strictest.get(objective.job_class, NO_STRICTEST_OBJECTIVES)
+                parsed.strictest[objective.job_class] = _stricter_aim(
                     aim, objective.kind, objective.within_s
                 )
     return parsed
@@ -76,7 +76,7 @@
         found.finish_within_s.append(objective.within_s)
 
 
-def _stricter_aim(aim: ClassAim, kind: str, within_s: float) -> ClassAim:
+def _stricter_aim(aim: StrictestObjectives, kind: str, within_s: float) -> StrictestObjectives:
     if kind == START_KIND:
         return aim._replace(start_within_s=min(aim.start_within_s or within_s, within_s))
     if kind == FINISH_KIND:
--- a/umberward/scheduling/placement_pass.py
+++ b/umberward/scheduling/placement_pass.py
@@ -126,7 +126,7 @@
                     MAX_PLACEMENT_RETRY_DELAY_S, 2.0**job.failed_passes
                 )
                 log.exception("job_not_placed", job=job.id, again_s=job.retry_not_before - now)
-        self.preemption.denied_machines = set()
+        self.preemption.machines_reserved_for_others = set()
         if not cluster.reconciliation_completed:
             return
         if state.preemptable is not None:
@@ -140,8 +140,8 @@
         cluster = self.cluster
         schedulable_machines, free = cluster.schedulable_room()
         unlocated_usage = self.unlocated_tasks.usage_by_team()
-        if cluster.standings_outdated:
-            self.job_order.update_standings()
+        if cluster.precedences_outdated:
+            self.job_order.update_precedences()
         waiting = self.job_order.jobs_in_order(now)
         cluster.headroom.update((job for job in waiting if not job.faulty), now)
         self.preemption.reservations.subtract(free, now)
@@ -212,15 +212,15 @@
             machines = [
                 m for m in state.schedulable_machines if m.id in reserved or m.id in with_room_ids
             ]
-        reserved_for_others = self.preemption.denied_machines = (
-            self.gang_reservations.denied_machines(job)
+        reserved_for_others = self.preemption.machines_reserved_for_others = (
+            self.gang_reservations.machines_reserved_for_others(job)
         )
         if reserved_for_others:
             machines = [m for m in machines if m.id not in reserved_for_others]
         # Replicas run indefinitely: they use accelerated machines only as a last resort.
         long_running = job.service and job.need.accelerators <= 0
         candidates = state.headroom_candidates if long_running else state.headroom_machines
-        restricted = self.cluster.barred_machines(job, candidates) - reserved
+        restricted = self.cluster.headroom_limited_machines(job, candidates) - reserved
         kind = SearchKind(
             job.placement_class,
             long_running,
@@ -328,7 +328,7 @@
 
         A worker refuses a task whose previous attempt it still lists, so such pairs are avoided.
         """
-        unassigned = [job.take_task() for _ in chosen]
+        unassigned = [job.dequeue_task() for _ in chosen]
         assigned: list[tuple[int, MachineId]] = []
         for machine_id in chosen:
             machine = self.cluster.machines[machine_id]
@@ -343,5 +343,5 @@
             unassigned += [index for index, _ in assigned]
             assigned = []
         for index in unassigned:
-            job.put_back(index)
+            job.requeue_task(index)
         return assigned
--- a/umberward/scheduling/preemptable_work.py
+++ b/umberward/scheduling/preemptable_work.py
@@ -15,9 +15,9 @@
 class PreemptableWork:
     """The running work by who may preempt it.
 
-    Most searches end at once, as no running work has a lower standing. For the others the machines
-    are examined once per preemption key, using sums that each machine caches until its tasks
-    change.
+    Most searches end at once, as no running work has a lower precedence. For the others the
+    machines are examined once per preemption key, using sums that each machine caches until its
+    tasks change.
     """
 
     def __init__(
--- a/umberward/scheduling/preemption.py
+++ b/umberward/scheduling/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: work of lower standing is stopped to make room for a job. No I/O.
+"""Preemption: work of lower precedence is stopped to make room for a job. No I/O.
 
 The room is reserved for the job until the victims have left the machine.
 """
@@ -18,7 +18,7 @@
     max_tasks_per_zone,
 )
 from umberward.scheduling.machines import Machine
-from umberward.scheduling.objectives import NO_AIM
+from umberward.scheduling.objectives import NO_STRICTEST_OBJECTIVES
 from umberward.scheduling.preemptable_work import PreemptableWork
 from umberward.scheduling.room_reservation import RoomReservations
 from umberward.scheduling.victim_selection import VictimCost
@@ -47,7 +47,7 @@
         self.cluster = cluster
         self.reservations = RoomReservations(cluster)
         # Machines that the job being placed may not use: they are reserved for other gangs.
-        self.denied_machines: set[MachineId] = set()
+        self.machines_reserved_for_others: set[MachineId] = set()
         self.preempt_not_before = now
 
     def start_search_if_due(self, waiting: list[Job], now: Instant) -> bool:
@@ -81,7 +81,12 @@
             return 0
         if job.gang and job.size > 1:
             return self._preempt_for_gang(job, work)
-        kind = (job.placement_class, job.standing, job.priority, frozenset(self.denied_machines))
+        kind = (
+            job.placement_class,
+            job.precedence,
+            job.priority,
+            frozenset(self.machines_reserved_for_others),
+        )
         if job.interchangeable and kind in work.kinds_without_victims:
             return 0
         zones = [placement.zone for placement in job.placements.values() if placement is not ending]
@@ -120,7 +125,7 @@
             and (not image_cached_only or image in machine.images)
             and machine_id not in self.reservations.by_machine
             and machine_id not in excluded
-            and machine_id not in self.denied_machines
+            and machine_id not in self.machines_reserved_for_others
             and (room := work.free.get(machine_id)) is not None
             and job.need.fits(room.plus(preemptable))
             and zones.count(machine.zone) < max_per_zone
@@ -155,15 +160,17 @@
         # If one gang finds no room, no other of its kind does in this pass.
         kind = (
             job.placement_class,
-            job.standing,
+            job.precedence,
             job.priority,
             job.size,
             job.spec.same_zone,
-            frozenset(self.denied_machines),
+            frozenset(self.machines_reserved_for_others),
         )
         if kind in work.kinds_without_victims:
             return 0
-        steps = plan_gang(self.cluster, job, work, self.reservations, self.denied_machines)
+        steps = plan_gang(
+            self.cluster, job, work, self.reservations, self.machines_reserved_for_others
+        )
         if not steps:
             work.kinds_without_victims.add(kind)
             return 0
@@ -206,7 +213,9 @@
 
     def needs_cached_image(self, job: Job) -> bool:
         """Tell whether the job can still start in time, but not if it had to pull its image."""
-        start_within_s, _ = self.cluster.class_aims.get(job.spec.job_class, NO_AIM)
+        start_within_s, _ = self.cluster.strictest_objectives.get(
+            job.spec.job_class, NO_STRICTEST_OBJECTIVES
+        )
         if start_within_s is None:
             return False
         left_s = start_within_s - (self.cluster.wall_clock() - job.ready_at)
--- a/umberward/scheduling/quota.py
+++ b/umberward/scheduling/quota.py
@@ -21,7 +21,7 @@
         """Start with no resources used."""
         self.teams = {TeamName(team.name): team for team in teams}
         self.used: dict[TeamName, Resources] = {}
-        self.any_limits = any(self.has_limit(team) for team in self.teams)
+        self.has_any_limit = any(self.has_limit(team) for team in self.teams)
 
     def reserve(self, team: TeamName, need: Resources) -> None:
         """Add a task's resources to the team's usage."""
