--- a/umberward/scheduling/reachability.py
+++ b/umberward/scheduling/reachability.py
@@ -25,7 +25,7 @@
 
 # Intervals between probes of a suspected machine that sends heartbeats, of one that does not, and
 # of one that counts as unreachable.
-PROMPT_PROBE_S = 0.5
+REPORTING_MACHINE_PROBE_INTERVAL_S = 0.5
 PROBE_INTERVAL_S = 1.0
 UNREACHABLE_PROBE_INTERVAL_S = 5.0
 WORKER_RESPONSE_TIMEOUT_S = 4.0  # a worker drops later responses to its heartbeats (PROTOCOL)
@@ -54,17 +54,19 @@
 
     # ---- whether a machine receives what is sent to it ---------------------------------------
 
-    def suspect(self, machine: Machine, now: Instant, *, sure: bool = False) -> None:
+    def suspect_unreachable(
+        self, machine: Machine, now: Instant, *, mark_unreachable: bool = False
+    ) -> None:
         """Record that a message to the machine seems to be lost, and probe the machine.
 
-        With `sure`, the machine counts as unreachable and gets no new work until it answers.
-        Otherwise it does so once it has left UNREACHABLE_AFTER_PROBES probes unanswered.
+        With `mark_unreachable`, the machine counts as unreachable and gets no new work until it
+        answers. Otherwise it does so once it has left UNREACHABLE_AFTER_PROBES probes unanswered.
         """
         if machine.suspected_since is None:
             machine.suspected_since = now
             machine.unanswered_probes = 0
             self.suspected[machine.id] = machine
-        if sure and not machine.unreachable:
+        if mark_unreachable and not machine.unreachable:
             machine.unanswered_probes = UNREACHABLE_AFTER_PROBES
             machine.availability_changed()
         self._probe_if_due(machine, now)
@@ -77,7 +79,7 @@
         """
         machine.suspected_since = None
         machine.probe_not_before = now
-        self.suspect(machine, now, sure=True)
+        self.suspect_unreachable(machine, now, mark_unreachable=True)
 
     def incarnation_began(self, machine: Machine, now: Instant) -> None:
         """Record a new session of the worker.
@@ -87,7 +89,7 @@
         """
         session_lasts_s = self.cluster.worker_times.lease_s - WORKER_RESPONSE_TIMEOUT_S
         if machine.answered_at is not None and now - machine.answered_at < session_lasts_s:
-            self.suspect(machine, now, sure=True)
+            self.suspect_unreachable(machine, now, mark_unreachable=True)
         machine.incarnation_since = now
 
     def newer_heartbeat_received(self, machine: Machine, now: Instant) -> None:
@@ -99,7 +101,8 @@
             self.confirm_reachable(machine, now)
         else:
             machine.probe_not_before = min(
-                machine.probe_not_before, Instant(machine.probed_at + PROMPT_PROBE_S)
+                machine.probe_not_before,
+                Instant(machine.probed_at + REPORTING_MACHINE_PROBE_INTERVAL_S),
             )
             self._probe_if_due(machine, now)
 
@@ -182,7 +185,7 @@
         """
         return len(self.partially_reachable()) > self._max_independent_unreachable()
 
-    def machines_to_return(self, now: Instant) -> list[Machine]:
+    def unreachable_machines_to_delete(self, now: Instant) -> list[Machine]:
         """The partially reachable machines to delete now.
 
         A machine is kept while that costs no more than booting a replacement. If many are partially
--- a/umberward/scheduling/reconciliation.py
+++ b/umberward/scheduling/reconciliation.py
@@ -69,7 +69,7 @@
         """
         context = _ReconciliationContext(machine, heartbeat, now, periodic)
         machine.exited_tasks.clear()
-        self.cluster.clear_unplaced_tasks(machine)
+        self.cluster.clear_tasks_without_placement(machine)
         for status in heartbeat.tasks:
             task_id = parse_task_id(status.task_id)
             if task_id is not None:
@@ -128,7 +128,7 @@
         if placement is None:
             placement = self.adoption.adopt(machine, task_id, status, now)
         if placement is None:
-            self.cluster.add_unplaced_task(machine, task_id)
+            self.cluster.add_task_without_placement(machine, task_id)
             if self.cluster.loaded:
                 context.add_command(KILL, status, 0.0)
             return
@@ -158,14 +158,14 @@
             task_id, placement.attempt, self.cluster.fencing_token
         ):
             # An unanswered start may be executed at any time; only a higher token prevents that.
-            self.cluster.token_rotation.unwanted_start(placement.stopped_at, context.now)
+            self.cluster.token_rotation.note_unwanted_start(placement.stopped_at, context.now)
 
     def _repeat_start(self, context: _ReconciliationContext, placement: Placement) -> None:
         """Send the start again with the response, if the invariants allow it."""
         sequence = context.heartbeat.sequence
         if 0 <= placement.start_sent_sequence < sequence:
             # The response to an earlier heartbeat carried the start as well, without effect.
-            self.reachability.suspect(context.machine, context.now)
+            self.reachability.suspect_unreachable(context.machine, context.now)
         job = self.cluster.jobs.get(placement.task.job)
         if self.cluster.invariants.may_start(job, placement, self.cluster.tasks_without_placement):
             placement.start_sent_sequence = sequence
@@ -175,10 +175,10 @@
         """Request a token rotation if exited attempts could not be forgotten for long."""
         machine = context.machine
         if not context.forget_blocked:
-            machine.unforgotten_since = None
+            machine.forget_deferred_since = None
             return
-        if machine.unforgotten_since is None:
-            machine.unforgotten_since = context.now
+        if machine.forget_deferred_since is None:
+            machine.forget_deferred_since = context.now
             self.deferred_forgets += 1
             rate_limited_log.info(
                 "forget_deferred",
@@ -186,7 +186,7 @@
                 token_seen=machine.token_seen,
                 starts_may_arrive=len(machine.inflight_starts),
             )
-        self.cluster.token_rotation.unforgotten_exit(machine.unforgotten_since, context.now)
+        self.cluster.token_rotation.note_deferred_forget(machine.forget_deferred_since, context.now)
 
     def _may_forget(self, machine: Machine, task_id: TaskId, status: TaskStatus) -> bool:
         """Whether the worker may drop an exited attempt from its list.
--- a/umberward/scheduling/scale_in.py
+++ b/umberward/scheduling/scale_in.py
@@ -48,7 +48,7 @@
 def _is_empty(scheduler: Scheduler, machine: Machine) -> bool:
     """Tell whether the machine surely runs nothing and no start command may still arrive."""
     return (
-        not (machine.placements or machine.unplaced_tasks or machine.deletion_requested)
+        not (machine.placements or machine.tasks_without_placement or machine.deletion_requested)
         and machine.reconciled
         and not scheduler.has_unwanted_start(machine)
     )
--- a/umberward/scheduling/scale_out.py
+++ b/umberward/scheduling/scale_out.py
@@ -13,7 +13,7 @@
 from umberward.core.types import MachineOffer, MachineTypeName, ZoneName
 from umberward.protocol.wire import MachineType
 from umberward.scheduling.jobs import Job
-from umberward.scheduling.objectives import NO_AIM
+from umberward.scheduling.objectives import NO_STRICTEST_OBJECTIVES
 from umberward.scheduling.offer_selection import OfferChoice, OfferSelection
 from umberward.scheduling.scheduler import Scheduler
 from umberward.scheduling.simulated_machines import SimulatedMachine
@@ -40,7 +40,7 @@
         self.scheduler = scheduler
         self.offers = offers
         self.machines = machines
-        self.comparisons = 0  # checks whether a machine has room for a waiting job
+        self.fit_checks = 0  # checks whether a machine has room for a waiting job
 
     # ---- waiting jobs --------------------------------------------------------------------
 
@@ -63,7 +63,7 @@
         missing_tasks = task_count
         position = search_positions.get(job.placement_class, 0)
         while missing_tasks > 0 and position < len(machines):
-            self.comparisons += 1
+            self.fit_checks += 1
             machine = machines[position]
             room = machine.room(prompt=job.needs_prompt_start)
             if need.fits(room) and self.scheduler.admits_offer(job, *machine.offer):
@@ -123,7 +123,7 @@
         need = job.need
         machines_by_zone: dict[ZoneName, list[SimulatedMachine]] = {}
         for machine in self.machines:
-            self.comparisons += 1
+            self.fit_checks += 1
             fits = need.fits(machine.room(prompt=job.needs_prompt_start))
             if fits and self.scheduler.admits_offer(job, *machine.offer):
                 machines_by_zone.setdefault(machine.offer.zone, []).append(machine)
@@ -150,9 +150,11 @@
         """Request machines ahead of accelerated work that would otherwise start too late."""
         scheduler = self.scheduler
         headroom, rent_spare = scheduler.headroom, scheduler.operator.rent_spare
-        if headroom.latest_spec is None or rent_spare <= 0:
+        if headroom.latest_accelerated_spec is None or rent_spare <= 0:
             return
-        start_within_s, _ = scheduler.class_aims.get(headroom.latest_spec.job_class, NO_AIM)
+        start_within_s, _ = scheduler.strictest_objectives.get(
+            headroom.latest_accelerated_spec.job_class, NO_STRICTEST_OBJECTIVES
+        )
         if start_within_s is None:
             return
         missing = round(headroom.spare_task_count() * rent_spare)
@@ -175,10 +177,10 @@
         for machine_type in self.scheduler.machine_types.values():
             if (
                 not headroom.largest_need.fits(machine_type.capacity)
-                or headroom.latest_spec is None
+                or headroom.latest_accelerated_spec is None
             ):
                 continue
-            pull_s = headroom.latest_spec.image_gb / machine_type.image_pull_gb_per_s
+            pull_s = headroom.latest_accelerated_spec.image_gb / machine_type.image_pull_gb_per_s
             if machine_type.boot_s + pull_s <= start_within_s:
                 continue
             for offer in _on_demand_offers(machine_type):
--- a/umberward/scheduling/scheduler.py
+++ b/umberward/scheduling/scheduler.py
@@ -131,9 +131,9 @@
         machine = self.machines.get(machine_id)
         return machine is None or not self.has_unwanted_start(machine)
 
-    def wake(self, now: Instant) -> None:
+    def discount_process_pause(self, now: Instant) -> None:
         """Detect a pause of this process. Call before any other event is handled."""
-        self.failure_detector.detect_pause(now)
+        self.failure_detector.discount_process_pause(now)
 
     def tick(self, now: Instant) -> None:
         """Apply changes that depend on time alone. Call a few times a second."""
@@ -141,15 +141,15 @@
         self.failure_detector.tick(now)
         self.reachability.tick(now)
         self.failure_attribution.tick(now)
-        self.failure_detector.select_machines_to_delete(now)
+        self.failure_detector.mark_silent_machines_for_deletion(now)
 
     def is_isolated(self, now: Instant) -> bool:
         """Tell whether nearly all workers seem unreachable from this controller."""
         return self.failure_detector.is_isolated(now)
 
-    def heard_no_machine(self, now: Instant) -> bool:
+    def no_heartbeat_this_term(self, now: Instant) -> bool:
         """Tell whether no loaded machine has sent anything, although each should have by now."""
-        return self.failure_detector.heard_no_machine(now)
+        return self.failure_detector.no_heartbeat_this_term(now)
 
     def delegate(
         self,
@@ -230,12 +230,12 @@
         """Tell whether this leader knows the job as live."""
         return job_id in self.jobs or job_id in self.waiting_jobs.jobs
 
-    def put_job(self, record: JobRecord, version: Version) -> None:
+    def add_job(self, record: JobRecord, version: Version) -> None:
         """Add a live job whose record was read or reported by a watch; ignore known jobs."""
         job_id = JobId(record.spec.job_id)
         if self.is_live(job_id):
             return
-        job = Job(record, version, self.value_limit)
+        job = Job(record, version, self.max_value_bytes)
         if record.dependencies and not record.placed_below:
             # A job with unfinished dependencies cannot start and is not counted as queued work.
             self.waiting_jobs.add(job, wire.unpack_dependencies(record.dependencies))
@@ -257,7 +257,7 @@
                 tasks=job.size,
                 size=round(job.size * max(job.need.cores, job.need.accelerators), 1),
             )
-        self.standings_outdated = True
+        self.precedences_outdated = True
         self.pass_wanted = True
 
     def apply_job_end(self, job_id: JobId, final: wire.FinalJobRecord, ended_at: float) -> None:
@@ -281,13 +281,13 @@
         if job.unlocated_tasks:
             # Until these tasks are located they may run, so they count against the team's limit.
             self.cancelled_jobs[job_id] = job
-        self.failure_attribution.forget_job(job, self.now)
-        self.standings_outdated = True
+        self.failure_attribution.job_ended(job, self.now)
+        self.precedences_outdated = True
         for placement in list(job.placements.values()):
             self.stop(placement, 0.0)
         self.pass_wanted = True
 
-    def count_remaining(self, job_id: JobId, remaining: wire.RemainingTasks) -> None:
+    def add_cancelled_job(self, job_id: JobId, remaining: wire.RemainingTasks) -> None:
         """Count against the team's limit what a cancelled job may still use.
 
         This leader may never have known the job, and its tasks may be on machines that have not
@@ -319,7 +319,7 @@
         if self.unknown_since.pop(job_id, None) is None or job_id in self.recently_ended:
             return
         log.warning("unknown_job_adopted", job=job_id, marked=record.placed_below)
-        self.put_job(record, version)
+        self.add_job(record, version)
         job = self.jobs.get(job_id)
         if job is None:
             return
@@ -329,15 +329,15 @@
                     job.placements[task.number] = placement
                     job.locate_task(task.number)
         if job.unlocated_tasks:
-            self.unlocated_tasks.requeue_later(job, now)
+            self.unlocated_tasks.schedule_requeue(job, now)
 
-    def repair(self, now: Instant) -> None:
+    def run_maintenance(self, now: Instant) -> None:
         """Requeue lost tasks and drop records of ended jobs. Call every few seconds."""
         self.unlocated_tasks.requeue_overdue(now)
         self._forget_recently_ended(now)
         if self.reconciliation_completed:
             self.unlocated_tasks.forget_cancelled_jobs()
-            self.unlocated_tasks.find_lost_tasks(now)
+            self.unlocated_tasks.recover_lost_tasks(now)
 
     def _forget_recently_ended(self, now: Instant) -> None:
         for job_id, ended_at in list(self.recently_ended.items()):
@@ -359,7 +359,7 @@
             if machine is None:
                 continue
             machine.deletion_requested = True
-            self.release_all(machine, "machine gone")
+            self.release_all_placements(machine, "machine gone")
             del self.machines[machine_id]
             machine.availability_changed()
             self.deleted_machines[machine_id] = None
--- a/umberward/scheduling/service_order.py
+++ b/umberward/scheduling/service_order.py
@@ -1,9 +1,9 @@
-"""The order in which waiting jobs are served, and the standings that decide preemption. No I/O.
+"""The order in which waiting jobs are served, and the precedence that decides preemption. No I/O.
 
-A job's standing is `(0, priority)` if it has the highest priority or is within its team's
-guarantee, and `(1, priority)` otherwise; the smaller standing is served first. Jobs of equal
-standing are served by the latest start that meets their next objective
-(`ClusterState.service_order`).
+A job's precedence is `(0, priority)` if it has the highest priority or is within its team's
+guarantee, and `(1, priority)` otherwise; the smaller precedence is served first. Jobs of equal
+precedence are served by the latest start that meets their next objective
+(`ClusterState.serve_by`).
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from umberward.scheduling.headroom import HIGHEST_PRIORITY
 from umberward.scheduling.jobs import Job
 
-GUARANTEED = 0  # first part of a standing; served before work that is not guaranteed
+GUARANTEED = 0  # first part of a precedence; served before work that is not guaranteed
 NOT_GUARANTEED = 1
 
 
@@ -33,7 +33,7 @@
     """Sort key of a waiting job, smallest first; `position` makes the sort stable."""
 
     faulty: bool
-    standing: tuple[int, int]
+    precedence: tuple[int, int]
     late: bool
     serve_by: float
     position: int
@@ -49,7 +49,7 @@
 
 
 class ServiceOrder:
-    """Orders the jobs that wait for machines, and sets the standing of every live job."""
+    """Orders the jobs that wait for machines, and sets the precedence of every live job."""
 
     def __init__(
         self, cluster: ClusterState, waiting_jobs: WaitingJobs, deadline_triage: DeadlineTriage
@@ -79,9 +79,9 @@
             (
                 _ServiceRank(
                     job.faulty,
-                    self.waiting_jobs.service_standing(job),
+                    self.waiting_jobs.expected_precedence(job),
                     job.id in late_jobs,
-                    cluster.service_order(job, wall),
+                    cluster.serve_by(job, wall),
                     position,
                 ),
                 job,
@@ -106,19 +106,19 @@
                 jobs_and_counts.append((job, count))
         return jobs_and_counts
 
-    def update_standings(self) -> None:
-        """Set the standing of every live job.
+    def update_precedences(self) -> None:
+        """Set the precedence of every live job.
 
         A job is guaranteed if it fits its team's guarantee together with the team's earlier
         unfinished jobs. A job only ever becomes guaranteed, never the reverse, and only work of a
-        strictly lower standing is preempted: so two jobs never preempt each other in turn.
+        strictly lower precedence is preempted: so two jobs never preempt each other in turn.
 
         A team's jobs are ordered by when they became ready, so that a job that waited for its
         dependencies takes nothing from running jobs. The priority is the highest among the job and
         the live jobs that depend on it; it changes only when users act.
         """
         cluster = self.cluster
-        cluster.standings_outdated = False
+        cluster.precedences_outdated = False
         claims = []
         for job in cluster.jobs.values():
             priority = min(
@@ -126,21 +126,21 @@
             )
             has_guarantee = cluster.quota.has_guarantee(job.team)
             if priority == HIGHEST_PRIORITY:
-                cluster.set_standing(job, priority, (GUARANTEED, priority))
+                cluster.set_precedence(job, priority, (GUARANTEED, priority))
             elif not has_guarantee:
-                cluster.set_standing(job, priority, (NOT_GUARANTEED, priority))
+                cluster.set_precedence(job, priority, (NOT_GUARANTEED, priority))
             if has_guarantee:
                 claims.append(_GuaranteeClaim(job.ready_at, job.id, priority, job))
         claims.sort(key=lambda claim: claim[:2])
         self._grant_guarantees(claims)
 
     def _grant_guarantees(self, claims: list[_GuaranteeClaim]) -> None:
-        """Set the standings of the claimants, each after the earlier claims of its team."""
+        """Set the precedences of the claimants, each after the earlier claims of its team."""
         totals: dict[TeamName, Resources] = {}
         for _, _, priority, job in claims:
             total = totals.get(job.team, NO_RESOURCES).plus(job.need, job.size)
             totals[job.team] = total
             if priority > HIGHEST_PRIORITY:
                 fits = self.cluster.quota.fits_guarantee(job.team, total)
-                standing = (GUARANTEED if fits else NOT_GUARANTEED, priority)
-                self.cluster.set_standing(job, priority, standing)
+                precedence = (GUARANTEED if fits else NOT_GUARANTEED, priority)
+                self.cluster.set_precedence(job, priority, precedence)
--- a/umberward/scheduling/simulated_machines.py
+++ b/umberward/scheduling/simulated_machines.py
@@ -21,10 +21,10 @@
 class PendingMachine:
     """A requested machine that has not reported yet."""
 
-    def __init__(self, offer: MachineOffer, since: Instant) -> None:
-        """`since`: when it was requested, by this leader's monotonic clock."""
+    def __init__(self, offer: MachineOffer, requested_at: Instant) -> None:
+        """`requested_at` is a time of this leader's monotonic clock."""
         self.offer = offer
-        self.since = since
+        self.requested_at = requested_at
 
 
 class SimulatedMachine:
@@ -85,6 +85,6 @@
         machine_type = scheduler.machine_types.get(machine.offer.type)
         if machine_type is None:
             continue
-        if now - machine.since <= LATE_BOOT_RATIO * machine_type.boot_s + LATE_BOOT_MARGIN_S:
+        if now - machine.requested_at <= LATE_BOOT_RATIO * machine_type.boot_s + LATE_BOOT_MARGIN_S:
             simulated.append(SimulatedMachine(machine.offer, machine_type.capacity))
     return simulated
--- a/umberward/scheduling/spot_policy.py
+++ b/umberward/scheduling/spot_policy.py
@@ -33,7 +33,7 @@
 from umberward.protocol import wire
 from umberward.protocol.wire import MachineType
 from umberward.scheduling.cluster_state import ClusterState
-from umberward.scheduling.job_timing import START_WITHIN_S, WAITING_PRIORITY_S
+from umberward.scheduling.job_timing import SERVE_WITHIN_S, START_WITHIN_S
 from umberward.scheduling.jobs import Job
 from umberward.scheduling.machines import Machine
 from umberward.scheduling.service_order import GUARANTEED
@@ -114,8 +114,8 @@
             if kind not in slots:
                 slots[kind] = _affordable_slots(cluster, job, affordable, machine_counts)
             tasks_ahead[kind] += job.startable_count()
-            left_s = cluster.service_order(job, wall) - wall
-            task_s = max(MIN_TASK_S, cluster.estimate(job))
+            left_s = cluster.serve_by(job, wall) - wall
+            task_s = max(MIN_TASK_S, cluster.expected_task_runtime(job))
             if tasks_ahead[kind] > slots[kind] * left_s / task_s:
                 continue
         limited[job.id] = affordable
@@ -128,7 +128,7 @@
         return False
     if job.need.accelerators > 0:
         return True
-    if job.priority < LOWEST_PRIORITY or job.standing[0] == GUARANTEED:
+    if job.priority < LOWEST_PRIORITY or job.precedence[0] == GUARANTEED:
         return False  # guaranteed work does not wait for a low price
     return not _may_miss_goal(cluster, job, wall)
 
@@ -139,12 +139,12 @@
     Expensive machines would not help a job that has missed all its goals.
     """
     waited_s = wall - job.ready_at
-    if waited_s > WAITING_PRIORITY_S and not (job.has_begun or job.placements):
+    if waited_s > SERVE_WITHIN_S and not (job.has_begun or job.placements):
         return True  # at least some of its tasks should begin
     max_wait_s = max(
         MIN_WAIT_FOR_AFFORDABLE_S, WAIT_SHARE_OF_START_TIME * (cluster.start_by(job) - job.ready_at)
     )
-    return waited_s > max_wait_s and cluster.can_reach(job, wall)
+    return waited_s > max_wait_s and cluster.can_meet_objective(job, wall)
 
 
 def _affordable_machines(
--- a/umberward/scheduling/state_writer.py
+++ b/umberward/scheduling/state_writer.py
@@ -55,7 +55,7 @@
         self.cluster = cluster
         self.waiting_jobs = waiting_jobs
         self.max_changes = limits.txn_ops  # in one transaction
-        self.value_limit = cluster.value_limit  # largest stored value, in bytes
+        self.max_value_bytes = cluster.max_value_bytes  # largest stored value, in bytes
         self.progress_write_rate = PROGRESS_WRITE_SHARE * limits.write_rps  # writes per second
         self.machine_blocks = MachineBlocks(cluster)
         self.jobs_with_progress: set[JobId] = set()  # unfinished, with completions to store
@@ -63,9 +63,9 @@
         self.progress_not_before = now
 
     @property
-    def block_size(self) -> int:
+    def machines_per_block(self) -> int:
         """The number of machines that a block can hold."""
-        return self.machine_blocks.block_size
+        return self.machine_blocks.machines_per_block
 
     def note_completions(self, job: Job) -> None:
         """Queue the job's record for writing after a task of it has completed."""
@@ -130,13 +130,13 @@
         return pending
 
     def _add_changed_blocks(self, builder: TransactionBuilder) -> None:
-        for number in self.machine_blocks.changed_in_write_order():
+        for number in self.machine_blocks.changed_blocks_in_write_order():
             if not builder.has_changes_left(1):
                 return
             record = self.machine_blocks.build_record(number)
-            if wire.json_size(record) > self.value_limit:
+            if wire.json_size(record) > self.max_value_bytes:
                 self.machine_blocks.split(number)
-            elif self.machine_blocks.destinations(number) <= builder.block_numbers:
+            elif self.machine_blocks.destination_blocks(number) <= builder.block_numbers:
                 builder.add_block(number, self.machine_blocks.version(number), record)
 
     def _jobs_in_write_order(self, pending: _PendingJobs) -> list[Job]:
@@ -192,7 +192,7 @@
         if record is None:
             # The bitmap is too wide at present: retry after the usual interval.
             job.progress_stored_at = now
-        elif wire.json_size(record) > self.value_limit:
+        elif wire.json_size(record) > self.max_value_bytes:
             log.error("record_too_large", job=job.id)
             self._suspend_job(job)
         else:
--- a/umberward/scheduling/task_progress.py
+++ b/umberward/scheduling/task_progress.py
@@ -89,7 +89,7 @@
         self.failure_attribution.task_succeeded(machine, job, placement, now)
         if placement is not None and placement.running_since is not None:
             self._record_runtime(job, now - placement.running_since)
-        for index in job.completed_with(task_id.number):
+        for index in job.tasks_completed_with(task_id.number):
             job.mark_done(index)
             other = job.placements.get(index)
             if other is not None and not job.gang:
@@ -122,7 +122,7 @@
             return
         first_start = placement.task.number not in job.started_replicas
         job.started_replicas.add(placement.task.number)
-        start_within_s, _ = self.cluster.class_aims.get(job.spec.job_class, (None, None))
+        start_within_s, _ = self.cluster.strictest_objectives.get(job.spec.job_class, (None, None))
         waited_s = self.cluster.wall_clock() - job.ready_at
         if start_within_s is None or waited_s <= start_within_s:
             return
--- a/umberward/scheduling/token_rotation.py
+++ b/umberward/scheduling/token_rotation.py
@@ -14,34 +14,38 @@
 # rotation.
 #
 # A start that is no longer wanted but may still be executed would waste resources.
-UNWANTED_START_S = 2.0  # how long the sender waits for a response
+UNWANTED_START_MIN_AGE_S = 2.0  # how long the sender waits for a response
 UNWANTED_START_ROTATION_INTERVAL_S = 2.0
 # An exited attempt that cannot be forgotten does no harm, but lengthens its worker's heartbeats.
-UNFORGOTTEN_EXIT_S = 15.0
-UNFORGOTTEN_EXIT_ROTATION_S = 60.0
+DEFERRED_FORGET_MIN_AGE_S = 15.0
+DEFERRED_FORGET_ROTATION_INTERVAL_S = 60.0
 
 
 class TokenRotation:
-    """Collects reasons for a rotation, which the leader loop performs when `wanted` is set."""
+    """Collects reasons for a rotation, which the leader loop performs when `requested` is set."""
 
     def __init__(self) -> None:
         """Start without a reason."""
-        self.wanted = False  # to be performed as soon as the state service can be written
+        self.requested = False  # to be performed as soon as the state service can be written
         self.count = 0  # rotations in this term
         self._in_progress = False
         self._rotated_at = Instant(-math.inf)
 
-    def unwanted_start(self, since: Instant, now: Instant) -> None:
+    def note_unwanted_start(self, since: Instant, now: Instant) -> None:
         """Record that a start may still be executed although its task was stopped at `since`."""
-        self._request_after(since, now, UNWANTED_START_S, UNWANTED_START_ROTATION_INTERVAL_S)
+        self._request_after(
+            since, now, UNWANTED_START_MIN_AGE_S, UNWANTED_START_ROTATION_INTERVAL_S
+        )
 
-    def unforgotten_exit(self, since: Instant, now: Instant) -> None:
+    def note_deferred_forget(self, since: Instant, now: Instant) -> None:
         """Record that an exited attempt could not be forgotten since `since`."""
-        self._request_after(since, now, UNFORGOTTEN_EXIT_S, UNFORGOTTEN_EXIT_ROTATION_S)
+        self._request_after(
+            since, now, DEFERRED_FORGET_MIN_AGE_S, DEFERRED_FORGET_ROTATION_INTERVAL_S
+        )
 
     def started(self) -> None:
         """Record that the write of the new token begins."""
-        self.wanted = False
+        self.requested = False
         self._in_progress = True
 
     def failed(self) -> None:
@@ -50,7 +54,7 @@
 
     def completed(self, now: Instant) -> None:
         """Record that the new token is in force."""
-        self.wanted = self._in_progress = False
+        self.requested = self._in_progress = False
         self.count += 1
         self._rotated_at = now
 
@@ -61,4 +65,4 @@
         if self._in_progress:
             return
         if now - since > min_age_s and now - self._rotated_at > min_interval_s:
-            self.wanted = True
+            self.requested = True
--- a/umberward/scheduling/unlocated_tasks.py
+++ b/umberward/scheduling/unlocated_tasks.py
@@ -31,7 +31,7 @@
         # Until when a job's tasks may run somewhere although all machines have reported.
         self.locate_deadlines: dict[JobId, Instant] = {}
 
-    def requeue_later(self, job: Job, now: Instant) -> None:
+    def schedule_requeue(self, job: Job, now: Instant) -> None:
         """Requeue the job's unlocated tasks after a delay, unless a heartbeat lists them first.
 
         Machines that run them list them in their next heartbeat. If none arrives, the worker's
@@ -57,7 +57,7 @@
         for job_id in [job_id for job_id in cancelled if job_id not in self.locate_deadlines]:
             del cancelled[job_id]
 
-    def find_lost_tasks(self, now: Instant) -> None:
+    def recover_lost_tasks(self, now: Instant) -> None:
         """Treat tasks that are neither queued nor on a machine as unlocated, so that they run."""
         for job in self.cluster.jobs.values():
             if job.id in self.locate_deadlines:
@@ -71,7 +71,7 @@
                     if job.is_lost(index)
                 )
             if job.unlocated_tasks:
-                self.requeue_later(job, now)
+                self.schedule_requeue(job, now)
 
     def usage_by_team(self) -> dict[TeamName, Resources]:
         """Return the resources that unlocated tasks of live and cancelled jobs may use.
@@ -90,7 +90,7 @@
         capacity = self._unreconciled_capacity()
         if cluster.cancellations_unread:
             return {team: capacity for team in cluster.quota.teams if cluster.quota.has_limit(team)}
-        return {team: used.minimum(capacity) for team, used in usage.items()}
+        return {team: used.elementwise_min(capacity) for team, used in usage.items()}
 
     def _jobs_to_count(self) -> Iterable[Job]:
         """All jobs until reconciliation is complete, then only those still waited for."""
@@ -107,7 +107,7 @@
         """Return the capacity of the machines that may run unknown tasks of a previous leader."""
         capacity = NO_RESOURCES
         for machine in self.cluster.machines.values():
-            if not (machine.reconciled or machine.predecessor_expired):
+            if not (machine.reconciled or machine.predecessor_tasks_ended):
                 machine_type = self.cluster.machine_types.get(machine.machine_type)
                 capacity = (
                     UNLIMITED_RESOURCES
--- a/umberward/soak/cluster.py
+++ b/umberward/soak/cluster.py
@@ -304,7 +304,9 @@
         names = {address: name for name, address in self.nodes.items()}
         client: Any = FaultInjectingClient(self.client, self.links, core, names, self.group)
         worker = WorkerServer(core, self.nodes, self.workers_said.report_s, client, self.rng)
-        worker.server.sockets.limit = worker.server.sockets.most_of_client = MAX_SERVER_SOCKETS
+        worker.server.socket_budget.limit = worker.server.socket_budget.client_limit = (
+            MAX_SERVER_SOCKETS
+        )
         worker.server.handler = self._command_handler(core, worker.server.handler)
         return worker
 
