--- a/umberward/leader/command_sender.py
+++ b/umberward/leader/command_sender.py
@@ -88,7 +88,7 @@
             completed = CommandCompleted(command, None, outcome_unknown=False)
         except (NoResponseError, wire.MalformedMessageError, ValueError) as error:
             rate_limited_log.info(
-                "command_outcome_unknown",
+                "command_timed_out",
                 machine=command.machine,
                 epoch=command.fencing_token,
                 session=command.incarnation,
