--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -17,7 +17,7 @@
 from umberward.control.job_state_cache import JobStateCache
 from umberward.core.types import JobId
 from umberward.graphs import graph_job
-from umberward.graphs.graph_job import DagJob
+from umberward.graphs.graph_job import GraphJob
 from umberward.graphs.live import LiveGraph
 from umberward.leader import failover_snapshot, leader_loop
 from umberward.leader.leader_election import LeaderElection
@@ -340,25 +340,27 @@
     """Tasks of a graph do not wait for the tasks that they need."""
     patch.setattr(LiveGraph, "is_ready", lambda *_: True)
     patch.setattr(
-        DagJob, "requeue_unlocated", lambda self: self.requeued_tasks.extend(range(self.size))
+        GraphJob, "requeue_unlocated", lambda self: self.requeued_tasks.extend(range(self.size))
     )
 
 
 def graph_machines_cleared(patch: pytest.MonkeyPatch) -> None:
     """Failures of a task that fails on every machine count against the machines."""
-    patch.setattr(DagJob, "failure_ignored_for_machines", lambda *_: False)
+    patch.setattr(GraphJob, "failure_ignored_for_machines", lambda *_: False)
     patch.setattr(failure_attribution, "QUARANTINE_AFTER_FAILURES", 1)
 
 
 def graph_excused(patch: pytest.MonkeyPatch) -> None:
     """All failures count against their task, even those on faulty machines."""
-    patch.setattr(DagJob, "_used", lambda self, index: len(self.failed_attempts[index]))
+    patch.setattr(
+        GraphJob, "_counted_failures", lambda self, index: len(self.failed_attempts[index])
+    )
     patch.setattr(graph_job, "EXTRA_ATTEMPTS", 0)
 
 
 def graph_inferred(patch: pytest.MonkeyPatch) -> None:
     """The start of a graph's task does not prove that the tasks it needs were done."""
-    patch.setattr(LiveGraph, "was_started", lambda *_: None)
+    patch.setattr(LiveGraph, "infer_needs_done", lambda *_: None)
 
 
 def needs_first(patch: pytest.MonkeyPatch) -> None:
--- a/tests/network.py
+++ b/tests/network.py
@@ -17,7 +17,7 @@
 from unittest import mock
 
 import curio
-from traffic_recorder import note
+from traffic_recorder import record_message
 
 from umberward.core.tasks import TaskScope
 from umberward.core.types import Address
@@ -137,12 +137,12 @@
         if self.ended or may_send is not None and not may_send():
             raise RequestNotSentError(f"{method} {address}: its sender has ended or withdrawn it")
         sent = network.clock()
-        note(self.owner, receiver, method, target, body, sent)
+        record_message(self.owner, receiver, method, target, body, sent)
         answered = curio.Event()
         answers: list[Response] = []
 
         async def carry() -> None:
-            if await network.links.passes(self.owner, receiver, target):
+            if await network.links.transmit(self.owner, receiver, target):
                 server = network.serving.get(address)
                 if server is None:
                     return
@@ -150,9 +150,9 @@
                 response = await server.handler(Request(method, path, query, body))
                 network.sent.pop(receiver, None)
                 answer = (response.status, response.body, response.retry_after)
-                note(receiver, self.owner, target, *answer, network.clock())
+                record_message(receiver, self.owner, target, *answer, network.clock())
                 # A process that has ended meanwhile sends no response.
-                if network.serving.get(address) is server and await network.links.passes(
+                if network.serving.get(address) is server and await network.links.transmit(
                     receiver, self.owner, target
                 ):
                     answers.append(response)
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -13,7 +13,7 @@
 
 from umberward.core.settings import ClusterSettings
 from umberward.core.types import NO_RESOURCES, Key, Resources
-from umberward.local.workercore import Fate, Mates, WorkerCore
+from umberward.local.workercore import SharedTaskState, TaskOutcome, WorkerCore
 from umberward.protocol import wire
 from umberward.protocol.http import Response
 from umberward.protocol.transactions import VersionedValue
@@ -42,7 +42,7 @@
         self.machine_types = list(skus)
         self.workers: dict[str, WorkerCore] = {}
         self.specs: dict[str, dict[str, Any]] = {}
-        self.mates = Mates()
+        self.shared_tasks = SharedTaskState()
         self.described: dict[str, JobSpec] = {}
         self.cancelled: dict[str, float] = {}
         self.ended: dict[str, str] = {}
@@ -147,7 +147,7 @@
 
     # ---- actions of workers ------------------------------------------------------------
 
-    def describe(self, job: str) -> JobSpec | None:
+    def find_spec(self, job: str) -> JobSpec | None:
         """The job's description, as the user uploaded it for the workers."""
         if job not in self.described and job in self.specs:
             known_fields = JobSpec.__struct_encode_fields__
@@ -157,11 +157,11 @@
             self.described[job] = wire.convert(plain, JobSpec)
         return self.described.get(job)
 
-    def fate(self, name: str, _: JobSpec) -> Fate:
+    def plan_outcome(self, name: str, _: JobSpec) -> TaskOutcome:
         spec = self.specs[name.split("/")[0]]
         if spec.get("_mistaken"):
-            return Fate(0.0, "error")
-        return Fate(spec["_runs"])
+            return TaskOutcome(0.0, "error")
+        return TaskOutcome(spec["_runs"])
 
     def completed(self, name: str) -> None:
         self.specs[name.split("/")[0]].setdefault("_done", set()).add(name)
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -12,7 +12,7 @@
 
 import curio
 from rules import RuleChecker
-from traffic_recorder import note
+from traffic_recorder import record_message
 
 from umberward.clients import state_client
 from umberward.control.job_api import JobApi
@@ -33,7 +33,7 @@
 from umberward.leader import command_sender, failover_snapshot, live_job_sweeper
 from umberward.local import statecore
 from umberward.local.statecore import StateCore
-from umberward.local.workercore import Fate, Task, WorkerCore
+from umberward.local.workercore import TaskAttempt, TaskOutcome, WorkerCore
 from umberward.protocol import transactions, wire
 from umberward.protocol.http import Response
 from umberward.protocol.transactions import VersionedValue
@@ -115,20 +115,20 @@
         return self.core.revision
 
     @property
-    def written(self) -> int:
-        return self.core.written
+    def write_count(self) -> int:
+        return self.core.write_count
 
     async def get(self, key: Key, *_: Any, **__: Any) -> VersionedValue | None:
         self.requests += 1
         await curio.sleep(0)  # let other tasks run
-        note("read", key, self.mode)
+        record_message("read", key, self.mode)
         if self.mode == "down":
             raise state_client.StateUnavailableError("down")
         return self.keys.get(key)
 
     async def list_all(self, prefix: str) -> tuple[list[wire.KeyValue], Revision]:
         self.requests += 1
-        note("list", prefix, self.mode)
+        record_message("list", prefix, self.mode)
         if self.mode == "down":
             raise state_client.StateUnavailableError("down")
         found: list[wire.KeyValue] = []
@@ -142,23 +142,23 @@
         self, prefix: str, after: Revision, *_: Any
     ) -> tuple[list[wire.KeyChange], Revision]:
         self.requests += 1
-        note("watch", prefix, after, self.mode)
+        record_message("watch", prefix, after, self.mode)
         if self.mode == "down":
             raise state_client.StateUnavailableError("down")
         try:
-            news = self.core.news(prefix, after)
+            changes = self.core.changes_after(prefix, after)
         except statecore.RevisionCompactedError:
             raise state_client.RevisionCompactedError from None
         revision = Revision(self.revision)
         during_watch, self.during_watch = self.during_watch, None
         if during_watch is not None:
             await during_watch()
-        return news, revision
+        return changes, revision
 
     async def commit(self, conditions: Any, writes: Any, **_: Any) -> Revision:
         self.requests += 1
         conditions = list(conditions)
-        note("commit", conditions, writes, self.mode)
+        record_message("commit", conditions, writes, self.mode)
         if self.mode == "down":
             raise state_client.StateUnavailableError("down")
         if self.mode == "late":
@@ -173,13 +173,13 @@
         try:
             self.core.commit(conditions, writes)
         except statecore.CompareFailedError as error:
-            note("applied", conditions, writes, "conflict", error.keys)
+            record_message("applied", conditions, writes, "conflict", error.keys)
             raise state_client.CompareAndSwapError(str(error)) from None
         except statecore.InvalidRequestError as error:
-            note("applied", conditions, writes, "refused")
+            record_message("applied", conditions, writes, "refused")
             self.refused.append(str(error))
             raise state_client.ValueTooLargeError("400") from None
-        note("applied", conditions, writes, self.revision)
+        record_message("applied", conditions, writes, self.revision)
         self.on_applied()
 
     def insert(self, path: str, data: Any) -> None:
@@ -220,9 +220,9 @@
             zone,
             spot,
             times,
-            cluster.mates,
-            cluster.describe,
-            self._fate,
+            cluster.shared_tasks,
+            cluster.find_spec,
+            self._plan_outcome,
             cluster.now,
         )
         self.cluster = cluster
@@ -242,16 +242,16 @@
         self.holding = False  # direct commands are held, to be delivered later
         self.held_commands: list[HeldCommand] = []
 
-    def _fate(self, name: str, spec: JobSpec) -> Fate:
-        return Fate(0.3) if self.sick else self.cluster.fate(name, spec)
+    def _plan_outcome(self, name: str, spec: JobSpec) -> TaskOutcome:
+        return TaskOutcome(0.3) if self.sick else self.cluster.plan_outcome(name, spec)
 
     def start(self, name: str, attempt: int) -> None:
         self.cluster.started(self, name, attempt)
         super().start(name, attempt)
 
-    def _exit(self, task: Task, cause: str, stored: bool | None = None) -> None:
+    def _exit(self, task: TaskAttempt, cause: str, stored: bool | None = None) -> None:
         if self.sick and cause == wire.DONE:
-            self.mates.done.discard(task.name)
+            self.shared_tasks.done.discard(task.name)
             cause = "error"
         super()._exit(task, cause, stored)
         if cause == wire.DONE:
@@ -302,8 +302,8 @@
 
     def takeover(self) -> None:
         """A controller becomes the leader: it gets a new token, then reads blocks and jobs."""
-        self.take_blocks()
-        self.take_jobs()
+        self.load_blocks()
+        self.load_jobs()
 
     def succeed(self) -> None:
         """Another controller takes over with the last leader's failover snapshot."""
@@ -311,14 +311,14 @@
         snapshot = failover_snapshot.encode_snapshot(
             failover_snapshot.take_snapshot(self.scheduler, self.autoscaler, Instant(self.now))
         )
-        note("hints", snapshot)
-        self.take_blocks()
+        record_message("hints", snapshot)
+        self.load_blocks()
         found = failover_snapshot.decode_snapshot(snapshot)
         assert found is not None
         failover_snapshot.restore_snapshot(
             found, 1.0, self.scheduler, self.autoscaler, Instant(self.now)
         )
-        self.take_jobs()
+        self.load_jobs()
 
     def restart(self) -> None:
         """All controllers restart at once: the new leader has the last one's stored snapshot."""
@@ -328,16 +328,16 @@
         )
         for number, part in enumerate(failover_snapshot.split_snapshot(snapshot, 2, 1000)):
             self.store.apply([], [transactions.put(Key(f"{wire.SNAPSHOT_PREFIX}{number}"), part)])
-        self.take_blocks()
+        self.load_blocks()
         for key, got in sorted(self.store.keys.items()):
             if key.startswith(wire.SNAPSHOT_PREFIX):
                 found = wire.convert(got.data, failover_snapshot.FailoverSnapshot)
                 failover_snapshot.restore_snapshot(
                     found, 15.0, self.scheduler, self.autoscaler, Instant(self.now)
                 )
-        self.take_jobs()
+        self.load_jobs()
 
-    def take_blocks(self) -> None:
+    def load_blocks(self) -> None:
         self.store.apply([], [transactions.put(Key("leader"), {"node": "n", "nonce": "x"})])
         self.epoch = self.store.revision
         self.leader_since = self.now
@@ -362,13 +362,15 @@
                     int(key[len(BLOCKS_PREFIX) :]), record, got.version, Instant(self.now)
                 )
 
-    def take_jobs(self) -> None:
+    def load_jobs(self) -> None:
         scheduler = self.scheduler
         assert scheduler is not None
         for key, got in list(self.store.keys.items()):
             if key.startswith(LIVE_JOBS_PREFIX):
                 scheduler.add_job(wire.convert(got.data, JobRecord), got.version)
-        job_records.apply_final_records(scheduler, self.store.core.news(FINAL_JOBS_PREFIX, 0))
+        job_records.apply_final_records(
+            scheduler, self.store.core.changes_after(FINAL_JOBS_PREFIX, 0)
+        )
         scheduler.finish_loading()
         self.seen_revision = self.store.revision
 
@@ -508,10 +510,10 @@
             await running.cancel()
             return response
 
-        note("user asks", argument, self.now)
+        record_message("user asks", argument, self.now)
         response: Response = curio.run(serve)
         for answer in response if isinstance(response, list) else [response]:
-            note("user is answered", answer.status, answer.body, answer.retry_after)
+            record_message("user is answered", answer.status, answer.body, answer.retry_after)
         return response
 
     # ---- simulation --------------------------------------------------------------------
@@ -530,7 +532,9 @@
             now = Instant(self.now)
             scheduler.discount_process_pause(now)
             if self.watching and self.store.mode != "down":
-                job_records.apply_changes(scheduler, self.store.core.news("", self.seen_revision))
+                job_records.apply_changes(
+                    scheduler, self.store.core.changes_after("", self.seen_revision)
+                )
                 self._resolve_dependencies(scheduler)
                 self.seen_revision = self.store.revision
                 scheduler.jobs_read_at = now
@@ -553,7 +557,7 @@
                     machine.deletion_requested = True
                 gone = [id for id in self.autoscaler.machines_to_delete(now) if id in self.workers]
                 for id in gone:
-                    note("machine deleted", id, self.now)
+                    record_message("machine deleted", id, self.now)
                     self.delete(id)
         self._check()
 
@@ -564,7 +568,7 @@
                     ControllerName(name), delegate.serial, delegate.unused, now
                 )
                 if delegation is not None:
-                    note("loan", name, delegation)
+                    record_message("loan", name, delegation)
                     delegate.accept(delegation, now, now)
 
     def _sweep(self, scheduler: Scheduler, now: Instant) -> None:
@@ -610,7 +614,7 @@
                 silent = worker is None or worker.dead or worker.cut or worker.oneway
                 if isinstance(item, Probe):
                     self.probes += 1
-                    note("probe", item.machine, silent, self.now)
+                    record_message("probe", item.machine, silent, self.now)
                     scheduler.probe_completed(item, None if silent else worker.report(), now)
                     continue
                 self._send(scheduler, self.commands.submit(item), now)
@@ -618,7 +622,7 @@
     def _send(self, scheduler: Scheduler, command: DirectCommand | None, now: Instant) -> None:
         """Send a command. As in a real leader, each machine has only one in flight."""
         while command is not None:
-            note(
+            record_message(
                 "command",
                 command.machine,
                 command.fencing_token,
@@ -734,14 +738,14 @@
         orders = leader.receive_heartbeat(
             wire.decode_heartbeat_header(body), body, Instant(self.now)
         )
-        note("report", body, leader.fencing_token, orders, self.now)
+        record_message("report", body, leader.fencing_token, orders, self.now)
         if orders is None and leader is not self.scheduler:
             worker.astray = False  # refused, the worker looks for another controller
         if orders is None or worker.deaf or worker.oneway or self.now - sent > 4.0:
             return
         if self.store.mode == "down" or leader is not self.scheduler:
             orders = [order for order in orders if order.verb == wire.KILL]
-        worker.answered(Instant(sent), tenure, leader.fencing_token, orders)
+        worker.handle_heartbeat_response(Instant(sent), tenure, leader.fencing_token, orders)
 
     def deliver_copy(self, heartbeats: deque[tuple[float, bytes]], age: float) -> None:
         """Deliver a late copy of the latest heartbeat that is at least `age` seconds old."""
@@ -752,13 +756,13 @@
             orders = self.scheduler.receive_heartbeat(
                 wire.decode_heartbeat_header(body), body, Instant(self.now)
             )
-            note("copied report", body, orders, self.now)
+            record_message("copied report", body, orders, self.now)
             self._send_outbox(self.scheduler)
 
     def _execute(self, worker: Worker, command: DirectCommand) -> Heartbeat:
-        worker.direct(command.fencing_token, command.incarnation, command.commands)
+        worker.handle_direct_commands(command.fencing_token, command.incarnation, command.commands)
         report = worker.report()
-        note(
+        record_message(
             "command done",
             command.fencing_token,
             command.incarnation,
--- a/tests/simulated_controllers.py
+++ b/tests/simulated_controllers.py
@@ -26,11 +26,11 @@
 from umberward.core.tasks import TaskScope
 from umberward.core.types import Key, MachineTypeName
 from umberward.local import servers
-from umberward.local.cloudcore import Capacity, CloudCore, Machine
+from umberward.local.cloudcore import CapacityPool, CloudCore, Machine
 from umberward.local.links import LinkFault
 from umberward.local.servers import CloudServer, StateServer, WorkerServer
 from umberward.local.statecore import StateCore
-from umberward.local.workercore import Fate, WorkerCore
+from umberward.local.workercore import TaskOutcome, WorkerCore
 from umberward.protocol import wire
 from umberward.protocol.http import NoResponseError, RequestNotSentError, Response
 from umberward.protocol.transactions import VersionedValue
@@ -158,7 +158,7 @@
         self.state = StateServer(core, limits, self.states)
         self.cloud_core = CloudCore(list(MACHINE_TYPES.values()), 5.0, self.rng, 1.0)
         self.cloud_core.capacity = {
-            Capacity(sku.name, zone, spot): self.rent if sku.name == "small" and not spot else 0
+            CapacityPool(sku.name, zone, spot): self.rent if sku.name == "small" and not spot else 0
             for sku in MACHINE_TYPES.values()
             for zone in sku.zones
             for spot in (True, False)
@@ -264,7 +264,7 @@
         sku = MACHINE_TYPES[MachineTypeName(flavor)]
         machine = Machine(name, sku, zone, False, self.now, self.now)
         self.cloud_core.machines[name] = machine
-        machine.up = True
+        machine.booted = True
         await self._start_worker(machine)
 
     async def _start_worker(self, machine: Machine) -> None:
@@ -278,9 +278,9 @@
             machine.zone,
             False,
             self.cluster.workers,
-            self.mates,
-            self.describe,
-            self.fate,
+            self.shared_tasks,
+            self.find_spec,
+            self.plan_outcome,
             self.now,
         )
         core.rules = self
@@ -316,8 +316,8 @@
                 worker.end_session()
                 self.network.links.faults[f"gone {machine.id}"] = LinkFault(machine.id, "*", "lost")
 
-    def fate(self, name: str, _: JobSpec) -> Fate:
-        return Fate(self.specs[name.split("/")[0]]["_runs"])
+    def plan_outcome(self, name: str, _: JobSpec) -> TaskOutcome:
+        return TaskOutcome(self.specs[name.split("/")[0]]["_runs"])
 
     # ---- users -------------------------------------------------------------------------
 
--- a/tests/simulated_graphs.py
+++ b/tests/simulated_graphs.py
@@ -11,7 +11,7 @@
 import curio
 import msgspec
 from simulated_cluster import MACHINE_TYPES, SimulatedCluster, Worker
-from traffic_recorder import note
+from traffic_recorder import record_message
 
 from umberward.clients import state_client
 from umberward.core.types import Key, Version, WallTime
@@ -21,7 +21,7 @@
 from umberward.graphs.model import GraphId, Options, Part, Shape, Task, job_id
 from umberward.graphs.records import GraphRecord
 from umberward.graphs.store import read_progress, read_tasks
-from umberward.local.workercore import Fate
+from umberward.local.workercore import TaskOutcome
 from umberward.protocol import wire
 from umberward.protocol.http import Response
 
@@ -55,7 +55,7 @@
         path, _, query = path.partition("?")
         response: Response = curio.run(self.new_graph_api().serve, method, path, query, data)
         request = (method, path, query, data)
-        note(
+        record_message(
             "user of graphs",
             *request,
             response.status,
@@ -141,18 +141,18 @@
 
     # ---- controllers -------------------------------------------------------------------
 
-    def take_jobs(self) -> None:
+    def load_jobs(self) -> None:
         assert self.scheduler is not None
         self.graph_state = GraphState(self.scheduler)
         for key, entry in list(self.store.keys.items()):
-            if key.startswith(records.LIVE):
+            if key.startswith(records.LIVE_PREFIX):
                 self._admit_graph(key, entry.data, entry.version)
         self.seen_graph_revision = self.store.revision
-        super().take_jobs()
+        super().load_jobs()
 
     def _admit_graph(self, key: str, data: Any, stamp: int) -> None:
         async def read() -> None:
-            id = GraphId(key[len(records.LIVE) :])
+            id = GraphId(key[len(records.LIVE_PREFIX) :])
             record = wire.convert(data, GraphRecord)
             tasks = await read_tasks(self.store, id, record)  # type: ignore[arg-type]
             progress = await read_progress(self.store, id)  # type: ignore[arg-type]
@@ -170,12 +170,16 @@
             self.scheduler is not None and not self.paused and self.store.mode != "down"
         )
         if leader_working and self.watching and self.graph_state is not None:
-            news = self.store.core.news(records.LIVE, self.seen_graph_revision)
+            changes = self.store.core.changes_after(records.LIVE_PREFIX, self.seen_graph_revision)
             self.seen_graph_revision = self.store.revision
-            for change in news:
-                if change.deleted_key is not None and change.deleted_key.startswith(records.LIVE):
-                    self.graph_state.remove(GraphId(change.deleted_key[len(records.LIVE) :]))
-                elif change.put_key in self.store.keys and change.put_key.startswith(records.LIVE):
+            for change in changes:
+                if change.deleted_key is not None and change.deleted_key.startswith(
+                    records.LIVE_PREFIX
+                ):
+                    self.graph_state.remove(GraphId(change.deleted_key[len(records.LIVE_PREFIX) :]))
+                elif change.put_key in self.store.keys and change.put_key.startswith(
+                    records.LIVE_PREFIX
+                ):
                     self._admit_graph(change.put_key, change.data, change.version)
         super()._step()
         if leader_working and self.graph_state is not None:
@@ -229,11 +233,11 @@
                     self.broken.append(f"{task} started after its graph's end")
         super().started(worker, name, attempt)
 
-    def fate(self, name: str, spec: wire.JobSpec) -> Fate:
+    def plan_outcome(self, name: str, spec: wire.JobSpec) -> TaskOutcome:
         found = self._find_task(name)
         if found is not None and (found[0], found[1]) in self.failing:
-            return Fate(0.0, "error")
-        return super().fate(name, spec)
+            return TaskOutcome(0.0, "error")
+        return super().plan_outcome(name, spec)
 
     def completed(self, name: str) -> None:
         super().completed(name)
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -12,7 +12,13 @@
 
 import pytest
 from simulated_controllers import CANCEL_RETRY_DURATION_S, SimulatedControllers
-from test_scenarios import ScenarioPlayer, _pairs, fails_unguarded, guarded, play
+from test_scenarios import (
+    ScenarioPlayer,
+    assert_fails_without_guard,
+    files_with_guard,
+    parse_pairs,
+    play,
+)
 
 from umberward.control import job_api
 from umberward.core.types import Key
@@ -29,7 +35,7 @@
     def __init__(self) -> None:
         self.cluster = SimulatedControllers()
         self.given_names: dict[str, str] = {}
-        self.last: Any = None
+        self.last_result: Any = None
         self.responses: list[Any] = []
         self.exit_stack = contextlib.ExitStack()
 
@@ -44,7 +50,7 @@
     def do_cluster(self, size: str, *words: str) -> None:
         """Start this number of controllers. The words set fields of `cluster.workers`, limits of
         the team red, `poll_cache`, or `seed`."""
-        given = {name: float(value) for name, value in _pairs(list(words)).items()}
+        given = {name: float(value) for name, value in parse_pairs(list(words)).items()}
         seed = int(given.pop("seed", 1))
         limits = {name: given.pop(name) for name in ("cpus_max", "gpus_max") if name in given}
         operator = {name: int(given.pop(name)) for name in ("poll_cache",) if name in given}
@@ -92,7 +98,7 @@
 
     def do_trouble(self, label: str, src: str, dst: str, what: str, *words: str) -> None:
         """`trouble NAME FROM TO refuse|lost|hold|late [path=/do] [least=2] [most=12] [share=1]`"""
-        given = _pairs(list(words))
+        given = parse_pairs(list(words))
         path = given.pop("path", "")
         times = {name: float(value) for name, value in given.items()}
         self.cluster.network.links.faults[label] = LinkFault(
@@ -109,22 +115,22 @@
     # ---- users -------------------------------------------------------------------------
 
     def do_submit(self, id: str, name: str, *words: str) -> None:  # type: ignore[override]
-        self.last = self.cluster.submit(self._spec(id, words), self._controller_name(name))
+        self.last_result = self.cluster.submit(self._spec(id, words), self._controller_name(name))
 
     def do_poll(self, id: str, name: str) -> None:  # type: ignore[override]
-        self.last = self.cluster.poll(id, self._controller_name(name))
+        self.last_result = self.cluster.poll(id, self._controller_name(name))
 
     def do_cancel(self, id: str, name: str) -> None:  # type: ignore[override]
         """Cancel the job, with retries until the request succeeds."""
         until = self.cluster.now + CANCEL_RETRY_DURATION_S
         while self.cluster.now < until:
-            self.last = self.cluster.cancel(id, self._controller_name(name))
-            if self.last is not None and self.last.status == 200:
+            self.last_result = self.cluster.cancel(id, self._controller_name(name))
+            if self.last_result is not None and self.last_result.status == 200:
                 return
             self.cluster.run(1.0)
 
     def do_cancel_once(self, id: str, name: str) -> None:
-        self.last = self.cluster.cancel(id, self._controller_name(name))
+        self.last_result = self.cluster.cancel(id, self._controller_name(name))
 
     def do_together(self, gap_ms: str, *words: str) -> None:
         """`together GAP poll:JOB:CONTROLLER cancel:JOB:CONTROLLER submit:JOB:CONTROLLER`: send the
@@ -207,7 +213,7 @@
     # ---- expectations ------------------------------------------------------------------
 
     def see_phase(self) -> str:
-        return self.cluster.phase(self.last)
+        return self.cluster.phase(self.last_result)
 
     def see_leader(self) -> str:
         leader = self.cluster.leader()
@@ -291,6 +297,6 @@
     play_meeting(path)
 
 
-@pytest.mark.parametrize("path", guarded(FILES), ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", files_with_guard(FILES), ids=lambda path: path.stem)
 def test_fails_without_its_guard(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    fails_unguarded(path, monkeypatch, play_meeting)
+    assert_fails_without_guard(path, monkeypatch, play_meeting)
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -19,7 +19,13 @@
 from hypothesis import strategies
 from simulated_cluster import SimulatedCluster, raw_settings
 from simulated_graphs import FINAL, SimulatedGraphCluster
-from test_scenarios import ScenarioPlayer, _pairs, fails_unguarded, guarded, play
+from test_scenarios import (
+    ScenarioPlayer,
+    assert_fails_without_guard,
+    files_with_guard,
+    parse_pairs,
+    play,
+)
 
 from umberward.cli import main as cli
 from umberward.graphs import files, records
@@ -39,7 +45,7 @@
 
 
 class GraphScenarioPlayer(ScenarioPlayer):
-    make = SimulatedGraphCluster
+    cluster_factory = SimulatedGraphCluster
     cluster: SimulatedGraphCluster
 
     def __init__(self) -> None:
@@ -48,7 +54,7 @@
 
     def do_graph(self, id: str, *words: str) -> None:
         """Options are words name=value: retries, cpus, runs, parts, on_failure, team."""
-        given = _pairs([word for word in words if "=" in word])
+        given = parse_pairs([word for word in words if "=" in word])
         fields = {"max_retries": given.get("retries", 3), "num_cpus": given.get("cpus", 1.0)}
         tasks = _tasks([word for word in words if "=" not in word], **fields)
         self._send(id, given, tasks)
@@ -57,7 +63,7 @@
         """`width` parallel tasks between a first and a last one."""
         names = [f"t{number}" for number in range(int(width))]
         tasks = _tasks(["first", *(f"{name}:first" for name in names)])
-        self._send(id, _pairs(list(words)), [*tasks, Task("last", names[:1000])])
+        self._send(id, parse_pairs(list(words)), [*tasks, Task("last", names[:1000])])
 
     def do_graph_many(self, id: str, count: str, shape: str, *words: str) -> None:
         rng = random.Random(5)
@@ -66,7 +72,7 @@
             needs = {"deep": [number - 1], "random": [rng.randrange(number or 1) for _ in "ab"]}
             names = sorted({f"t{need}" for need in needs.get(shape, ())}) if number else []
             tasks.append(Task(f"t{number}", names))
-        self._send(id, _pairs(list(words)), tasks)
+        self._send(id, parse_pairs(list(words)), tasks)
 
     def _send(self, id: str, given: dict[str, Any], tasks: list[Task]) -> None:
         options = Options(
@@ -74,19 +80,19 @@
         )
         self.sent[id] = (options, tasks, given.get("parts", 1))
         self.cluster.know(id, tasks, float(given.get("runs", 3)))
-        self.last = self.cluster.send(id, *self.sent[id])
+        self.last_result = self.cluster.send(id, *self.sent[id])
 
     def do_again(self, id: str) -> None:
-        self.last = self.cluster.send(id, *self.sent[id])
+        self.last_result = self.cluster.send(id, *self.sent[id])
 
     def do_part(self, id: str, number: str, *words: str) -> None:
         """Send one part of a graph; all its tasks are registered with the first part."""
         tasks = _tasks([word for word in words if "=" not in word])
-        parts = int(_pairs([word for word in words if "=" in word])["parts"])
+        parts = int(parse_pairs([word for word in words if "=" in word])["parts"])
         self.sent.setdefault(id, (Options(team="red"), tasks, parts))
         self.cluster.know(id, tasks)
         part = self.cluster.split(id, self.sent[id][0], tasks, parts)[int(number)]
-        self.last = self.cluster.ask("POST", "", part)
+        self.last_result = self.cluster.ask("POST", "", part)
 
     def do_at_once(self, id: str, times: str) -> None:
         """Send the graph `times` times concurrently to different controllers."""
@@ -112,10 +118,10 @@
             "70-KiB": {**part, "tasks": [{"name": "a", "needs": ["x" * 100] * 1001}]},
             "slashes": {**part, "uid": "graph-1/2"},
         }[words[0]]
-        self.last = self.cluster.ask("POST", "" if path == "/" else path, body)
+        self.last_result = self.cluster.ask("POST", "" if path == "/" else path, body)
 
     def do_get(self, path: str) -> None:
-        self.last = self.cluster.ask("GET", path)
+        self.last_result = self.cluster.ask("GET", path)
 
     def do_fails(self, id: str, *names: str) -> None:
         self.cluster.failing.update((id, name) for name in names)
@@ -124,16 +130,16 @@
         self.cluster.failing.difference_update((id, name) for name in names)
 
     def do_cancel_graph(self, id: str) -> None:
-        self.last = self.cluster.ask("POST", f"/{id}/cancel")
-        if self.last.status == 200 and self.see_graph(id) == "cancelled":
+        self.last_result = self.cluster.ask("POST", f"/{id}/cancel")
+        if self.last_result.status == 200 and self.see_graph(id) == "cancelled":
             for array, (graph, _) in self.cluster.arrays.items():
                 if graph == id:
                     self.cluster.cancelled.setdefault(array, self.cluster.now)
 
     def do_lead_old(self) -> None:
         """A leader whose version does not support graphs takes over."""
-        self.cluster.take_blocks()
-        SimulatedCluster.take_jobs(self.cluster)
+        self.cluster.load_blocks()
+        SimulatedCluster.load_jobs(self.cluster)
         self.cluster.graph_state = None
 
     def do_tell(self) -> None:
@@ -175,10 +181,10 @@
 
     def see_writes_per_100_tasks_below(self, most: str) -> bool:
         tasks = sum(len(shape) for shape in self.cluster.shapes.values())
-        return 100 * self.cluster.store.written / tasks < float(most)
+        return 100 * self.cluster.store.write_count / tasks < float(most)
 
     def see_error(self) -> str:
-        return str(msgspec.msgpack.decode(self.last.body)["error"]).replace(" ", "_")
+        return str(msgspec.msgpack.decode(self.last_result.body)["error"]).replace(" ", "_")
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
@@ -186,9 +192,9 @@
     play(path, GraphScenarioPlayer)
 
 
-@pytest.mark.parametrize("path", guarded(FILES), ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", files_with_guard(FILES), ids=lambda path: path.stem)
 def test_graph_fails_without_its_guard(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    fails_unguarded(path, monkeypatch, lambda path: play(path, GraphScenarioPlayer))
+    assert_fails_without_guard(path, monkeypatch, lambda path: play(path, GraphScenarioPlayer))
 
 
 def test_what_is_cancelled_while_graphs_are_read_is_told_as_gone() -> None:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -102,7 +102,7 @@
 
 def test_a_forget_that_was_decided_wrongly_does_not_leave(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(TaskReconciliation, "_may_forget", lambda *_: True)
-    path = next(path for path in FILES if path.stem == "forget_not_while_start_unanswered")
+    path = next(path for path in FILES if path.stem == "no_forget_while_start_in_flight")
     with pytest.raises(InvariantViolationError, match=Invariant.FORGOTTEN_FOR_GOOD.value):
         play(path)
 
@@ -113,7 +113,7 @@
     """If the machine is not reconciled again, the invariant alone refuses the second start."""
     monkeypatch.setattr(Invariants, "raise_on_violation", False)
     mutations.settle_again(monkeypatch)
-    path = next(path for path in FILES if path.stem == "takeover_report_before_jobs")
+    path = next(path for path in FILES if path.stem == "takeover_heartbeat_before_jobs_read")
     with pytest.raises(ScenarioFailure, match=Invariant.STARTED_ALONE.value):
         play(path)
 
--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -49,7 +49,7 @@
                 await cluster.cause(Fault(0.0, "drain", 2.0, zone="a"))
             if state["done"] >= 20 and killed and not late:
                 late = True
-                await cluster.group.spawn(cluster.cause, Fault(0.0, "late", 1.5))
+                await cluster.task_scope.spawn(cluster.cause, Fault(0.0, "late", 1.5))
             if state["done"] >= 10 and not killed:
                 killed = True
                 cluster.crash(cluster.leader)
@@ -63,7 +63,7 @@
         assert len(cluster.exit_causes) == 50 and all(
             "done" in causes for causes in cluster.exit_causes.values()
         )
-        children = [child for child in cluster.children if child is not None]
+        children = [child for child in cluster.controller_processes if child is not None]
         folder = cluster.folder
     assert all(child.poll() is not None for child in children)
     assert not folder.exists()
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -20,7 +20,7 @@
     game.do_submit("req-000001", "shards=3", "shape=ensemble", "cores=1", "runs=50")
     world, scheduler = game.cluster, game.cluster.scheduler
     assert scheduler is not None
-    job_records.apply_changes(scheduler, world.store.core.news("", world.seen_revision))
+    job_records.apply_changes(scheduler, world.store.core.changes_after("", world.seen_revision))
     scheduler.run_pass(Instant(world.now))
     placements = scheduler.machines[MachineId("m1")].placements.values()
     assert len(placements) == 3 and not any(placement.sent for placement in placements)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -68,16 +68,16 @@
     return int(text) if text.lstrip("-").isdecimal() else number
 
 
-def _pairs(words: list[str]) -> dict[str, Any]:
+def parse_pairs(words: list[str]) -> dict[str, Any]:
     return {name: _value(value) for name, _, value in (word.partition("=") for word in words)}
 
 
 class ScenarioPlayer:
-    make: Callable[..., SimulatedCluster] = SimulatedCluster
+    cluster_factory: Callable[..., SimulatedCluster] = SimulatedCluster
 
     def __init__(self) -> None:
-        self.cluster = self.make()
-        self.last: Any = None
+        self.cluster = self.cluster_factory()
+        self.last_result: Any = None
         self.outcome_count = 0
         self.defaults: dict[str, Any] = {}
         self.sent_heartbeats: dict[str, deque[tuple[float, bytes]]] = {}
@@ -93,18 +93,18 @@
         pass
 
     def do_team(self, *words: str) -> None:
-        amounts = {name: float(value) for name, value in _pairs(list(words)).items()}
-        self.cluster = self.make(raw_settings(**amounts))
+        amounts = {name: float(value) for name, value in parse_pairs(list(words)).items()}
+        self.cluster = self.cluster_factory(raw_settings(**amounts))
 
     def do_silence(self, seconds: str) -> None:
         """Set the operators' `silence.seconds`; must come first in a scenario."""
-        self.cluster = self.make(None, OperatorSettings(silence_seconds=float(seconds)))
+        self.cluster = self.cluster_factory(None, OperatorSettings(silence_seconds=float(seconds)))
 
     def do_peer(self, label: str, zone: str) -> None:
         """Add another controller to the settings; must come first in a scenario."""
         raw = raw_settings()
         raw["peers"] = [{"label": label, "site": zone, "addr": "127.0.0.1:5"}]
-        self.cluster = self.make(raw)
+        self.cluster = self.cluster_factory(raw)
 
     def do_zone(self, name: str, what: str) -> None:
         self.cluster.cut_zone(name, what == "cut")
@@ -112,12 +112,12 @@
     def do_limits(self, *words: str) -> None:
         """Announce future limits of the state service (`state.next` in the settings)."""
         raw = raw_settings()
-        raw["cluster"]["state"]["next"] = _pairs(list(words))
-        self.cluster = self.make(raw)
+        raw["cluster"]["state"]["next"] = parse_pairs(list(words))
+        self.cluster = self.cluster_factory(raw)
 
     def do_lower(self, *words: str) -> None:
         """Lower limits of the state service from now on."""
-        for name, value in _pairs(list(words)).items():
+        for name, value in parse_pairs(list(words)).items():
             setattr(self.cluster.store.core, name, value)
 
     def do_stored(self, fixture: str) -> None:
@@ -171,10 +171,10 @@
 
     def do_read_blocks(self) -> None:
         self.cluster.watching = False
-        self.cluster.take_blocks()
+        self.cluster.load_blocks()
 
     def do_read_jobs(self) -> None:
-        self.cluster.take_jobs()
+        self.cluster.load_jobs()
         self.cluster.watching = True
 
     def do_aim(self, kind: str, job_class: str, within_s: str) -> None:
@@ -414,14 +414,14 @@
         try:
             validate(raw, OperatorSettings())
         except SettingsError as error:
-            self.last = str(error)
+            self.last_result = str(error)
         else:
-            self.last = "settings: taken: "
+            self.last_result = "settings: taken: "
 
     def see_refused(self) -> str:
         """The field that the error names, or `taken` if the settings are valid."""
-        assert "\n" not in self.last
-        return str(self.last).split(": ")[1]
+        assert "\n" not in self.last_result
+        return str(self.last_result).split(": ")[1]
 
     # ---- users -------------------------------------------------------------------------
 
@@ -449,7 +449,7 @@
             "due_s": None,
             "_runs": 10.0,
         }
-        given = _pairs(list(words))
+        given = parse_pairs(list(words))
         spec.update(
             {
                 k.replace("runs", "_runs").replace("mistaken", "_mistaken"): v
@@ -471,7 +471,7 @@
             self.do_submit(f"req-{number:06d}", *words)
 
     def do_submit(self, id: str, *words: str) -> None:
-        self.last = self.cluster.submit(self._spec(id, words))
+        self.last_result = self.cluster.submit(self._spec(id, words))
 
     def do_submit_chain(self, first: str, last: str, after: str) -> None:
         for number in range(int(first), int(last) + 1):
@@ -487,7 +487,7 @@
         self.cluster.cancel_after_reading(id, 0.0)
 
     def do_poll_elsewhere(self, id: str) -> None:
-        self.last = self.cluster.poll_elsewhere(id)
+        self.last_result = self.cluster.poll_elsewhere(id)
 
     def do_poll_elsewhere_at_once(self, id: str, times: str) -> None:
         """Poll concurrently at a controller that has just started, and count the successes."""
@@ -498,16 +498,16 @@
         self.cluster.cancel_elsewhere(id)
 
     def do_raw(self, text: str) -> None:
-        self.last = self.cluster.submit(bytes.fromhex(text))
+        self.last_result = self.cluster.submit(bytes.fromhex(text))
 
     def do_poll(self, id: str) -> None:
-        self.last = self.cluster.poll(id)
+        self.last_result = self.cluster.poll(id)
 
     def do_poll_across_cancel(self, id: str, seconds: str) -> None:
-        self.last = self.cluster.poll_across_cancel(id, float(seconds))
+        self.last_result = self.cluster.poll_across_cancel(id, float(seconds))
 
     def do_cancel(self, id: str) -> None:
-        self.last = self.cluster.cancel(id)
+        self.last_result = self.cluster.cancel(id)
 
     # ---- expectations ------------------------------------------------------------------
 
@@ -517,13 +517,13 @@
             raise ScenarioFailure(f"expect {what} {' '.join(words)}: found {found}")
 
     def see_status(self) -> int:
-        return self.last.status
+        return self.last_result.status
 
     def see_phase(self) -> str:
-        return str(msgspec.msgpack.decode(self.last.body)["phase"])
+        return str(msgspec.msgpack.decode(self.last_result.body)["phase"])
 
     def see_because(self) -> str:
-        return str(msgspec.msgpack.decode(self.last.body)["because"])
+        return str(msgspec.msgpack.decode(self.last_result.body)["because"])
 
     def see_live(self) -> int:
         """How many jobs have a live record."""
@@ -566,7 +566,7 @@
         return int(100 * took / leader_loop.pass_interval_s(took))
 
     def see_retry_after(self) -> bool:
-        return self.last.retry_after is not None
+        return self.last_result.retry_after is not None
 
     def see_running(self, id: str) -> int:
         return len(self.cluster.running(id))
@@ -636,7 +636,7 @@
     def cost_requests_of_waiting(self, id: str, count: str, first: str) -> int:
         before = self.cluster.store.requests
         self.do_submit_waiting_for_many(id, count, first)
-        assert self.last.status == 201
+        assert self.last_result.status == 201
         return self.cluster.store.requests - before
 
     def cost_starting(self, id: str, seconds: str) -> int:
@@ -721,12 +721,14 @@
     return None
 
 
-def guarded(files: list[Path]) -> list[Path]:
+def files_with_guard(files: list[Path]) -> list[Path]:
     """The files with a line `guard NAME`."""
     return [path for path in files if _guard(path)]
 
 
-def fails_unguarded(path: Path, patch: pytest.MonkeyPatch, play: Callable[[Path], None]) -> None:
+def assert_fails_without_guard(
+    path: Path, patch: pytest.MonkeyPatch, play: Callable[[Path], None]
+) -> None:
     """Check that the scenario fails with the mutation that its guard line names."""
     name = _guard(path)
     assert name is not None
@@ -740,6 +742,6 @@
     play(path)
 
 
-@pytest.mark.parametrize("path", guarded(FILES), ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", files_with_guard(FILES), ids=lambda path: path.stem)
 def test_fails_without_its_guard(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    fails_unguarded(path, monkeypatch, play)
+    assert_fails_without_guard(path, monkeypatch, play)
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -114,10 +114,10 @@
     player.do_run("3")
     scheduler = player.cluster.scheduler
     assert scheduler is not None
-    writes, jobs_examined = player.cluster.store.written, scheduler.jobs_examined
+    writes, jobs_examined = player.cluster.store.write_count, scheduler.jobs_examined
     player.do_run("20")
     assert sum(player.cluster.starts.values()) >= 60
-    return player.cluster.store.written - writes, scheduler.jobs_examined - jobs_examined
+    return player.cluster.store.write_count - writes, scheduler.jobs_examined - jobs_examined
 
 
 def test_a_start_and_an_end_cost_the_same_in_a_job_of_any_size() -> None:
@@ -148,7 +148,9 @@
     player.do_machine("m2", "small", "a")
     player.do_run("2")
     new_worker = cluster.workers["m2"]
-    assert new_worker.direct(command.fencing_token, command.incarnation, command.commands)
+    assert new_worker.handle_direct_commands(
+        command.fencing_token, command.incarnation, command.commands
+    )
     scheduler.command_completed(command, new_worker.report(), False, Instant(cluster.now))
     player.do_run("15")
     assert not cluster.broken
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -36,7 +36,7 @@
     TaskEnded,
     TaskStarted,
 )
-from umberward.soak.runner import Run
+from umberward.soak.runner import SoakRun
 
 CANCEL_S = 11.0
 JOB, TASK = "req-000001", "req-000001/0"
@@ -57,14 +57,14 @@
         checker.check_waiting_jobs(events[-1].at)
         checker.check_waiting_jobs(until)
     checker.check_deadlines(until)
-    return sorted({broken.rule for broken in checker.broken})
+    return sorted({broken.rule for broken in checker.violations})
 
 
 def machine_up(host: str, zone: str = "a", spot: bool = False) -> MachineUp:
     return MachineUp(0.0, host, "small", zone, spot, 4.0)
 
 
-def job(
+def submitted(
     shards: int = 1,
     owner: str = "blue",
     shape: str = "batch",
@@ -80,7 +80,7 @@
     )
 
 
-def starts(
+def task_started(
     at: float, host: str = "m1", attempt: int = 1, task: str = TASK, sent_at: float | None = None
 ) -> TaskStarted:
     return TaskStarted(at, host, 1, task, attempt, at if sent_at is None else sent_at)
@@ -97,32 +97,41 @@
     return Answered(at, kind, JOB, "keeper-0", asked, status, phase)
 
 
-ACCEPTED = (job(), answer(1.2, "pending", "submit", 201))
+ACCEPTED = (submitted(), answer(1.2, "pending", "submit", 201))
 CANCELLED = (*ACCEPTED, CancelAsked(2.0, JOB), answer(2.1, "cancelled", "cancel"))
 
 ALLOWED_HISTORIES: dict[str, tuple[Event, ...]] = {
     "a plain job": (
         *ACCEPTED,
-        starts(2.0),
+        task_started(2.0),
         task_ended(3.0),
         answer(4.0, "done"),
         answer(5.0, "done"),
     ),
     "again after its end": (
         *ACCEPTED,
-        starts(2.0),
+        task_started(2.0),
         task_ended(3.0, cause="stopped"),
-        starts(4.0, "m2", 2),
+        task_started(4.0, "m2", 2),
+    ),
+    "again after a session": (
+        *ACCEPTED,
+        task_started(2.0),
+        SessionOver(3.0, "m1"),
+        task_started(4.0, "m2", 2),
+    ),
+    "late, in flight": (
+        *CANCELLED,
+        task_started(3.0, sent_at=2.0),
+        task_ended(4.0, cause="stopped"),
     ),
-    "again after a session": (*ACCEPTED, starts(2.0), SessionOver(3.0, "m1"), starts(4.0, "m2", 2)),
-    "late, in flight": (*CANCELLED, starts(3.0, sent_at=2.0), task_ended(4.0, cause="stopped")),
     "older answer to an older question": (*CANCELLED, answer(2.2, "pending", asked_at=1.5)),
     "a question without an answer": (*ACCEPTED, answer(2.0, "", status=0)),
-    "refused": (job(why_unfit="cores"), answer(1.2, "", "submit", 422)),
+    "refused": (submitted(why_unfit="cores"), answer(1.2, "", "submit", 422)),
     "a gang that is done by one": (
-        job(2, shape="ensemble"),
+        submitted(2, shape="ensemble"),
         answer(1.2, "pending", "submit", 201),
-        starts(2.0),
+        task_started(2.0),
         task_ended(3.0),
         answer(4.0, "done"),
     ),
@@ -130,16 +139,16 @@
 }
 
 VIOLATING_HISTORIES: dict[str, tuple[str, tuple[Event, ...]]] = {
-    "two at once": ("ran_twice", (*ACCEPTED, starts(2.0), starts(3.0, "m2", 2))),
+    "two at once": ("ran_twice", (*ACCEPTED, task_started(2.0), task_started(3.0, "m2", 2))),
     "the same attempt anew": (
         "restarted",
-        (*ACCEPTED, starts(2.0), task_ended(3.0, cause="stopped"), starts(4.0)),
+        (*ACCEPTED, task_started(2.0), task_ended(3.0, cause="stopped"), task_started(4.0)),
     ),
     "sent after a cancellation": (
         "ran_cancelled",
         (
             *CANCELLED,
-            starts(2.2 + MAX_START_AFTER_CANCEL_S),
+            task_started(2.2 + MAX_START_AFTER_CANCEL_S),
             task_ended(2.3 + MAX_START_AFTER_CANCEL_S),
         ),
     ),
@@ -147,7 +156,7 @@
         "ran_cancelled",
         (
             *ACCEPTED,
-            starts(1.5),
+            task_started(1.5),
             *CANCELLED[2:],
             answer(2.2 + CANCEL_S + 1.0, "", status=0),
         ),
@@ -156,7 +165,7 @@
         "ran_cancelled",
         (
             *ACCEPTED,
-            starts(1.5),
+            task_started(1.5),
             MachineStill(1.6, "m1", True),
             *CANCELLED[2:],
             MachineStill(20.0, "m1", False),
@@ -169,7 +178,7 @@
         "went_back",
         (
             *ACCEPTED,
-            starts(2.0),
+            task_started(2.0),
             task_ended(3.0),
             answer(4.0, "done"),
             CancelAsked(4.1, JOB),
@@ -180,24 +189,24 @@
     "cancelled by nobody": ("went_back", (*ACCEPTED, answer(2.0, "cancelled"))),
     "done too soon": ("not_done", (*ACCEPTED, answer(2.0, "done"))),
     "invented": ("invented", (answer(2.0, "pending"),)),
-    "runs and was refused": ("invented", (job(why_unfit="cores"), starts(2.0))),
+    "runs and was refused": ("invented", (submitted(why_unfit="cores"), task_started(2.0))),
     "accepted though unfit": (
         "accepted",
-        (job(why_unfit="cores"), answer(1.2, "pending", "submit", 201)),
+        (submitted(why_unfit="cores"), answer(1.2, "pending", "submit", 201)),
     ),
     "over its limit": (
         "quota",
-        (job(2, "red", cores=3.0), starts(2.0), starts(2.1, "m2", 1, f"{JOB}/1")),
+        (submitted(2, "red", cores=3.0), task_started(2.0), task_started(2.1, "m2", 1, f"{JOB}/1")),
     ),
-    "other zone": ("wrong_place", (job(yard="b"), starts(2.0))),
-    "on a spot machine": ("wrong_place", (job(reclaimable=False), starts(2.0, "m3"))),
+    "other zone": ("wrong_place", (submitted(yard="b"), task_started(2.0))),
+    "on a spot machine": ("wrong_place", (submitted(reclaimable=False), task_started(2.0, "m3"))),
     "not together": (
         "wrong_place",
-        (job(2, same_place=True), starts(2.0), starts(2.1, "m3", 1, f"{JOB}/1")),
+        (submitted(2, same_place=True), task_started(2.0), task_started(2.1, "m3", 1, f"{JOB}/1")),
     ),
     "not apart": (
         "wrong_place",
-        (job(2, apart=True), starts(2.0), starts(2.1, "m2", 1, f"{JOB}/1")),
+        (submitted(2, apart=True), task_started(2.0), task_started(2.1, "m2", 1, f"{JOB}/1")),
     ),
     "ended by itself": ("ended_by_itself", (ProcessEnded(1.0, "keeper-0", 1, False),)),
 }
@@ -217,16 +226,16 @@
 def test_job_waiting_beside_free_machine_is_detected() -> None:
     until = ACCEPTED[-1].at + STARVATION_LIMIT_S + 1.0
     assert broken_rules(*ACCEPTED, until=until, faults_over=True) == ["left_waiting"]
-    assert broken_rules(*ACCEPTED, starts(2.0), until=until, faults_over=True) == []
+    assert broken_rules(*ACCEPTED, task_started(2.0), until=until, faults_over=True) == []
     all_deleted = [MachineGone(1.5, host) for host in ("m1", "m2", "m3")]
     assert broken_rules(*ACCEPTED, *all_deleted, until=50.0, faults_over=True) == []
 
 
 def test_same_seed_draws_same_faults() -> None:
-    size = plan.size("small")
-    drawn = [plan.draw(seed, size, plan.kinds([])) for seed in (1, 1, 2)]
+    size = plan.size_by_name("small")
+    drawn = [plan.draw_plan(seed, size, plan.fault_kinds_by_name([])) for seed in (1, 1, 2)]
     assert drawn[0] == drawn[1] != drawn[2]
-    plans = [plan.draw(seed, size, list(plan.FaultKind)) for seed in range(200)]
+    plans = [plan.draw_plan(seed, size, list(plan.FaultKind)) for seed in range(200)]
     drawn_kinds = {fault.kind for drawn_plan in plans for fault in drawn_plan.faults}
     assert drawn_kinds == set(plan.FaultKind)
 
@@ -291,7 +300,7 @@
         finally:
             await curio.sleep(2.0 * plan.WORKER_TIMES.report_s)
 
-    async def run_one_worker(run: Run, cluster: SoakCluster) -> None:
+    async def run_one_worker(run: SoakRun, cluster: SoakCluster) -> None:
         if hold_link:
             cluster.links.faults["all"] = LinkFault("*", "*", HELD)
         else:
@@ -304,9 +313,9 @@
         await curio.sleep(0.01)
 
     monkeypatch.setattr(SoakCluster, "_start", start_nothing)
-    monkeypatch.setattr(Run, "_run_plan", run_one_worker)
+    monkeypatch.setattr(SoakRun, "_run_plan", run_one_worker)
     with contextlib.ExitStack() as silent_servers:
-        result = event_loop.run(Run(plan.draw(1, plan.size("short"), [])).play)
+        result = event_loop.run(SoakRun(plan.draw_plan(1, plan.size_by_name("short"), [])).execute)
     assert not result.broken
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -22,13 +22,13 @@
         self.sockets = SocketBudget(SHARED_SOCKETS, MAX_CLIENT_SOCKETS)
         self.client = Client(self.sockets)
         self.server = Server(SERVER_ADDRESS, self.serve, self.sockets, self.client)
-        self.most = 0
+        self.max_used_sockets = 0
 
     async def serve(self, request: Request) -> Response:
         if request.path == "/hello":
             assert request.connection is not None
             await self.server.set_client_name(request.connection, request.query)
-        self.most = max(self.most, SHARED_SOCKETS - self.sockets.available)
+        self.max_used_sockets = max(self.max_used_sockets, SHARED_SOCKETS - self.sockets.available)
         return Response(200)
 
     async def count_answered_reports(self) -> int:
@@ -86,7 +86,7 @@
     simulation = TakeoverSimulation()
     assert curio.run(simulation.count_answered_reports) == 2 * MACHINE_COUNT
     assert simulation.server.refused_connections == 0
-    assert simulation.most <= SHARED_SOCKETS
+    assert simulation.max_used_sockets <= SHARED_SOCKETS
 
 
 def test_without_eviction_machines_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_stored_bytes.py
+++ b/tests/test_stored_bytes.py
@@ -38,9 +38,9 @@
     "flavors": wire.MachineTypeList,
     "graph live": records.GraphRecord,
     "graph past": records.EndRecord,
-    "graph run": records.RunRecord,
-    "graph page": records.PageRecord,
-    "graph open": records.OpenRecord,
+    "graph run": records.ArrayProgressRecord,
+    "graph page": records.FailurePageRecord,
+    "graph open": records.OpeningRecord,
     "graph part": records.PartRecord,
     "report": wire.Heartbeat,
     "order": wire.TaskCommand,
@@ -87,7 +87,7 @@
 
 def test_stored_graph_tasks_round_trip() -> None:
     body = ENCODED[GRAPH_TASKS]
-    assert records.pack(records.unpack(body)) == body
+    assert records.encode_tasks(records.decode_tasks(body)) == body
 
 
 @pytest.mark.parametrize("decode", [wire.decode_heartbeat, wire.decode_heartbeat_header])
--- a/tests/traffic_recorder.py
+++ b/tests/traffic_recorder.py
@@ -1,9 +1,9 @@
 """Digests of the messages on the wire and the writes to the state service during a scenario.
 
-The simulated services (`simulated_cluster.py`, `network.py`) call `note` with every message. A
-digest covers all messages of a run in their order, so two versions of the code with equal digests
-have sent the same to users, workers, the cloud, the state service and each other. Nothing here may
-depend on the names of classes, fields or modules of the code.
+The simulated services (`simulated_cluster.py`, `network.py`) call `record_message` with every
+message. A digest covers all messages of a run in their order, so two versions of the code with
+equal digests have sent the same to users, workers, the cloud, the state service and each other.
+Nothing here may depend on the names of classes, fields or modules of the code.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 _recorder: Recorder | None = None
 
 
-def note(*parts: Any) -> None:
+def record_message(*parts: Any) -> None:
     """Add a message, if a run is being recorded.
 
     Parts that are not bytes are encoded as on the wire, so they must be encodable there.
--- a/tests/traffic_runs.py
+++ b/tests/traffic_runs.py
@@ -49,8 +49,8 @@
     "cost_of_sockets": REAL_SOCKETS,
     "large_array": "it takes 7 s; nearly all others contain smaller arrays",
     "lower_rate": NO_MESSAGES,
+    "paused_before_sending": REAL_SOCKETS,
     "readme_pipeline": REAL_SOCKETS,
-    "stood_still_before_sending": REAL_SOCKETS,
 }
 
 
--- a/tools/measure_graphs.py
+++ b/tools/measure_graphs.py
@@ -83,7 +83,7 @@
         if way == "graph":
             response = await example.send_graph(cluster, "graph-1", file)
             assert response.status == HTTPStatus.CREATED, response
-            task_ids = [job_id(GraphId("graph-1"), kind) + f"/{n}" for kind, n in shape.place]
+            task_ids = [job_id(GraphId("graph-1"), kind) + f"/{n}" for kind, n in shape.array_slots]
         else:
             task_ids = await _submit_as_jobs(cluster, file, shape)
         while not all(task_id in cluster.done_at for task_id in task_ids):
@@ -127,11 +127,11 @@
 def _read_counters(cluster: LocalCluster) -> tuple[float, float, float]:
     """Writes to the state service, their bytes, and processor seconds of the controllers."""
     cpu = 0.0
-    for child in cluster.children:
+    for child in cluster.controller_processes:
         if child is not None:
             times = psutil.Process(child.pid).cpu_times()
             cpu += times.user + times.system
-    return cluster.state.core.written, cluster.state.core.written_bytes, cpu
+    return cluster.state.core.write_count, cluster.state.core.written_bytes, cpu
 
 
 @click.command()
--- a/umberward/cli/graph.py
+++ b/umberward/cli/graph.py
@@ -92,13 +92,13 @@
 def submit(server: Address, id_option: str | None, wait: bool, file: Path) -> None:  # noqa: FBT001 - click passes it by name
     """Submit the graph in FILE, in as many parts as needed."""
     from umberward.graphs import files
-    from umberward.graphs.model import GRAPH_PREFIX, parse_graph_id
+    from umberward.graphs.model import GRAPH_ID_PREFIX, parse_graph_id
 
     loaded = _load(file)
-    graph_id = parse_graph_id(id_option or f"{GRAPH_PREFIX}{time.time_ns() // 1_000_000}")
+    graph_id = parse_graph_id(id_option or f"{GRAPH_ID_PREFIX}{time.time_ns() // 1_000_000}")
     if graph_id is None:
         raise click.BadParameter("expected graph-N", param_hint="--id")  # noqa: TRY003 - click prints this text
-    for part in files.parts(graph_id, loaded):
+    for part in files.split_graph(graph_id, loaded):
         response = ask(server, "POST", GRAPHS_PATH, wire.encode(part))
         if response.status not in ACCEPTED_STATUSES:
             break
--- a/umberward/cli/soak.py
+++ b/umberward/cli/soak.py
@@ -70,9 +70,9 @@
     from umberward.soak import plan
 
     try:
-        plan.size(size)
-        plan.kinds(list(faults))
-    except plan.PlanError as error:
+        plan.size_by_name(size)
+        plan.fault_kinds_by_name(list(faults))
+    except plan.InvalidOptionError as error:
         click.echo(f"soak: {error}", err=True)
         sys.exit(EXIT_BAD_INPUT)
     # Raises SystemExit on SIGTERM, so that the soak stops its child processes.
@@ -86,12 +86,14 @@
     """Run one seed in this process and print the result. Returns the exit status."""
     from umberward.core import event_loop, log
     from umberward.soak import plan
-    from umberward.soak.runner import Run
+    from umberward.soak.runner import SoakRun
 
     log.configure("error", "lines")
-    run = Run(plan.draw(seed, plan.size(size), plan.kinds(list(faults))))
+    run = SoakRun(
+        plan.draw_plan(seed, plan.size_by_name(size), plan.fault_kinds_by_name(list(faults)))
+    )
     try:
-        result = event_loop.run(run.play)
+        result = event_loop.run(run.execute)
     except (RuntimeError, OSError) as error:
         click.echo(f"soak: seed {seed}: the soak failed: {error}", err=True)
         return EXIT_HARNESS_FAILED
--- a/umberward/client/session.py
+++ b/umberward/client/session.py
@@ -17,7 +17,7 @@
 from umberward.graphs import files
 from umberward.graphs.model import (
     DEFAULT_MEMORY,
-    GRAPH_PREFIX,
+    GRAPH_ID_PREFIX,
     File,
     GraphId,
     Options,
@@ -78,9 +78,9 @@
 
 
 class Session:
-    def __init__(self, servers: list[Address], at: Address, options: Options) -> None:
+    def __init__(self, servers: list[Address], store_address: Address, options: Options) -> None:
         self.servers = servers
-        self.store = at
+        self.store = store_address
         self.options = options
         self.pending: list[Ref] = []
         self.sent: dict[GraphId, dict[str, Ref]] = {}
@@ -122,16 +122,16 @@
         if problems:
             raise ClientError("; ".join(problem.text for problem in problems))
         self.number += 1
-        id = GraphId(f"{GRAPH_PREFIX}{self.number}")
+        id = GraphId(f"{GRAPH_ID_PREFIX}{self.number}")
         shape = Shape(tasks)
         task_ids = {
             shape.names[position]: f"{job_id(id, kind)}/{number}"
-            for position, (kind, number) in enumerate(shape.place)
+            for position, (kind, number) in enumerate(shape.array_slots)
         }
         for ref in refs:
             ref.graph, ref.task_id = id, task_ids[ref.name]
         curio.run(self._upload, refs)
-        for part in files.parts(id, File(self.options, tasks)):
+        for part in files.split_graph(id, File(self.options, tasks)):
             response = self._send_request("POST", GRAPHS_PATH, wire.encode(part))
             if response.status not in (200, 201, 202):
                 raise ClientError(f"{id}: {_describe_response(response)}")
@@ -156,7 +156,7 @@
             inputs = {need.name: need.task_id for need in ref.needs}
             data = cloudpickle.dumps((ref.call_data, inputs))
             try:
-                await store.put(client, self.store, ref.task_id + store.CALL, data)
+                await store.put(client, self.store, ref.task_id + store.CALL_SUFFIX, data)
             except store.StoreError as error:
                 raise ClientError(str(error)) from None
 
@@ -196,7 +196,7 @@
             raise NotRun(f"{ref.name}: {ref.because} has failed")
         if ref.phase == "cancelled":
             raise Cancelled(ref.name)
-        suffix = store.RESULT if ref.phase == "done" else store.ERROR
+        suffix = store.RESULT_SUFFIX if ref.phase == "done" else store.ERROR_SUFFIX
 
         async def fetch() -> bytes | None:
             return await store.get(Client(MAX_CONNECTIONS), self.store, ref.task_id + suffix)
--- a/umberward/client/store.py
+++ b/umberward/client/store.py
@@ -30,7 +30,7 @@
 MAX_ATTEMPTS = 5
 
 # Suffixes of a task's names in the store.
-CALL, RESULT, ERROR = "/call", "/result", "/error"
+CALL_SUFFIX, RESULT_SUFFIX, ERROR_SUFFIX = "/call", "/result", "/error"
 
 
 class StoreError(Exception):
@@ -49,7 +49,7 @@
         self.values: dict[str, dict[int, _Piece]] = {}
         self.server = Server(address, self.serve, MAX_CONNECTIONS)
 
-    def whole(self, name: str) -> bool:
+    def is_complete(self, name: str) -> bool:
         pieces = self.values.get(name)
         return pieces is not None and len(pieces) == next(iter(pieces.values())).of
 
@@ -63,7 +63,7 @@
         if request.method == "POST":
             return self._put(name, int(number), request.body)
         if request.method == "GET":
-            if not self.whole(name) or int(number) not in self.values[name]:
+            if not self.is_complete(name) or int(number) not in self.values[name]:
                 return Response(404)
             return Response(200, wire.encode(self.values[name][int(number)]))
         return Response(405)
--- a/umberward/control/job_admission.py
+++ b/umberward/control/job_admission.py
@@ -18,7 +18,7 @@
     WallTime,
     parse_job_id,
 )
-from umberward.graphs.model import graph_of
+from umberward.graphs.model import parse_graph_job_id
 from umberward.protocol import wire
 from umberward.protocol.wire import FinalJobRecord, JobRecord, JobSpec, MachineType
 from umberward.scheduling.quota import Quota
@@ -133,7 +133,7 @@
         if job_id is None:
             reason = "uid: not a job id"
             raise InvalidSubmissionError(reason)
-        if self.graphs_enabled and graph_of(job_id) is not None:
+        if self.graphs_enabled and parse_graph_job_id(job_id) is not None:
             reason = "uid: such ids are those of task graphs"
             raise InvalidSubmissionError(reason)
         return self._build_submission(job_id, spec)
--- a/umberward/control/job_state_cache.py
+++ b/umberward/control/job_state_cache.py
@@ -96,7 +96,7 @@
         self.mailbox: curio.Queue = curio.Queue()
         self.urgent_request = curio.Event()
 
-    # ---- questions ---------------------------------------------------------------------
+    # ---- requests ----------------------------------------------------------------------
 
     async def state(self, job_id: JobId, *, urgent: bool = False) -> JobState | None:
         """The job's state at the time of the call or later; None if no controller accepted it.
@@ -149,11 +149,11 @@
 
     async def _request_refresh(self, *, urgent: bool) -> None:
         """Wait for a refresh that is sent after this call. Raises its error if it fails."""
-        question = PendingRequest(RefreshRequested())
-        await self.mailbox.put(question)
+        request = PendingRequest(RefreshRequested())
+        await self.mailbox.put(request)
         if urgent:
             await self.urgent_request.set()
-        failure: Exception | None = await question.wait()
+        failure: Exception | None = await request.wait()
         if failure is not None:
             raise failure
 
@@ -225,23 +225,23 @@
     async def run(self) -> None:
         """Refresh the cache on demand, or after IDLE_REFRESH_S without requests, in a loop."""
         while True:
-            questions = await self._receive_questions()
+            requests = await self._receive_requests()
             failure = await self._try_refresh()
-            for question in questions:
-                await question.reply(failure)
+            for request in requests:
+                await request.reply(failure)
             await curio.sleep(self.refresh_pause_s)
             await curio.ignore_after(BATCH_WINDOW_S, self.urgent_request.wait)
 
-    async def _receive_questions(self) -> list[PendingRequest]:
-        """Wait up to IDLE_REFRESH_S for a question and return all that have arrived."""
-        questions: list[PendingRequest] = []
+    async def _receive_requests(self) -> list[PendingRequest]:
+        """Wait up to IDLE_REFRESH_S for a request and return all that have arrived."""
+        requests: list[PendingRequest] = []
         first = await curio.ignore_after(IDLE_REFRESH_S, self.mailbox.get)
         if first is not None:
-            questions.append(first)
+            requests.append(first)
         self.urgent_request.clear()
         while not self.mailbox.empty():
-            questions.append(await self.mailbox.get())
-        return questions
+            requests.append(await self.mailbox.get())
+        return requests
 
     async def _try_refresh(self) -> state_client.StateUnavailableError | None:
         """Refresh the cache; return None, or the error to report to the waiting requests."""
--- a/umberward/core/actor.py
+++ b/umberward/core/actor.py
@@ -79,9 +79,9 @@
             # This saves two task switches, which cost more than the handling of a heartbeat. Nearly
             # all heartbeats of a large fleet take this path.
             return await self._handle_or_log(request)  # type: ignore[no-any-return]
-        question = PendingRequest(request)
-        await self.mailbox.put(question)
-        return await question.wait()  # type: ignore[no-any-return]
+        pending_request = PendingRequest(request)
+        await self.mailbox.put(pending_request)
+        return await pending_request.wait()  # type: ignore[no-any-return]
 
     async def run(self) -> None:
         """Handle messages until cancelled, then respond to all queued requests with None."""
--- a/umberward/graphs/files.py
+++ b/umberward/graphs/files.py
@@ -67,7 +67,7 @@
     return file
 
 
-def parts(graph_id: GraphId, file: File) -> list[Part]:
+def split_graph(graph_id: GraphId, file: File) -> list[Part]:
     """Split a graph into parts that each fit into one request."""
     groups: list[list[Task]] = [[]]
     group_bytes = 0
--- a/umberward/graphs/graph_api.py
+++ b/umberward/graphs/graph_api.py
@@ -16,7 +16,7 @@
 from umberward.graphs.graph_reader import GraphReader, StoredGraph
 from umberward.graphs.graph_submission import MAX_ATTEMPTS, RETRY_AFTER_S, GraphSubmission
 from umberward.graphs.model import GraphId, parse_graph_id
-from umberward.graphs.records import EndRecord, GraphRecord, OpenRecord
+from umberward.graphs.records import EndRecord, GraphRecord, OpeningRecord
 from umberward.graphs.task_answers import Phase, TaskAnswers
 from umberward.protocol import transactions, wire
 from umberward.protocol.http import Response
@@ -127,7 +127,7 @@
         listed: list[dict[str, Any]] = []
         size_bytes = 0
         for position in range(start, len(shape)):
-            kind, index = shape.place[position]
+            kind, index = shape.array_slots[position]
             task = f"{model.job_id(graph_id, kind)}/{index}"
             entry = {"name": shape.names[position], "task": task} | answers.answer(position)
             size_bytes += len(wire.encode(entry))
@@ -172,7 +172,7 @@
         entry = await self._store.get(records.open_key(graph_id))
         if entry is None:
             return False
-        opening = wire.convert(entry.data, OpenRecord)
+        opening = wire.convert(entry.data, OpeningRecord)
         record = GraphRecord(opening.options, opening.at, 0, [], entry.version)
         end = EndRecord(records.CANCELLED, record, round(self._wall(), 3))
         conditions = [(records.open_key(graph_id), entry.version)]
--- a/umberward/graphs/graph_controller.py
+++ b/umberward/graphs/graph_controller.py
@@ -18,7 +18,7 @@
 from umberward.core.types import Key, Revision, Version
 from umberward.graphs.graph_state import GraphEnd, GraphState
 from umberward.graphs.model import GraphId
-from umberward.graphs.records import LIVE, GraphRecord, IncompleteGraphError
+from umberward.graphs.records import LIVE_PREFIX, GraphRecord, IncompleteGraphError
 from umberward.graphs.store import (
     abandon_old_submissions,
     delete_abandoned_parts,
@@ -105,7 +105,7 @@
         stop the tasks of a graph that the leader does not know.
         """
         self.watched_revision = None
-        entries, revision = await self.store.list_all(LIVE)
+        entries, revision = await self.store.list_all(LIVE_PREFIX)
         listed = set()
         for entry in entries:
             listed.add(_graph_id(entry.key))
@@ -141,7 +141,9 @@
         if self.watched_revision is None:
             await self.load()
             return
-        changes, revision = await self.store.watch(LIVE, self.watched_revision, WATCH_TIMEOUT_S)
+        changes, revision = await self.store.watch(
+            LIVE_PREFIX, self.watched_revision, WATCH_TIMEOUT_S
+        )
         for change in changes:
             if change.deleted_key is not None:
                 await self._send_removal(_graph_id(change.deleted_key))
@@ -173,7 +175,7 @@
         self.known_graphs.add(graph_id)
         await self.send_message(GraphPut((graph_id, record, Version(version), tasks, progress)))
 
-    async def finish(self) -> None:
+    async def store_ended_graphs(self) -> None:
         """Store the end of every finished graph; runs until cancelled."""
         while True:
             await curio.sleep(END_CHECK_INTERVAL_S)
@@ -194,7 +196,7 @@
         log.info("graph_ended", graph=end.id)
         await self._send_removal(end.id)
 
-    async def clean(self) -> None:
+    async def delete_abandoned_submissions(self) -> None:
         """Delete submissions that never became a graph; runs until cancelled."""
         while True:
             await curio.sleep(SUBMISSION_CLEANUP_INTERVAL_S)
@@ -209,4 +211,4 @@
 
 def _graph_id(live_key: str) -> GraphId:
     """Return the graph id in a key below `graphs/live/`."""
-    return GraphId(live_key[len(LIVE) :])
+    return GraphId(live_key[len(LIVE_PREFIX) :])
--- a/umberward/graphs/graph_job.py
+++ b/umberward/graphs/graph_job.py
@@ -17,7 +17,7 @@
 from umberward.graphs import records
 from umberward.graphs.failure_pages import limit_machine_names, paginate
 from umberward.graphs.model import GraphId, Options, Shape
-from umberward.graphs.records import Failure, GraphRecord, PageRecord, RunRecord
+from umberward.graphs.records import ArrayProgressRecord, Failure, FailurePageRecord, GraphRecord
 from umberward.protocol import transactions, wire
 from umberward.protocol.wire import JobRecord
 from umberward.scheduling.failure_attribution import (
@@ -51,16 +51,16 @@
     def is_ready(self, kind: int, index: int) -> bool:
         """Whether all tasks that this one needs are done."""
 
-    def was_started(self, kind: int, index: int) -> None:
+    def infer_needs_done(self, kind: int, index: int) -> None:
         """Infer from a started task that all tasks that it needs are done."""
 
     def task_done(self, kind: int, index: int) -> None:
         """Queue the tasks that needed only this task."""
 
-    def task_failed(self, job: DagJob, index: int) -> None:
+    def task_failed(self, job: GraphJob, index: int) -> None:
         """Mark the tasks that need this permanently failed task as never to run."""
 
-    def retry_task(self, job: DagJob, index: int) -> None:
+    def retry_task(self, job: GraphJob, index: int) -> None:
         """Queue the task for another attempt."""
 
 
@@ -94,7 +94,7 @@
         return machine is not None and machine.succeeded_at > self.at
 
 
-class DagJob(Job):
+class GraphJob(Job):
     """The array job for the tasks of one kind of a graph."""
 
     attributes_failures_per_task = True
@@ -103,7 +103,7 @@
         self,
         graph: TaskGraph,
         kind: int,
-        run: RunRecord,
+        run: ArrayProgressRecord,
         version: Version,
         failures: list[Failure],
         max_value_bytes: int,
@@ -175,7 +175,7 @@
     def locate_task(self, index: int) -> None:
         """Record the location of a task that a former leader started."""
         super().locate_task(index)
-        self.graph.was_started(self.kind, index)
+        self.graph.infer_needs_done(self.kind, index)
 
     # ---- finished tasks ------------------------------------------------------------------
 
@@ -184,7 +184,7 @@
         if index >= self.size or self.is_done(index):
             return False
         # It was started, so all tasks that it needs are done, even if that was not stored.
-        self.graph.was_started(self.kind, index)
+        self.graph.infer_needs_done(self.kind, index)
         self.mark_finished(index)
         self.graph.task_done(self.kind, index)
         return True
@@ -203,7 +203,7 @@
         if self.is_done(index):
             return
         self.failed_attempts.setdefault(index, []).append(FailedAttempt(machine, now))
-        if self._used(index) > self.max_retries:
+        if self._counted_failures(index) > self.max_retries:
             self.undecided_tasks.add(index)
             self.retries.pop(index, None)
             self.remove_requeued(index)
@@ -225,7 +225,7 @@
         """
         self._excuse_failures(machines)
         for index in sorted(self.undecided_tasks):
-            if self._used(index) <= self.max_retries:
+            if self._counted_failures(index) <= self.max_retries:
                 # A machine was at fault, which uses up no retry.
                 self._retry(index)
             elif not self._grant_attempt(index, machines) and self._is_settled(
@@ -246,7 +246,7 @@
         """Return the machines of the task's failed attempts, in order, with repetitions."""
         return [attempt.machine for attempt in self.failed_attempts.get(index, ())]
 
-    def _used(self, index: int) -> int:
+    def _counted_failures(self, index: int) -> int:
         """Return how many of the task's failures count against its retries."""
         return sum(1 for attempt in self.failed_attempts[index] if attempt.counts())
 
@@ -309,7 +309,7 @@
         """Whether all tasks are finished and that is not stored yet."""
         return self.complete and self.progress_unstored
 
-    def build_record(self, marked: int) -> RunRecord | None:
+    def build_record(self, marked: int) -> ArrayProgressRecord | None:
         """Return the record to store, with tasks below `marked` as placed.
 
         Returns None if the done bitmap is too wide.
@@ -317,11 +317,11 @@
         bits = self.encode_done_bitmap()
         if bits is None:
             return None
-        return RunRecord(marked, self.done_below, bits, len(self.failure_pages))
+        return ArrayProgressRecord(marked, self.done_below, bits, len(self.failure_pages))
 
-    def parse_record(self, data: object) -> RunRecord:
+    def parse_record(self, data: object) -> ArrayProgressRecord:
         """Parse a stored record of this array; raise MalformedMessageError for other data."""
-        return wire.convert(data, RunRecord)
+        return wire.convert(data, ArrayProgressRecord)
 
     def companion_writes(self) -> list[dict[str, Any]]:
         """Return the write of the last failure page if it contains unstored failures."""
@@ -329,9 +329,9 @@
         if self.stored_failure_count == len(self.failures):
             return []
         key = records.page_key(self.graph.id, self.kind, len(self.failure_pages) - 1)
-        return [transactions.put(key, PageRecord(self.failure_pages[-1]))]
+        return [transactions.put(key, FailurePageRecord(self.failure_pages[-1]))]
 
-    def record_stored(self, record: RunRecord, stamp: Version, now: float) -> None:
+    def record_stored(self, record: ArrayProgressRecord, stamp: Version, now: float) -> None:
         """Record that `record` and the failures sent with it were committed as version `stamp`."""
         super().record_stored(record, stamp, now)
         self.stored_failure_count = self.sent_failure_count
--- a/umberward/graphs/graph_submission.py
+++ b/umberward/graphs/graph_submission.py
@@ -29,7 +29,7 @@
     EndRecord,
     GraphRecord,
     IncompleteGraphError,
-    OpenRecord,
+    OpeningRecord,
     PartRecord,
 )
 from umberward.graphs.store import abandon_submission, delete_parts, read_parts
@@ -122,7 +122,7 @@
             raise GraphRejectedError(
                 400, f"uid: expected graph-N with at most {model.GRAPH_DIGITS} digits"
             )
-        data = records.pack(part.tasks)
+        data = records.encode_tasks(part.tasks)
         digest = records.digest(data, part.options, part.part, part.parts)
         return _Submission(graph_id, part, data, digest)
 
@@ -243,13 +243,13 @@
         key = records.open_key(graph_id)
         entry = await self._store.get(key)
         if entry is None:
-            record = OpenRecord(round(self._wall(), 3), part.parts, part.options)
+            record = OpeningRecord(round(self._wall(), 3), part.parts, part.options)
             conditions = [(key, NO_SUCH_KEY), *_not_accepted_conditions(graph_id)]
             await self._commit(conditions, [transactions.put(key, record)])
             entry = await self._store.get(key)
             if entry is None:
                 raise state_client.CompareAndSwapError(key)
-        opening = wire.convert(entry.data, OpenRecord)
+        opening = wire.convert(entry.data, OpeningRecord)
         if (opening.parts, opening.options) != (part.parts, part.options):
             raise GraphRejectedError(409, f"{graph_id}: other parts of it are on their way in")
         return entry.version
--- a/umberward/graphs/live.py
+++ b/umberward/graphs/live.py
@@ -1,6 +1,6 @@
 """The leader's state of an unfinished graph: which tasks are finished and which may start. No I/O.
 
-The tasks of each kind form one array job of the scheduler (`DagJob`).
+The tasks of each kind form one array job of the scheduler (`GraphJob`).
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 
 from umberward.core.types import Version
 from umberward.graphs import records
-from umberward.graphs.graph_job import DagJob
+from umberward.graphs.graph_job import GraphJob
 from umberward.graphs.model import GraphId, Shape
-from umberward.graphs.records import GraphRecord, RunRecord
+from umberward.graphs.records import ArrayProgressRecord, GraphRecord
 from umberward.scheduling.jobs import Job
 
 
@@ -70,11 +70,11 @@
         ]
         self._restore()
 
-    def _create_job(self, kind: int, progress: records.Progress, max_value_bytes: int) -> DagJob:
+    def _create_job(self, kind: int, progress: records.Progress, max_value_bytes: int) -> GraphJob:
         """Create the array of one kind from its stored progress."""
-        run, version = progress.runs.get(kind, (RunRecord(), 0))
+        run, version = progress.runs.get(kind, (ArrayProgressRecord(), 0))
         failures = progress.failed.get(kind, [])
-        return DagJob(self, kind, run, Version(version), failures, max_value_bytes)
+        return GraphJob(self, kind, run, Version(version), failures, max_value_bytes)
 
     def _restore(self) -> None:
         """Queue the startable tasks according to the stored progress, which may be out of date."""
@@ -95,7 +95,7 @@
                     self.unmet_needs[dependent] -= 1
         for position in range(len(self.shape)):
             if not self.unmet_needs[position] and not self.is_finished(position):
-                kind, index = self.shape.place[position]
+                kind, index = self.shape.array_slots[position]
                 self.jobs[kind].task_ready(index)
 
     @property
@@ -123,7 +123,7 @@
 
     def is_finished(self, position: int) -> bool:
         """Whether the task at `position` is done, failed permanently, or will not run."""
-        kind, index = self.shape.place[position]
+        kind, index = self.shape.array_slots[position]
         return self.jobs[kind].is_done(index)
 
     def is_ready(self, kind: int, index: int) -> bool:
@@ -141,13 +141,13 @@
         for dependent in self.shape.dependents[self.shape.task_positions[kind][index]]:
             self.unmet_needs[dependent] -= 1
             if not self.unmet_needs[dependent] and not self.is_finished(dependent):
-                place = self.shape.place[dependent]
+                place = self.shape.array_slots[dependent]
                 self.jobs[place.kind].task_ready(place.number)
                 startable_kinds[place.kind] = None
         for startable_kind in startable_kinds:
             self.callbacks.request_pass(self.jobs[startable_kind])
 
-    def was_started(self, kind: int, index: int) -> None:
+    def infer_needs_done(self, kind: int, index: int) -> None:
         """Infer from a started task that all tasks that it needs are done.
 
         A former leader may have started it without storing that its needs are done. Without this,
@@ -156,8 +156,8 @@
         position = self.shape.task_positions[kind][index]
         if not self.unmet_needs[position]:
             return
-        for need in self.shape.before(position):
-            place = self.shape.place[need]
+        for need in self.shape.transitive_needs(position):
+            place = self.shape.array_slots[need]
             job = self.jobs[place.kind]
             if not job.is_done(place.number):
                 self.callbacks.stop_task(job, place.number)
@@ -165,20 +165,20 @@
                 self.task_done(*place)
                 self.callbacks.progress_changed(job)
 
-    def task_failed(self, job: DagJob, index: int) -> None:
+    def task_failed(self, job: GraphJob, index: int) -> None:
         """Mark the tasks that need this permanently failed task as never to run."""
         self.callbacks.progress_changed(job)
         self._mark_dependents_not_run(self.shape.task_positions[job.kind][index])
 
-    def retry_task(self, job: DagJob, index: int) -> None:
+    def retry_task(self, job: GraphJob, index: int) -> None:
         """Queue the task for another attempt."""
         job.requeue_task(index)
         self.callbacks.request_pass(job)
 
     def _mark_dependents_not_run(self, position: int) -> None:
         """Mark all tasks that need this failed task as finished; none of them was started."""
-        for dependent in self.shape.spread(position, self.not_run):
-            kind, index = self.shape.place[dependent]
+        for dependent in self.shape.mark_not_run(position, self.not_run):
+            kind, index = self.shape.array_slots[dependent]
             job = self.jobs[kind]
             if not job.is_done(index):
                 job.mark_finished(index)
--- a/umberward/graphs/model.py
+++ b/umberward/graphs/model.py
@@ -37,7 +37,7 @@
 GraphId = NewType("GraphId", str)
 MachineTypes = Mapping[MachineTypeName, MachineType]
 
-GRAPH_PREFIX = "graph-"
+GRAPH_ID_PREFIX = "graph-"
 GRAPH_DIGITS = 13
 KIND_DIGITS = 4
 GRAPH_JOB_DIGIT = "9"  # the first of the 18 digits in the id of an array of a graph
@@ -49,7 +49,7 @@
 BYTES_PER_GB = 1e9  # `memory` of tasks is in bytes, that of machines in GB
 DEFAULT_MEMORY = 1e9  # bytes
 
-_GRAPH_ID = re.compile(GRAPH_PREFIX + rf"[0-9]{{1,{GRAPH_DIGITS}}}\Z")
+_GRAPH_ID = re.compile(GRAPH_ID_PREFIX + rf"[0-9]{{1,{GRAPH_DIGITS}}}\Z")
 _JOB_ID = re.compile(
     rf"{JOB_ID_PREFIX}{GRAPH_JOB_DIGIT}([0-9]{{{GRAPH_DIGITS}}})([0-9]{{{KIND_DIGITS}}})\Z"
 )
@@ -132,22 +132,22 @@
 def parse_graph_id(text: object) -> GraphId | None:
     """Return a graph id in canonical form, without leading zeros; None: not a graph id."""
     if isinstance(text, str) and _GRAPH_ID.match(text):
-        return GraphId(f"{GRAPH_PREFIX}{int(text[len(GRAPH_PREFIX) :])}")
+        return GraphId(f"{GRAPH_ID_PREFIX}{int(text[len(GRAPH_ID_PREFIX) :])}")
     return None
 
 
 def job_id(graph_id: GraphId, kind: int) -> JobId:
     """Return the id of the array for tasks of this kind; users' own jobs never have such an id."""
-    number = int(graph_id[len(GRAPH_PREFIX) :])
+    number = int(graph_id[len(GRAPH_ID_PREFIX) :])
     return JobId(f"{JOB_ID_PREFIX}{GRAPH_JOB_DIGIT}{number:0{GRAPH_DIGITS}d}{kind:0{KIND_DIGITS}d}")
 
 
-def graph_of(job_id: str) -> tuple[GraphId, int] | None:
+def parse_graph_job_id(job_id: str) -> tuple[GraphId, int] | None:
     """Return the graph and the kind of an array by its job id; None: an ordinary job."""
     match = _JOB_ID.match(job_id)
     if match is None:
         return None
-    return GraphId(f"{GRAPH_PREFIX}{int(match[1])}"), int(match[2])
+    return GraphId(f"{GRAPH_ID_PREFIX}{int(match[1])}"), int(match[2])
 
 
 class Shape:
@@ -155,7 +155,7 @@
 
     A position is a task's number in that order. Indexed by position: `names` (as given by the
     user), `needs` and `dependents` (the positions of the tasks that a task needs directly, and of
-    those that need it) and `place` (the task's array and index). Indexed by kind: `kinds`,
+    those that need it) and `array_slots` (the task's array and index). Indexed by kind: `kinds`,
     `task_positions` (the position of each task of the array) and `expect_s` (the longest expected
     runtime, in seconds).
     """
@@ -170,7 +170,7 @@
         self.names = [tasks[number].name for number in order]
         self._link_dependencies(tasks, numbers, order)
         self.kinds: list[Kind] = []
-        self.place: list[ArraySlot] = []
+        self.array_slots: list[ArraySlot] = []
         self.task_positions: list[list[int]] = []
         self.expect_s: list[float] = []
         self._group_by_kind([tasks[number] for number in order])
@@ -191,7 +191,7 @@
                 self.dependents[need].append(position)
 
     def _group_by_kind(self, ordered_tasks: list[Task]) -> None:
-        """Fill `place` and the lists that are indexed by kind."""
+        """Fill `array_slots` and the lists that are indexed by kind."""
         known: dict[Kind, int] = {}
         for position, task in enumerate(ordered_tasks):
             kind = kind_of(task)
@@ -200,7 +200,7 @@
                 self.kinds.append(kind)
                 self.task_positions.append([])
                 self.expect_s.append(0.0)
-            self.place.append(ArraySlot(index, len(self.task_positions[index])))
+            self.array_slots.append(ArraySlot(index, len(self.task_positions[index])))
             self.task_positions[index].append(position)
             self.expect_s[index] = max(self.expect_s[index], task.expect_s)
 
@@ -208,7 +208,7 @@
         """Return the number of tasks."""
         return len(self.names)
 
-    def spread(self, position: int, because: dict[int, int]) -> list[int]:
+    def mark_not_run(self, position: int, because: dict[int, int]) -> list[int]:
         """Record the failed task at `position` as the reason why its dependents will not run.
 
         Adds it to `because` for every task that needs it, directly or not, and has no reason yet;
@@ -217,7 +217,7 @@
         """
         return sorted(_reachable(position, self.dependents, because))
 
-    def before(self, position: int) -> list[int]:
+    def transitive_needs(self, position: int) -> list[int]:
         """Return all tasks that this one needs, directly or not, in topological order."""
         return sorted(_reachable(position, self.needs, {}))
 
--- a/umberward/graphs/records.py
+++ b/umberward/graphs/records.py
@@ -27,11 +27,11 @@
 from umberward.protocol import wire
 
 GRAPHS_PREFIX = "graphs/"
-LIVE = "graphs/live/"
+LIVE_PREFIX = "graphs/live/"
 PAST_PREFIX = "graphs/past/"
 RUN_PREFIX = "graphs/run/"
 OPEN_PREFIX = "graphs/open/"
-PART = "graphs/part/"
+PART_PREFIX = "graphs/part/"
 STALE_PREFIX = "graphs/stale/"
 
 DONE, FAILED, CANCELLED = "done", "failed", "cancelled"
@@ -72,7 +72,7 @@
     not_run: int = 0
 
 
-class RunRecord(
+class ArrayProgressRecord(
     msgspec.Struct,
     omit_defaults=True,
     rename={"placed_below": "marked", "done_below": "base", "done_bitmap": "done"},
@@ -97,13 +97,13 @@
     machines: list[str]
 
 
-class PageRecord(msgspec.Struct):
+class FailurePageRecord(msgspec.Struct):
     """Some of an array's failures; a full page never changes."""
 
     failed: list[Failure]
 
 
-class OpenRecord(msgspec.Struct):
+class OpeningRecord(msgspec.Struct):
     """The opening record of a graph with missing parts.
 
     `at` is the wall clock time of the controller that wrote it, in seconds; `parts` is the number
@@ -133,13 +133,13 @@
         super().__init__("a part is larger than the limit when decompressed")
 
 
-def pack(tasks: list[Task]) -> bytes:
+def encode_tasks(tasks: list[Task]) -> bytes:
     """Encode tasks as canonical CBOR: equal tasks give equal bytes, however the user wrote them."""
     return cbor2.dumps([wire.to_builtins(task) for task in tasks], canonical=True)
 
 
-def unpack(data: bytes) -> list[Task]:
-    """Reverse `pack`; raise ValueError for other bytes."""
+def decode_tasks(data: bytes) -> list[Task]:
+    """Reverse `encode_tasks`; raise ValueError for other bytes."""
     try:
         return msgspec.convert(cbor2.loads(data), list[Task])
     except (cbor2.CBORDecodeError, msgspec.ValidationError) as error:
@@ -187,7 +187,7 @@
 Parts = list[tuple[str, list[Task]]]  # the digest and the tasks of each part
 
 
-def parts_of(graph_id: GraphId, values: Mapping[str, Any], count: int) -> Parts:
+def assemble_parts(graph_id: GraphId, values: Mapping[str, Any], count: int) -> Parts:
     """Assemble `count` parts from the values below `graphs/part/ID/OPEN/`.
 
     `values` maps the rest of each key to its value.
@@ -204,11 +204,11 @@
         if any(name not in values for name in piece_names):
             raise IncompleteGraphError(graph_id, f"pieces of part {part} are missing")
         text = "".join(values[name] for name in piece_names)
-        parts.append((head.digest, unpack(decompress(text))))
+        parts.append((head.digest, decode_tasks(decompress(text))))
     return parts
 
 
-def joined(graph_id: GraphId, record: GraphRecord, parts: Parts) -> list[Task]:
+def join_parts(graph_id: GraphId, record: GraphRecord, parts: Parts) -> list[Task]:
     """Return the tasks of all parts; raise IncompleteGraphError if other parts were accepted."""
     if [digest for digest, _ in parts] != record.digests:
         raise IncompleteGraphError(graph_id, "the stored parts are not those that were accepted")
@@ -217,7 +217,7 @@
 
 def live_key(graph_id: GraphId) -> Key:
     """Return the key of the live record of a graph."""
-    return Key(LIVE + graph_id)
+    return Key(LIVE_PREFIX + graph_id)
 
 
 def past_key(graph_id: GraphId) -> Key:
@@ -242,12 +242,12 @@
 
 def head_key(graph_id: GraphId, opened: int, part: int) -> Key:
     """Return the key of a part's head, stored under version `opened` of the opening record."""
-    return Key(f"{PART}{graph_id}/{opened}/{part}")
+    return Key(f"{PART_PREFIX}{graph_id}/{opened}/{part}")
 
 
 def piece_key(graph_id: GraphId, opened: int, part: int, digest: str, piece: int) -> Key:
     """Return the key of one piece of a part."""
-    return Key(f"{PART}{graph_id}/{opened}/{part}/{digest}/{piece}")
+    return Key(f"{PART_PREFIX}{graph_id}/{opened}/{part}/{digest}/{piece}")
 
 
 def stale_key(graph_id: GraphId, opened: int) -> Key:
@@ -261,7 +261,7 @@
     `runs` holds each array's record with the version of that record, `failed` its failures.
     """
 
-    runs: dict[int, tuple[RunRecord, int]]
+    runs: dict[int, tuple[ArrayProgressRecord, int]]
     failed: dict[int, list[Failure]]
 
 
@@ -270,18 +270,18 @@
 
     Raises MalformedMessageError.
     """
-    runs: dict[int, tuple[RunRecord, int]] = {}
+    runs: dict[int, tuple[ArrayProgressRecord, int]] = {}
     for entry in entries:
         kind, page = _split_run_key(graph_id, entry.key)
         if not page:
-            runs[int(kind)] = (wire.convert(entry.data, RunRecord), entry.version)
+            runs[int(kind)] = (wire.convert(entry.data, ArrayProgressRecord), entry.version)
     failed: dict[int, list[Failure]] = {}
     for entry in entries:
         kind, page = _split_run_key(graph_id, entry.key)
         # Pages beyond those that the array's record counts were not committed with it.
         if page and int(kind) in runs and int(page) < runs[int(kind)][0].pages:
             failures = failed.setdefault(int(kind), [])
-            failures += wire.convert(entry.data, PageRecord).failed
+            failures += wire.convert(entry.data, FailurePageRecord).failed
     return Progress(runs, failed)
 
 
--- a/umberward/graphs/store.py
+++ b/umberward/graphs/store.py
@@ -12,10 +12,10 @@
 from umberward.graphs.model import GraphId, Task
 from umberward.graphs.records import (
     OPEN_PREFIX,
-    PART,
+    PART_PREFIX,
     STALE_PREFIX,
     GraphRecord,
-    OpenRecord,
+    OpeningRecord,
     Parts,
     Progress,
 )
@@ -36,9 +36,9 @@
     content.
     """
     if not record.opened:
-        return records.unpack(records.decompress(record.content))
+        return records.decode_tasks(records.decompress(record.content))
     parts = await read_parts(store, graph_id, record.opened, len(record.digests))
-    return records.joined(graph_id, record, parts)
+    return records.join_parts(graph_id, record, parts)
 
 
 async def read_parts(store: StateClient, graph_id: GraphId, opened: int, count: int) -> Parts:
@@ -46,10 +46,10 @@
 
     Raises IncompleteGraphError, ValueError and MalformedMessageError.
     """
-    prefix = f"{PART}{graph_id}/{opened}/"
+    prefix = f"{PART_PREFIX}{graph_id}/{opened}/"
     entries, _ = await store.list_all(prefix)
     values = {entry.key[len(prefix) :]: entry.data for entry in entries}
-    return records.parts_of(graph_id, values, count)
+    return records.assemble_parts(graph_id, values, count)
 
 
 async def read_progress(store: StateClient, graph_id: GraphId) -> Progress:
@@ -67,7 +67,7 @@
     entries, _ = await store.list_all(OPEN_PREFIX)
     for entry in entries:
         graph_id = GraphId(entry.key[len(OPEN_PREFIX) :])
-        if now - wire.convert(entry.data, OpenRecord).at > MAX_SUBMISSION_S:
+        if now - wire.convert(entry.data, OpeningRecord).at > MAX_SUBMISSION_S:
             await abandon_submission(store, graph_id, Version(entry.version))
 
 
@@ -96,7 +96,7 @@
 async def delete_parts(store: StateClient, graph_id: GraphId, opened: Version) -> None:
     """Delete the stored parts of an abandoned submission, then the note that marks them."""
     batch_size = min(MAX_DELETIONS_PER_TRANSACTION, store.strictest_limits.txn_ops)
-    entries, _ = await store.list_all(f"{PART}{graph_id}/{opened}/")
+    entries, _ = await store.list_all(f"{PART_PREFIX}{graph_id}/{opened}/")
     deletions = [transactions.delete(Key(entry.key)) for entry in entries]
     for start in range(0, len(deletions), batch_size):
         await store.commit(
--- a/umberward/graphs/task_answers.py
+++ b/umberward/graphs/task_answers.py
@@ -48,7 +48,7 @@
         # Position of a task that will not run -> position of the failed task that it needs.
         self.because: dict[int, int] = {}
         for position in sorted(self.failures):
-            shape.spread(position, self.because)
+            shape.mark_not_run(position, self.because)
         self._finished_tasks = {
             kind: _FinishedTasks(run.done_below, int(run.done_bitmap, 16))
             for kind, (run, _) in stored.progress.runs.items()
@@ -92,5 +92,5 @@
 
     def _is_finished(self, position: int) -> bool:
         """Whether the task is stored as finished: done, failed or never to run."""
-        kind, index = self.shape.place[position]
+        kind, index = self.shape.array_slots[position]
         return self._finished_tasks.get(kind, NO_FINISHED_TASKS).contains(index)
--- a/umberward/leader/leader_election.py
+++ b/umberward/leader/leader_election.py
@@ -41,9 +41,9 @@
 # state service's clock.
 RENEWAL_DRIFT_FACTOR = 0.999
 RENEWAL_MARGIN_S = 0.15
-# If workers may be kept alive without the state service for less than this, the intervals between
-# lease renewals and reads in normal operation use up all of it.
-MIN_KEEPALIVE_S = 3.0
+# If the renewal window, for which workers may be kept alive without the state service, is shorter
+# than this, the intervals between lease renewals and reads in normal operation use it up.
+MIN_RENEWAL_WINDOW_S = 3.0
 
 RENEWALS_PER_LEASE = 5
 RENEWAL_JITTER = (0.9, 1.1)
@@ -82,7 +82,7 @@
         self.lease_seconds = settings.operator.lease_seconds
         self.clock = clock
         self.bounds = LeaseBounds(platform.cluster.workers)
-        self._warn_if_keepalive_too_short(platform.cluster.workers)
+        self._warn_if_renewal_window_too_short(platform.cluster.workers)
         self.rng = rng
         self.on_elected = on_elected
         self.on_lost = on_lost
@@ -96,8 +96,8 @@
         self.leader_version = Version(0)  # of the leader key
         self.campaign_not_before = 0.0
 
-    def _warn_if_keepalive_too_short(self, workers: WorkerTimes) -> None:
-        if self.bounds.renewal_window_s < MIN_KEEPALIVE_S:
+    def _warn_if_renewal_window_too_short(self, workers: WorkerTimes) -> None:
+        if self.bounds.renewal_window_s < MIN_RENEWAL_WINDOW_S:
             log.warning(
                 "no_keepalive_without_state_service",
                 reason="cluster.workers.cancel_s leaves none above cluster.workers.lease_s",
@@ -143,7 +143,7 @@
         """
         if self.fencing_token is None or jobs_read_at is None:
             return False
-        if self.bounds.renewal_window_s < MIN_KEEPALIVE_S and self.is_leader():
+        if self.bounds.renewal_window_s < MIN_RENEWAL_WINDOW_S and self.is_leader():
             return True  # otherwise every incarnation would expire; a warning was logged at start
         return self.bounds.may_answer(jobs_read_at, self.renewed_at, Instant(self.clock()))
 
--- a/umberward/leader/leader_loop.py
+++ b/umberward/leader/leader_loop.py
@@ -187,8 +187,8 @@
             await self._spawn(self.sweeper.run)
             if self.graph_controller is not None:
                 await self._spawn(self.graph_controller.watch)
-                await self._spawn(self.graph_controller.finish)
-                await self._spawn(self.graph_controller.clean)
+                await self._spawn(self.graph_controller.store_ended_graphs)
+                await self._spawn(self.graph_controller.delete_abandoned_submissions)
 
     async def _spawn(self, function: Callable[..., Awaitable[object]], *args: object) -> None:
         """Start a task that ends with `serve`; if it raises, `serve` ends."""
--- a/umberward/load/generator.py
+++ b/umberward/load/generator.py
@@ -152,7 +152,7 @@
             job_id = f"req-{self.number}"
             return "POST", JOBS_PATH, [wire.encode(self._job(job_id))], job_id
         if kind == "graph":
-            parts = files.parts(GraphId(f"graph-{self.number}"), self._graph())
+            parts = files.split_graph(GraphId(f"graph-{self.number}"), self._graph())
             return "POST", GRAPHS_PATH, [wire.encode(part) for part in parts], ""
         if not self.jobs:
             return "", "", [], ""
--- a/umberward/local/cloudcore.py
+++ b/umberward/local/cloudcore.py
@@ -57,13 +57,13 @@
     zone: str
     spot: bool
     rented_at: float
-    up_at: float  # when it will have booted
-    up: bool = False
+    boots_at: float  # when it will have booted
+    booted: bool = False
     address: str = ""
     reclaim_at: float | None = None  # when the cloud reclaims it; None until that is announced
 
 
-class Capacity(NamedTuple):
+class CapacityPool(NamedTuple):
     """The kind of machine that a capacity limit applies to: type, zone, and spot or not."""
 
     machine_type: str
@@ -109,12 +109,12 @@
         self.speed = speed
         self.machines: dict[str, Machine] = {}
         self.claims: dict[str, list[str]] = {}  # claim -> ids of the machines rented by it
-        self.capacity: dict[Capacity, int] = {}  # kinds without an entry are unlimited
+        self.capacity: dict[CapacityPool, int] = {}  # kinds without an entry are unlimited
         self.total_rented = 0  # machines rented since the start
         # Oldest first; the first one is what requests get.
         self.list_snapshots: list[MachineListSnapshot] = []
 
-    def rent(self, claim: str, kind: Capacity, count: int, now: float) -> list[str]:
+    def rent(self, claim: str, kind: CapacityPool, count: int, now: float) -> list[str]:
         """Rent up to `count` machines, as far as the capacity suffices; returns their ids.
 
         A claim that was used before rents nothing and returns the same ids again.
@@ -136,13 +136,13 @@
         self.claims[claim] = [self._add_machine(machine_type, kind, now) for _ in range(count)]
         return self.claims[claim]
 
-    def _rented_count(self, kind: Capacity) -> int:
+    def _rented_count(self, kind: CapacityPool) -> int:
         return sum(
             (machine.machine_type.name, machine.zone, machine.spot) == kind
             for machine in self.machines.values()
         )
 
-    def _add_machine(self, machine_type: MachineType, kind: Capacity, now: float) -> str:
+    def _add_machine(self, machine_type: MachineType, kind: CapacityPool, now: float) -> str:
         """Start to boot one machine; returns its id."""
         self.total_rented += 1
         machine_id = f"i-{self.total_rented:06d}"
@@ -175,7 +175,7 @@
         candidates = [
             machine
             for machine in self.machines.values()
-            if machine.up
+            if machine.booted
             and machine.reclaim_at is None
             and (machine.zone == zone if zone else machine.spot)
         ]
@@ -193,10 +193,12 @@
         for machine in reclaimed:
             del self.machines[machine.id]
         booted = [
-            machine for machine in self.machines.values() if not machine.up and machine.up_at <= now
+            machine
+            for machine in self.machines.values()
+            if not machine.booted and machine.boots_at <= now
         ]
         for machine in booted:
-            machine.up = True
+            machine.booted = True
         self.list_snapshots.append(MachineListSnapshot(now, self._current_list(now)))
         while (
             len(self.list_snapshots) > 1
@@ -223,7 +225,7 @@
                 machine.machine_type.name,
                 machine.zone,
                 machine.spot,
-                "running" if machine.up else "booting",
+                "running" if machine.booted else "booting",
                 now - machine.rented_at,
             )
             for _, machine in sorted(self.machines.items())
--- a/umberward/local/cluster.py
+++ b/umberward/local/cluster.py
@@ -24,7 +24,7 @@
 import javaproperties
 import tomli_w
 
-from umberward.client.store import CALL, Store
+from umberward.client.store import CALL_SUFFIX, Store
 from umberward.core.log import logger
 from umberward.core.settings import StateLimits
 from umberward.core.tasks import TaskScope
@@ -36,7 +36,7 @@
 from umberward.local.job_descriptions import JobDescriptions
 from umberward.local.servers import CloudServer, StateServer, WorkerServer
 from umberward.local.statecore import StateCore
-from umberward.local.workercore import Fate, Mates, WorkerCore
+from umberward.local.workercore import SharedTaskState, TaskOutcome, WorkerCore
 from umberward.protocol import wire
 from umberward.protocol.http import Client, NoResponseError, RequestNotSentError
 from umberward.protocol.wire import JobSpec
@@ -77,9 +77,9 @@
         self.processes: dict[str, subprocess.Popen[bytes]] = {}  # by graph task: its function
         self.rng = random.Random(plan.seed)
         self.zones = sorted({zone for machine_type in plan.machines for zone in machine_type.zones})
-        self.workers_said = plan.workers
+        self.worker_times = plan.workers
         self.limits = StateLimits(rps=600.0, write_rps=60.0, value_kb=4.0, txn_ops=8)
-        free = self._addresses(3 * plan.controllers + 2)
+        free = self._free_addresses(3 * plan.controllers + 2)
         self.listen = [free.pop() for _ in range(plan.controllers)]
         self.peers = [free.pop() for _ in range(plan.controllers)]
         states = [free.pop() for _ in range(plan.controllers)]
@@ -87,14 +87,14 @@
             StateCore(int(self.limits.value_kb * 1024), self.limits.txn_ops), self.limits, states
         )
         core = CloudCore(plan.machines, LIST_LAG_S, self.rng, plan.speed)
-        self.cloud = CloudServer(core, CLOUD_RPS, free.pop(), self._gone)
+        self.cloud = CloudServer(core, CLOUD_RPS, free.pop(), self._remove_workers)
         self.store = Store(free.pop())
-        self.names = [f"keeper-{number}" for number in range(plan.controllers)]
-        self.nodes = dict(zip(self.names, self.listen, strict=True))
-        self.children: list[subprocess.Popen[bytes] | None] = [None] * plan.controllers
+        self.controller_names = [f"keeper-{number}" for number in range(plan.controllers)]
+        self.controller_addresses = dict(zip(self.controller_names, self.listen, strict=True))
+        self.controller_processes: list[subprocess.Popen[bytes] | None] = [None] * plan.controllers
         self.start_at = [0.0] * plan.controllers
-        self.come_back_s = [RESTART_DELAY_S] * plan.controllers
-        self.mates = Mates()
+        self.restart_delays_s = [RESTART_DELAY_S] * plan.controllers
+        self.shared_tasks = SharedTaskState()
         self.workers: dict[str, tuple[WorkerServer, curio.Task]] = {}  # by machine id
         self.client = Client(CLIENT_SOCKETS)
         self.descriptions = JobDescriptions(self.state.core)
@@ -106,9 +106,9 @@
         self.started_at: dict[str, float] = {}  # task -> when its first run started
         self.done_at: dict[str, float] = {}  # task -> when it first completed
         self.exit_causes: dict[str, list[str]] = {}  # task -> causes of its attempts' ends
-        self.group = TaskScope()  # runs all tasks of this process that belong to the cluster
+        self.task_scope = TaskScope()  # runs all tasks of this process that belong to the cluster
 
-    def _addresses(self, count: int) -> list[Address]:
+    def _free_addresses(self, count: int) -> list[Address]:
         """Addresses that no socket listens on."""
         return free_ports(count)
 
@@ -121,36 +121,36 @@
         folder = Path(tempfile.mkdtemp(prefix="umberward-local-"))
         cluster = cls(plan, folder)
         try:
-            async with cluster.group:
+            async with cluster.task_scope:
                 await cluster._start()
                 yield cluster
         finally:
-            cluster._end()
+            cluster._stop_processes()
             shutil.rmtree(folder, ignore_errors=True)
 
     async def _start(self) -> None:
         """Start everything and wait until all controllers are ready."""
         self._write_settings()
         for server in [*self.state.servers, self.cloud.server, self.store.server]:
-            await self.group.spawn(server.run)
-        await self.group.spawn(self._run_ticks)
+            await self.task_scope.spawn(server.run)
+        await self.task_scope.spawn(self._run_ticks)
         deadline = time.monotonic() + READY_TIMEOUT_S
         while not await self._ready():
             if time.monotonic() > deadline:
                 raise NotReadyError(self._last_log_line())
             await curio.sleep(READY_POLL_S)
-        await self.group.spawn(self._cause_faults)
+        await self.task_scope.spawn(self._cause_faults)
 
     def _write_settings(self) -> None:
         for number in range(self.plan.controllers):
-            path = self.folder / f"{self.names[number]}.toml"
+            path = self.folder / f"{self.controller_names[number]}.toml"
             path.write_text(tomli_w.dumps(self._settings(number)))
         graphs = {"graphs.enabled": str(self.plan.graphs).lower()}
         properties = {**graphs, **self.plan.properties}
         (self.folder / "own.properties").write_text(javaproperties.dumps(properties))
 
-    def _end(self) -> None:
-        for process in [*self.children, *self.processes.values()]:
+    def _stop_processes(self) -> None:
+        for process in [*self.controller_processes, *self.processes.values()]:
             _kill_process(process)
 
     async def _ready(self) -> bool:
@@ -167,7 +167,7 @@
 
     def _last_log_line(self) -> str:
         """The last log line of the first controller that has logged anything, or empty."""
-        for name in self.names:
+        for name in self.controller_names:
             path = self.folder / f"{name}.log"
             lines = path.read_text().splitlines() if path.exists() else []
             if lines:
@@ -178,7 +178,7 @@
         zone = self.zones[number % len(self.zones)]
         peers = [
             {
-                "label": self.names[peer],
+                "label": self.controller_names[peer],
                 "site": self.zones[peer % len(self.zones)],
                 "addr": str(address),
             }
@@ -191,7 +191,7 @@
             if limit is not None
         }
         return {
-            "label": self.names[number],
+            "label": self.controller_names[number],
             "site": zone,
             "listen": str(self.listen[number]),
             "peer_bind": str(self.peers[number]),
@@ -205,7 +205,7 @@
                 "zones": self.zones,
                 "skew_ms": 0.0,
                 "teams": wire.to_builtins(self.plan.teams),
-                "workers": wire.to_builtins(self.workers_said),
+                "workers": wire.to_builtins(self.worker_times),
                 "state": limits,
                 "cloud": {"rps": CLOUD_RPS, "list_lag_s": LIST_LAG_S},
                 "machine_limits": {"cpu": 1.0, "memory_mb": 200.0, "sockets": 800},
@@ -239,8 +239,8 @@
     async def _tick_cloud(self, now: float) -> None:
         happened = self.cloud.core.tick(now)
         for machine in happened.booted:
-            await self._up(machine, now)
-        self._gone(happened.reclaimed)
+            await self._start_worker(machine, now)
+        self._remove_workers(happened.reclaimed)
 
     def _tick_workers(self, now: float) -> None:
         for worker, _ in self.workers.values():
@@ -252,19 +252,19 @@
 
     def _restart_controllers(self, now: float) -> None:
         """Restart each controller that has exited, once its restart delay has passed."""
-        for number, child in enumerate(self.children):
+        for number, child in enumerate(self.controller_processes):
             if child is not None and child.poll() is not None:
-                self.children[number] = None
-                self.start_at[number] = now + self.come_back_s[number]
-                self._child_ended(number, child.returncode)
-            if self.children[number] is None and now >= self.start_at[number]:
-                self.children[number] = self._start_controller(number)
+                self.controller_processes[number] = None
+                self.start_at[number] = now + self.restart_delays_s[number]
+                self._controller_exited(number, child.returncode)
+            if self.controller_processes[number] is None and now >= self.start_at[number]:
+                self.controller_processes[number] = self._start_controller(number)
 
-    def _child_ended(self, number: int, code: int) -> None:
+    def _controller_exited(self, number: int, code: int) -> None:
         """Handle the exit of a controller, which is restarted later; subclasses override this."""
 
     def _start_controller(self, number: int) -> subprocess.Popen[bytes]:
-        name = self.names[number]
+        name = self.controller_names[number]
         with (self.folder / f"{name}.log").open("ab") as log_file:
             return subprocess.Popen(
                 [
@@ -287,33 +287,33 @@
         level = {"LOG_LEVEL": self.plan.log_level} if self.plan.log_level else {}
         return {**os.environ, **level}
 
-    def _core(self, machine: Machine, now: float) -> WorkerCore:
+    def _new_worker_core(self, machine: Machine, now: float) -> WorkerCore:
         return self.worker_core(
             machine.id,
             machine.address,
             machine.machine_type,
             machine.zone,
             machine.spot,
-            self.workers_said,
-            self.mates,
-            self.describe,
-            lambda name, spec: self._fate(machine.id, name, spec),
+            self.worker_times,
+            self.shared_tasks,
+            self.find_spec,
+            lambda name, spec: self._plan_outcome(machine.id, name, spec),
             now,
             self.plan.speed,
         )
 
-    def _worker(self, machine: Machine, now: float) -> WorkerServer:
-        core = self._core(machine, now)
+    def _new_worker_server(self, machine: Machine, now: float) -> WorkerServer:
+        core = self._new_worker_core(machine, now)
         core.exited = self._record_exit
-        report_s = self.workers_said.report_s
-        return WorkerServer(core, self.nodes, report_s, self.client, self.rng)
+        report_s = self.worker_times.report_s
+        return WorkerServer(core, self.controller_addresses, report_s, self.client, self.rng)
 
-    async def _up(self, machine: Machine, now: float) -> None:
-        machine.address = str(self._addresses(1)[0])
-        worker = self._worker(machine, now)
-        self.workers[machine.id] = (worker, await self.group.spawn(worker.run))
+    async def _start_worker(self, machine: Machine, now: float) -> None:
+        machine.address = str(self._free_addresses(1)[0])
+        worker = self._new_worker_server(machine, now)
+        self.workers[machine.id] = (worker, await self.task_scope.spawn(worker.run))
 
-    def _gone(self, machines: list[Machine]) -> None:
+    def _remove_workers(self, machines: list[Machine]) -> None:
         for machine in machines:
             worker, task = self.workers.pop(machine.id, (None, None))
             if worker is not None:
@@ -323,18 +323,18 @@
 
     # ---- tasks -------------------------------------------------------------------------
 
-    def _fate(self, host: str, name: str, spec: JobSpec) -> Fate:
+    def _plan_outcome(self, host: str, name: str, spec: JobSpec) -> TaskOutcome:
         """Decide how a task that starts to run on machine `host` will end."""
         self.started_at.setdefault(name, time.monotonic())
         if spec.kind == wire.SERVICE:
-            return Fate(float("inf"))
+            return TaskOutcome(float("inf"))
         seconds = (spec.expected_runtime_s or DEFAULT_RUN_S) / self.plan.speed
         if host in self.sick:
-            return Fate(min(seconds, MAX_FAILING_RUN_S), "error")
-        if self.store.whole(name + CALL):
+            return TaskOutcome(min(seconds, MAX_FAILING_RUN_S), "error")
+        if self.store.is_complete(name + CALL_SUFFIX):
             self.functions_to_start.append((host, name))
-            return Fate(float("inf"))
-        return Fate(max(MIN_RUN_S, seconds))
+            return TaskOutcome(float("inf"))
+        return TaskOutcome(max(MIN_RUN_S, seconds))
 
     def _record_exit(self, name: str, cause: str) -> None:
         self.exit_causes.setdefault(name, []).append(cause)
@@ -376,7 +376,7 @@
         for team, cores in used.items():
             self.peak_cores[team] = max(self.peak_cores.get(team, 0.0), cores)
 
-    def describe(self, job_id: str) -> JobSpec | None:
+    def find_spec(self, job_id: str) -> JobSpec | None:
         """A job's description, or None if there is no such job."""
         return self.descriptions.find(job_id)
 
@@ -387,7 +387,7 @@
         ready_at = time.monotonic()
         for fault in sorted(self.plan.troubles, key=lambda fault: fault.at):
             await curio.sleep(max(0.0, ready_at + fault.at - time.monotonic()))
-            await self.group.spawn(self.cause, fault)
+            await self.task_scope.spawn(self.cause, fault)
 
     async def cause(self, fault: Fault) -> None:
         """Start a fault, and end it after its duration."""
@@ -401,7 +401,7 @@
         elif fault.what == "take":
             self.cloud.core.reclaim_machines(fault.count, fault.seconds, time.monotonic())
         elif fault.what == "delete":
-            self._gone(self.cloud.core.delete(machine_ids))
+            self._remove_workers(self.cloud.core.delete(machine_ids))
         elif fault.what == "sick":
             self.sick.update(machine_ids)
             await curio.sleep(fault.seconds)
@@ -415,9 +415,9 @@
             await curio.sleep(fault.seconds)
             self.state.set_down(False)
         elif fault.what in ("lost", "late"):
-            self.state.lossy = fault.what
+            self.state.transaction_fault = fault.what
             await curio.sleep(fault.seconds)
-            self.state.lossy = ""
+            self.state.transaction_fault = ""
         elif fault.controller is not None:
             self.state.refused.add(fault.controller)
             await curio.sleep(fault.seconds)
@@ -425,7 +425,7 @@
 
     def crash(self, number: int | None = None) -> None:
         """Kill one controller, or all if `number` is None."""
-        for index, child in enumerate(self.children):
+        for index, child in enumerate(self.controller_processes):
             if child is not None and number in (None, index):
                 child.kill()
 
@@ -433,20 +433,20 @@
     def leader(self) -> int | None:
         """The number of the leading controller, by the leader key in the state service."""
         found = self.state.core.keys.get("leader")
-        return None if found is None else self.names.index(found.data["node"])
+        return None if found is None else self.controller_names.index(found.data["node"])
 
     def status(self) -> str:
         """A one-line summary with counts of controllers, machines, tasks, jobs and graphs."""
-        alive = sum(child is not None for child in self.children)
+        alive = sum(child is not None for child in self.controller_processes)
         tasks = sum(len(worker.core.running_tasks) for worker, _ in self.workers.values())
         core = self.state.core
         jobs = sum(key.startswith(wire.LIVE_JOBS_PREFIX) for key in core.keys)
-        graphs = sum(key.startswith(records.LIVE) for key in core.keys)
-        leader = "none" if self.leader is None else self.names[self.leader]
+        graphs = sum(key.startswith(records.LIVE_PREFIX) for key in core.keys)
+        leader = "none" if self.leader is None else self.controller_names[self.leader]
         return (
             f"controllers {alive}/{self.plan.controllers}, leader {leader},"
             f" machines {len(self.workers)}, tasks {tasks}, jobs {jobs}, graphs {graphs},"
-            f" writes {core.written}"
+            f" writes {core.write_count}"
         )
 
 
--- a/umberward/local/example.py
+++ b/umberward/local/example.py
@@ -85,7 +85,7 @@
 
 async def send_graph(cluster: LocalCluster, graph_id: str, file: File) -> Response:
     """Send a graph in as many parts as needed; returns the response to the last part sent."""
-    for part in files.parts(GraphId(graph_id), file):
+    for part in files.split_graph(GraphId(graph_id), file):
         response = await send_request(cluster, "POST", "/v1/graphs", wire.encode(part))
         if response.status not in (HTTPStatus.OK, HTTPStatus.CREATED, HTTPStatus.ACCEPTED):
             break
--- a/umberward/local/execute.py
+++ b/umberward/local/execute.py
@@ -30,21 +30,25 @@
     client = Client(STORE_CONNECTIONS)
     try:
         result = await _call(client, store_address, task_id)
-        await store.put(client, store_address, task_id + store.RESULT, cloudpickle.dumps(result))
+        await store.put(
+            client, store_address, task_id + store.RESULT_SUFFIX, cloudpickle.dumps(result)
+        )
     except Exception:  # noqa: BLE001 - users' functions may raise anything
         error = traceback.format_exc().encode()
-        await store.put(client, store_address, task_id + store.ERROR, error)
+        await store.put(client, store_address, task_id + store.ERROR_SUFFIX, error)
         return False
     return True
 
 
 async def _call(client: Client, store_address: Address, task_id: str) -> object:
     """Call the task's function with its inputs; returns its result."""
-    call, inputs = cloudpickle.loads(await _fetch(client, store_address, task_id + store.CALL))
+    call, inputs = cloudpickle.loads(
+        await _fetch(client, store_address, task_id + store.CALL_SUFFIX)
+    )
     function, args, kwargs = cloudpickle.loads(call)
     values = {}
     for name, producer in inputs.items():
-        data = await _fetch(client, store_address, producer + store.RESULT)
+        data = await _fetch(client, store_address, producer + store.RESULT_SUFFIX)
         values[name] = cloudpickle.loads(data)
 
     def resolve(argument: object) -> object:
--- a/umberward/local/job_descriptions.py
+++ b/umberward/local/job_descriptions.py
@@ -23,7 +23,7 @@
 
     def find(self, job_id: str) -> JobSpec | None:
         """The job's description, or None if there is no such job."""
-        graph_kind = model.graph_of(job_id)
+        graph_kind = model.parse_graph_job_id(job_id)
         if graph_kind is not None:
             graph_id, kind = graph_kind
             return self._of_graph(graph_id, kind)
@@ -46,12 +46,12 @@
     def _tasks(self, graph_id: model.GraphId, graph: records.GraphRecord) -> list[model.Task]:
         """The graph's tasks, from its record or, if it was sent in parts, from those."""
         if not graph.opened:
-            return records.unpack(records.decompress(graph.content))
-        prefix = f"{records.PART}{graph_id}/{graph.opened}/"
+            return records.decode_tasks(records.decompress(graph.content))
+        prefix = f"{records.PART_PREFIX}{graph_id}/{graph.opened}/"
         parts = {
             key[len(prefix) :]: stored.data
             for key, stored in self._state.keys.items()
             if key.startswith(prefix)
         }
-        part_records = records.parts_of(graph_id, parts, len(graph.digests))
-        return records.joined(graph_id, graph, part_records)
+        part_records = records.assemble_parts(graph_id, parts, len(graph.digests))
+        return records.join_parts(graph_id, graph, part_records)
--- a/umberward/local/links.py
+++ b/umberward/local/links.py
@@ -19,16 +19,16 @@
 HELD_MESSAGE_POLL_S = 0.05  # how often a held message checks whether its link works again
 
 # The effects that a fault may have on a message, the values of `LinkFault.what`.
-REFUSED, LOST, HELD, LATE, COPIED = "refuse", "lost", "hold", "late", "copied"
+REFUSED, LOST, HELD, LATE, DUPLICATED = "refuse", "lost", "hold", "late", "copied"
 
 
 class LinkFault(NamedTuple):
     """A fault of the link from `src` to `dst`, for messages whose target starts with `path`.
 
     `src` and `dst` may have wildcards (`*`). `what` is REFUSED (only by receivers that can refuse a
-    connection), LOST, HELD, LATE (by `least` to `most` seconds) or COPIED (the message arrives, and
-    again `least` to `most` seconds later). `share`: the fraction of messages affected by LOST, LATE
-    and COPIED.
+    connection), LOST, HELD, LATE (by `least` to `most` seconds) or DUPLICATED (the message arrives,
+    and again `least` to `most` seconds later). `share`: the fraction of messages affected by LOST,
+    LATE and DUPLICATED.
     """
 
     src: str
@@ -61,7 +61,7 @@
         """Whether the receiver refuses the connection."""
         return any(fault.what == REFUSED for fault in self._faults_of(src, dst, target))
 
-    async def passes(self, src: str, dst: str, target: str) -> bool:
+    async def transmit(self, src: str, dst: str, target: str) -> bool:
         """Wait until a message has arrived; returns False if it is lost."""
         delay_s = self.trip_s
         for fault in self._faults_of(src, dst, target):
@@ -75,24 +75,24 @@
             await curio.sleep(HELD_MESSAGE_POLL_S)
         return True
 
-    def copied_after(self, src: str, dst: str, target: str) -> float | None:
+    def duplicate_delay_s(self, src: str, dst: str, target: str) -> float | None:
         """The seconds after which the message arrives again, or None if it doesn't."""
         for fault in self._faults_of(src, dst, target):
-            if fault.what == COPIED and self.rng.random() < fault.share:
+            if fault.what == DUPLICATED and self.rng.random() < fault.share:
                 return self.rng.uniform(fault.least, fault.most)
         return None
 
-    async def carry(
+    async def exchange(
         self, src: str, dst: str, target: str, deliver: Callable[[], Awaitable[Response | None]]
     ) -> Response | None:
         """Transmit a request and return the response, or None if the sender gets none.
 
         `deliver` passes the request to the receiver once it has arrived.
         """
-        if not await self.passes(src, dst, target):
+        if not await self.transmit(src, dst, target):
             return None
         response = await deliver()
-        if response is None or not await self.passes(dst, src, target):
+        if response is None or not await self.transmit(dst, src, target):
             return None
         return response
 
--- a/umberward/local/servers.py
+++ b/umberward/local/servers.py
@@ -20,7 +20,7 @@
 from umberward.core.settings import StateLimits
 from umberward.core.types import Address, parse_address
 from umberward.local import cloudcore, statecore
-from umberward.local.cloudcore import Capacity, CloudCore, Machine
+from umberward.local.cloudcore import CapacityPool, CloudCore, Machine
 from umberward.local.statecore import StateCore, TokenBucket
 from umberward.local.workercore import WorkerCore
 from umberward.protocol import wire
@@ -51,7 +51,7 @@
 MIN_LEASE_MS, MAX_LEASE_MS = 100, 600_000
 MS_PER_S = 1000
 
-# Faults of all transactions, the values of `StateServer.lossy`.
+# Faults of all transactions, the values of `StateServer.transaction_fault`.
 LOST_RESPONSES = "lost"  # executed, but not answered
 LATE_EXECUTION = "late"  # executed after a delay and not answered
 
@@ -102,7 +102,7 @@
         self.writes = TokenBucket(limits.write_rps, now)
         self.down = False
         self.refused: set[int] = set()  # numbers of controllers whose requests all get 503
-        self.lossy = ""  # LOST_RESPONSES, LATE_EXECUTION, or empty for no fault
+        self.transaction_fault = ""  # LOST_RESPONSES, LATE_EXECUTION, or empty for no fault
         self.late: list[LateTransaction] = []
         self.changed = curio.Event()  # set at the next change, then replaced by a new event
         self.requests = 0
@@ -179,7 +179,7 @@
             changed = self.changed
             if not self.closed(number):
                 try:
-                    changes = self.core.news(prefix, after)
+                    changes = self.core.changes_after(prefix, after)
                 except statecore.RevisionCompactedError:
                     return Response(HTTPStatus.GONE)
                 wait_s = deadline - time.monotonic()
@@ -198,12 +198,12 @@
     # ---- transactions --------------------------------------------------------------------
 
     async def _serve_transaction(self, body: dict[str, Any]) -> Response:
-        if self.lossy == LATE_EXECUTION:
+        if self.transaction_fault == LATE_EXECUTION:
             self.late.append(LateTransaction(time.monotonic() + LATE_EXECUTION_S, body))
             await curio.sleep(WITHHELD_RESPONSE_S)
             return Response(HTTPStatus.SERVICE_UNAVAILABLE)
         response = await self._commit(body)
-        if self.lossy == LOST_RESPONSES:
+        if self.transaction_fault == LOST_RESPONSES:
             await curio.sleep(WITHHELD_RESPONSE_S)
         return response
 
@@ -307,7 +307,7 @@
         return Response(HTTPStatus.NOT_FOUND)
 
     def _rent(self, rental: _RentalRequest) -> Response:
-        kind = Capacity(rental.machine_type, rental.zone, rental.spot)
+        kind = CapacityPool(rental.machine_type, rental.zone, rental.spot)
         try:
             machine_ids = self.core.rent(rental.claim, kind, rental.count, time.monotonic())
         except cloudcore.NoCapacityError:
@@ -345,18 +345,19 @@
     def __init__(
         self,
         core: WorkerCore,
-        nodes: dict[str, Address],
+        controller_addresses: dict[str, Address],
         report_s: float,
         client: Client,
         rng: random.Random,
     ) -> None:
-        """`nodes`: the controllers' addresses by name; `report_s`: mean heartbeat interval."""
+        """`controller_addresses`: by controller name; `report_s`: mean heartbeat interval."""
         self.core = core
-        self.nodes = nodes
+        self.controller_addresses = controller_addresses
         self.report_s = report_s
         self.client = client
         self.rng = rng
-        self.node = rng.choice(sorted(nodes))  # the controller that gets the heartbeats
+        # The controller that gets the heartbeats.
+        self.node = rng.choice(sorted(controller_addresses))
         self.server = Server(parse_address(core.address), self._serve, WORKER_SOCKETS)
 
     async def run(self) -> None:
@@ -375,7 +376,7 @@
             body = msgspec.convert(_body(request), _CommandRequest)
         except (msgspec.DecodeError, msgspec.ValidationError, TypeError) as error:
             return _error(HTTPStatus.BAD_REQUEST, str(error))
-        executed = core.direct(body.fencing_token, body.incarnation, body.commands)
+        executed = core.handle_direct_commands(body.fencing_token, body.incarnation, body.commands)
         status = HTTPStatus.OK if executed else HTTPStatus.CONFLICT
         return Response(status, wire.encode(core.report()))
 
@@ -405,7 +406,7 @@
         leader = None
         try:
             response = await self.client.request(
-                self.nodes[self.node],
+                self.controller_addresses[self.node],
                 "POST",
                 "/hello",
                 wire.encode(self.core.report()),
@@ -413,7 +414,9 @@
             )
             if response.status == HTTPStatus.OK:
                 body = msgspec.msgpack.decode(response.body, type=_HeartbeatResponse)
-                self.core.answered(sent_at, incarnation, body.fencing_token, body.commands)
+                self.core.handle_heartbeat_response(
+                    sent_at, incarnation, body.fencing_token, body.commands
+                )
                 return
             if response.status == HTTPStatus.MISDIRECTED_REQUEST:
                 leader = msgspec.msgpack.decode(response.body, type=_LeaderHint).leader
@@ -422,10 +425,10 @@
         await self._switch_controller(leader)
 
     async def _switch_controller(self, leader: str | None) -> None:
-        if leader is not None and leader in self.nodes and leader != self.node:
+        if leader is not None and leader in self.controller_addresses and leader != self.node:
             self.node = leader
             return
-        names = sorted(self.nodes)
+        names = sorted(self.controller_addresses)
         self.node = names[(names.index(self.node) + 1) % len(names)]
         await curio.sleep(RETRY_NEXT_CONTROLLER_S)
 
--- a/umberward/local/statecore.py
+++ b/umberward/local/statecore.py
@@ -121,7 +121,7 @@
         self.leases: dict[int, Lease] = {}
         self.lease_count = 0  # leases granted so far, which is also the id of the last one
         self.changes: deque[wire.KeyChange] = deque(maxlen=MAX_RETAINED_CHANGES)
-        self.written = 0  # number of puts and deletes so far
+        self.write_count = 0  # number of puts and deletes so far
         self.written_bytes = 0  # total size of the values put so far
 
     # ---- transactions ----------------------------------------------------------------------
@@ -140,7 +140,7 @@
             raise CompareFailedError(failed_keys)
         if writes:
             self.revision += 1
-            self.written += len(writes)
+            self.write_count += len(writes)
         for write in writes:
             if "delete" in write:
                 self._delete(str(write["delete"]))
@@ -204,7 +204,7 @@
             page.append(wire.KeyValue(key, stored.data, stored.version, self.lease_by_key.get(key)))
         return wire.KeyValuePage(page, self.revision)
 
-    def news(self, prefix: str, after: int) -> list[wire.KeyChange]:
+    def changes_after(self, prefix: str, after: int) -> list[wire.KeyChange]:
         """The changes after revision `after` of keys with the prefix, oldest first.
 
         Raises RevisionCompactedError if some of them may no longer be retained.
--- a/umberward/local/workercore.py
+++ b/umberward/local/workercore.py
@@ -27,7 +27,7 @@
 GANG_PEER_LOST = "mates_gone"  # another task of its gang ended early
 
 
-class Fate(NamedTuple):
+class TaskOutcome(NamedTuple):
     """How a task that starts to run will end unless it is stopped."""
 
     seconds: float  # run time, not reduced by what a checkpoint has saved
@@ -41,7 +41,7 @@
     attempt: int
 
 
-class Task:
+class TaskAttempt:
     """One attempt of a task on one machine."""
 
     def __init__(self, name: str, attempt: int, spec: JobSpec | None, now: float) -> None:
@@ -58,7 +58,7 @@
         self.peer_loss_noticed_at = math.inf  # when it notices that a task of its gang has ended
 
     @property
-    def over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether the attempt has ended."""
         return self.phase == wire.EXITED
 
@@ -89,7 +89,7 @@
         self.phase, self.cause, self.stored = wire.EXITED, cause, stored
 
 
-class Mates:
+class SharedTaskState:
     """The gangs, checkpoints and completed tasks of all machines.
 
     All workers share one instance: the tasks of a gang run on several machines, and checkpoints can
@@ -98,15 +98,15 @@
 
     def __init__(self) -> None:
         """Start without any tasks."""
-        self.gangs: dict[GangAttempt, dict[str, Task]] = {}
+        self.gangs: dict[GangAttempt, dict[str, TaskAttempt]] = {}
         self.saved_run_s: dict[str, float] = {}  # task -> run time saved by its checkpoint
         self.done: set[str] = set()  # tasks that have completed on any machine
 
-    def join(self, task: Task) -> None:
+    def join(self, task: TaskAttempt) -> None:
         """Add a task to its gang."""
         self.gangs.setdefault(task.gang_attempt, {})[task.name] = task
 
-    def leave(self, task: Task, now: float, notice_s: float) -> None:
+    def leave(self, task: TaskAttempt, now: float, notice_s: float) -> None:
         """Remove a task that has ended early; the running ones notice that after `notice_s`."""
         peers = self.gangs.get(task.gang_attempt, {})
         peers.pop(task.name, None)
@@ -115,7 +115,7 @@
                 if peer.phase == wire.RUNNING:
                     peer.peer_loss_noticed_at = min(peer.peer_loss_noticed_at, now + notice_s)
 
-    def is_complete(self, task: Task) -> bool:
+    def is_complete(self, task: TaskAttempt) -> bool:
         """Whether all tasks of the gang have started and fetched their image."""
         peers = self.gangs.get(task.gang_attempt, {})
         return len(peers) == task.required_spec.task_count and all(
@@ -138,17 +138,18 @@
         zone: str,
         spot: bool,  # noqa: FBT001 - a property of the machine
         times: WorkerTimes,
-        mates: Mates,
-        describe: Callable[[str], JobSpec | None],
-        fate: Callable[[str, JobSpec], Fate],
+        shared_tasks: SharedTaskState,
+        find_spec: Callable[[str], JobSpec | None],
+        plan_outcome: Callable[[str, JobSpec], TaskOutcome],
         now: float,
         speed: float = 1.0,
     ) -> None:
         """Start the first session, without any tasks.
 
         `host`: the machine's id; `address`: where the worker accepts direct commands;
-        `describe`: finds a job's description by its id, as users have uploaded it;
-        `fate`: decides how a task ends; `speed`: speed-up factor of image fetches and checkpoints.
+        `find_spec`: finds a job's description by its id, as users have uploaded it;
+        `plan_outcome`: decides how a task ends;
+        `speed`: speed-up factor of image fetches and checkpoints.
         """
         self.host = host
         self.address = address
@@ -156,9 +157,9 @@
         self.zone = zone
         self.spot = spot
         self.times = times
-        self.mates = mates
-        self.describe = describe
-        self.fate = fate
+        self.shared_tasks = shared_tasks
+        self.find_spec = find_spec
+        self.plan_outcome = plan_outcome
         self.speed = speed
         self.now = now
         self.incarnation = 1  # number of the current session
@@ -166,8 +167,8 @@
         self.fencing_token = 0  # the highest fencing token seen
         # When the last answered heartbeat was sent, or the session started.
         self.lease_renewed_at = now
-        self.tasks: dict[tuple[str, int], Task] = {}  # by name and attempt, until forgotten
-        self.running_tasks: dict[str, Task] = {}  # the tasks that have not ended, by name
+        self.tasks: dict[tuple[str, int], TaskAttempt] = {}  # by name and attempt, until forgotten
+        self.running_tasks: dict[str, TaskAttempt] = {}  # the tasks that have not ended, by name
         self.reserved = NO_RESOURCES
         self.images: set[str] = set()
         self.notice_at: float | None = None  # when the cloud reclaims the machine, once announced
@@ -183,13 +184,13 @@
             self.end_session()
             return
         for task in list(self.running_tasks.values()):
-            if not task.over:
+            if not task.has_ended:
                 self._advance(task, elapsed_s)
 
     def end_session(self) -> None:
         """End all tasks without reporting them, and start the next session."""
         for task in self.running_tasks.values():
-            self.mates.leave(task, self.now, self.times.gang_peer_s)
+            self.shared_tasks.leave(task, self.now, self.times.gang_peer_s)
         self.tasks.clear()
         self.running_tasks.clear()
         self.reserved = NO_RESOURCES
@@ -198,11 +199,11 @@
         self.lease_renewed_at = self.now
         self.changes += 1
 
-    def _advance(self, task: Task, elapsed_s: float) -> None:
+    def _advance(self, task: TaskAttempt, elapsed_s: float) -> None:
         if task.phase == wire.PULLING_IMAGE:
             self._pull_image(task, elapsed_s)
         elif task.phase == wire.WAITING_FOR_GANG:
-            if self.mates.is_complete(task):
+            if self.shared_tasks.is_complete(task):
                 self._enter_phase(task, wire.RUNNING)
             elif self.now - task.phase_since > self.times.gang_wait_s:
                 self._exit(task, GANG_INCOMPLETE)
@@ -213,7 +214,7 @@
             if task.remaining_s <= 0:
                 self._exit(task, STOPPED, stored=True)
 
-    def _pull_image(self, task: Task, elapsed_s: float) -> None:
+    def _pull_image(self, task: TaskAttempt, elapsed_s: float) -> None:
         image = task.required_spec.image
         task.remaining_s -= elapsed_s
         if task.remaining_s <= 0 or image in self.images:
@@ -221,7 +222,7 @@
             next_phase = wire.WAITING_FOR_GANG if task.is_gang_member else wire.RUNNING
             self._enter_phase(task, next_phase)
 
-    def _run(self, task: Task, elapsed_s: float) -> None:
+    def _run(self, task: TaskAttempt, elapsed_s: float) -> None:
         if self.now >= task.peer_loss_noticed_at:
             self._exit(task, GANG_PEER_LOST)
             return
@@ -229,35 +230,35 @@
         if task.remaining_s > 0:
             return
         if task.planned_cause == wire.DONE:
-            self.mates.done.add(task.name)
+            self.shared_tasks.done.add(task.name)
         self._exit(task, task.planned_cause)
 
-    def _enter_phase(self, task: Task, phase: str) -> None:
+    def _enter_phase(self, task: TaskAttempt, phase: str) -> None:
         task.phase, task.phase_since = phase, self.now
         self.changes += 1
         if phase == wire.RUNNING:
             self._begin_run(task)
 
-    def _begin_run(self, task: Task) -> None:
+    def _begin_run(self, task: TaskAttempt) -> None:
         """Start the run and decide how it will end; a task completed before ends at once."""
-        if task.name in self.mates.done:
+        if task.name in self.shared_tasks.done:
             self._exit(task, wire.DONE)
             return
-        fate = self.fate(task.name, task.required_spec)
-        task.remaining_s = fate.seconds - self.mates.saved_run_s.get(task.name, 0.0)
-        task.planned_cause = fate.cause
+        outcome = self.plan_outcome(task.name, task.required_spec)
+        task.remaining_s = outcome.seconds - self.shared_tasks.saved_run_s.get(task.name, 0.0)
+        task.planned_cause = outcome.cause
         if task.remaining_s <= 0:
             self._run(task, 0.0)
 
     def _exit(
         self,
-        task: Task,
+        task: TaskAttempt,
         cause: str,
         stored: bool | None = None,  # noqa: FBT001 - overriders pass it by position
     ) -> None:
         """End a task; subclasses override this to record it."""
         if cause != wire.DONE:
-            self.mates.leave(task, self.now, self.times.gang_peer_s)
+            self.shared_tasks.leave(task, self.now, self.times.gang_peer_s)
         task.exit(cause, stored=stored)
         del self.running_tasks[task.name]
         self.reserved = self.reserved.minus(task.resources)
@@ -273,7 +274,7 @@
 
     # ---- commands ------------------------------------------------------------------------
 
-    def answered(
+    def handle_heartbeat_response(
         self,
         sent_at: float,
         incarnation: int,
@@ -292,7 +293,9 @@
         self.execute(commands)
         return True
 
-    def direct(self, fencing_token: int, incarnation: int, commands: Sequence[TaskCommand]) -> bool:
+    def handle_direct_commands(
+        self, fencing_token: int, incarnation: int, commands: Sequence[TaskCommand]
+    ) -> bool:
         """Execute commands sent outside of a heartbeat response; False if they were rejected."""
         if not self._accepts(fencing_token, incarnation):
             return False
@@ -322,16 +325,16 @@
                 self.start(command.task_id, command.attempt)
         elif task is None:
             return
-        elif command.verb == wire.FORGET and task.over:
+        elif command.verb == wire.FORGET and task.has_ended:
             del self.tasks[attempt_key]
-        elif command.verb == wire.KILL and not task.over:
+        elif command.verb == wire.KILL and not task.has_ended:
             self._kill(task, command.grace_s or 0.0)
 
     def start(self, name: str, attempt: int) -> None:
         """Start an attempt of a task; if that is not possible, it ends at once with a cause."""
         job_id, _, number = name.rpartition("/")
-        spec = self.describe(job_id)
-        task = self.tasks[(name, attempt)] = Task(name, attempt, spec, self.now)
+        spec = self.find_spec(job_id)
+        task = self.tasks[(name, attempt)] = TaskAttempt(name, attempt, spec, self.now)
         self.changes += 1
         if spec is None or not number.isdecimal() or int(number) >= spec.task_count:
             task.exit(NO_SUCH_TASK)
@@ -342,25 +345,25 @@
         else:
             self._admit(task, spec)
 
-    def _admit(self, task: Task, spec: JobSpec) -> None:
+    def _admit(self, task: TaskAttempt, spec: JobSpec) -> None:
         self.running_tasks[task.name] = task
         self.reserved = self.reserved.plus(task.resources)
         task.remaining_s = spec.image_gb / self.machine_type.image_pull_gb_per_s / self.speed
         if task.is_gang_member:
-            self.mates.join(task)
+            self.shared_tasks.join(task)
         if task.remaining_s <= 0:
             self._advance(task, 0.0)
 
     def _free_resources(self) -> Resources:
         return self.machine_type.capacity.minus(self.reserved)
 
-    def _kill(self, task: Task, grace_s: float) -> None:
+    def _kill(self, task: TaskAttempt, grace_s: float) -> None:
         """Stop a task, after a checkpoint if its job takes any and one fits into `grace_s`."""
         spec = task.required_spec
         can_checkpoint = spec.checkpoint_interval_s > 0 and grace_s >= spec.checkpoint_cost_s
         if task.phase == wire.RUNNING and can_checkpoint:
-            run_s = self.fate(task.name, spec).seconds
-            self.mates.saved_run_s[task.name] = max(0.0, run_s - task.remaining_s)
+            run_s = self.plan_outcome(task.name, spec).seconds
+            self.shared_tasks.saved_run_s[task.name] = max(0.0, run_s - task.remaining_s)
             task.remaining_s = spec.checkpoint_cost_s / self.speed
             task.phase = wire.CHECKPOINTING
             self.changes += 1
--- a/umberward/scheduling/objectives.py
+++ b/umberward/scheduling/objectives.py
@@ -57,9 +57,9 @@
         if objective.job_class is not None:
             _add_class_objective(parsed.by_class, objective.job_class, objective)
             if objective.within_s:
-                aim = parsed.strictest.get(objective.job_class, NO_STRICTEST_OBJECTIVES)
-                parsed.strictest[objective.job_class] = _stricter_aim(
-                    aim, objective.kind, objective.within_s
+                strictest = parsed.strictest.get(objective.job_class, NO_STRICTEST_OBJECTIVES)
+                parsed.strictest[objective.job_class] = _stricter_objectives(
+                    strictest, objective.kind, objective.within_s
                 )
     return parsed
 
@@ -76,9 +76,15 @@
         found.finish_within_s.append(objective.within_s)
 
 
-def _stricter_aim(aim: StrictestObjectives, kind: str, within_s: float) -> StrictestObjectives:
+def _stricter_objectives(
+    strictest: StrictestObjectives, kind: str, within_s: float
+) -> StrictestObjectives:
     if kind == START_KIND:
-        return aim._replace(start_within_s=min(aim.start_within_s or within_s, within_s))
+        return strictest._replace(
+            start_within_s=min(strictest.start_within_s or within_s, within_s)
+        )
     if kind == FINISH_KIND:
-        return aim._replace(finish_within_s=min(aim.finish_within_s or within_s, within_s))
-    return aim
+        return strictest._replace(
+            finish_within_s=min(strictest.finish_within_s or within_s, within_s)
+        )
+    return strictest
--- a/umberward/scheduling/service_order.py
+++ b/umberward/scheduling/service_order.py
@@ -29,7 +29,7 @@
 NOT_GUARANTEED = 1
 
 
-class _ServiceRank(NamedTuple):
+class _ServiceSortKey(NamedTuple):
     """Sort key of a waiting job, smallest first; `position` makes the sort stable."""
 
     faulty: bool
@@ -77,7 +77,7 @@
         late_jobs = self.deadline_triage.late_jobs
         ranked = [
             (
-                _ServiceRank(
+                _ServiceSortKey(
                     job.faulty,
                     self.waiting_jobs.expected_precedence(job),
                     job.id in late_jobs,
--- a/umberward/soak/checker.py
+++ b/umberward/soak/checker.py
@@ -27,7 +27,7 @@
     at: float
     rule: str
     job: str
-    what: str
+    detail: str
 
 
 class RunningAttempt(NamedTuple):
@@ -38,22 +38,22 @@
 
 
 class Checker:
-    """Processes events in order of time and collects violations in `broken`."""
+    """Processes events in order of time and collects the violations."""
 
     def __init__(self, teams: list[TeamQuota], cancel_s: float) -> None:
         """`cancel_s`: time after its confirmation within which a cancellation must take effect."""
         self.teams = {team.name: team for team in teams}
         self.cancel_s = cancel_s
-        self.broken: list[Violation] = []
+        self.violations: list[Violation] = []
         self.jobs: dict[str, Submitted] = {}
         self.machines: dict[str, MachineUp] = {}
         self.still: set[str] = set()  # machines that hang
-        self.running: dict[str, list[RunningAttempt]] = {}  # task -> its live attempts
+        self.running_attempts: dict[str, list[RunningAttempt]] = {}  # task -> its live attempts
         self.tasks_on: dict[str, set[str]] = {}  # machine -> tasks
-        self.done: dict[str, set[str]] = {}  # job -> tasks that have completed
+        self.completed_tasks: dict[str, set[str]] = {}  # job -> tasks that have completed
         # Each with machine, session, task and attempt.
         self.started_attempts: set[tuple[str, int, str, int]] = set()
-        self.accepted: dict[str, float] = {}  # job -> when its user was told
+        self.accepted_at: dict[str, float] = {}  # job -> when its user was told
         # Job -> phase, when its user was told.
         self.confirmed_ends: dict[str, tuple[str, float]] = {}
         self.cancel_requested: set[str] = set()
@@ -103,11 +103,11 @@
                     self.reported_overdue.add(task)
                     self._report(now, "ran_cancelled", job, f"{task} on {host}")
 
-    def unfinished(self) -> list[str]:
+    def unfinished_jobs(self) -> list[str]:
         """Accepted jobs whose end has not been reported to a user yet."""
-        return [job for job in self.accepted if job not in self.confirmed_ends]
+        return [job for job in self.accepted_at if job not in self.confirmed_ends]
 
-    def forgotten(self, now: float, job: str, controller: str) -> None:
+    def report_forgotten(self, now: float, job: str, controller: str) -> None:
         """Report that the controller answered no poll of the job in time after all faults."""
         self._report(now, "forgotten", job, f"by {controller}, troubles over")
 
@@ -115,7 +115,7 @@
         """Check that no job waits long while a machine has room. Call it only after all faults."""
         self.faults_over_since = now if self.faults_over_since is None else self.faults_over_since
         used = self._cores_used_by_machine()
-        for job in self.unfinished():
+        for job in self.unfinished_jobs():
             if self._makes_no_progress(self.jobs[job], now) and job not in self.reported_waiting:
                 self.reported_waiting.add(job)
                 self._report(now, "left_waiting", job, "its team's work stands still")
@@ -134,7 +134,7 @@
 
     def _cores_used_by_machine(self) -> dict[str, float]:
         used: dict[str, float] = {}
-        for task, alive in self.running.items():
+        for task, alive in self.running_attempts.items():
             for attempt in alive:
                 used[attempt.host] = used.get(attempt.host, 0.0) + self.jobs[_job_of(task)].cores
         return used
@@ -146,7 +146,7 @@
         """
         if spec.shape == wire.GANG or spec.same_place or spec.apart:
             return False
-        started_tasks = len(self._tasks_of(spec.job)) + len(self.done.get(spec.job, ()))
+        started_tasks = len(self._tasks_of(spec.job)) + len(self.completed_tasks.get(spec.job, ()))
         if started_tasks >= spec.shards or not self._within_quota(spec):
             return False
         return any(
@@ -163,7 +163,7 @@
     def _cores_used_by_team(self, owner: str) -> float:
         return sum(
             self.jobs[_job_of(task)].cores * len(alive)
-            for task, alive in self.running.items()
+            for task, alive in self.running_attempts.items()
             if alive and self.jobs[_job_of(task)].owner == owner
         )
 
@@ -178,7 +178,7 @@
                 event.at, "restarted", job, f"{event.task} attempt {event.attempt} on {event.host}"
             )
         self.started_attempts.add(started)
-        alive = self.running.setdefault(event.task, [])
+        alive = self.running_attempts.setdefault(event.task, [])
         for other in alive:
             there = f"{other.host} (attempt {other.attempt})"
             here = f"{event.host} (attempt {event.attempt})"
@@ -229,23 +229,25 @@
             self._report(event.at, "quota", spec.job, f"{spec.owner} uses {used:g} cores")
 
     def _handle_task_ended(self, event: TaskEnded) -> None:
-        alive = self.running.get(event.task, [])
+        alive = self.running_attempts.get(event.task, [])
         ended = RunningAttempt(event.host, event.attempt)
         if ended in alive:
             alive.remove(ended)
         if not any(attempt.host == event.host for attempt in alive):
             self.tasks_on.get(event.host, set()).discard(event.task)
         if event.cause == wire.DONE:
-            self.done.setdefault(_job_of(event.task), set()).add(event.task)
+            self.completed_tasks.setdefault(_job_of(event.task), set()).add(event.task)
 
     def _end_attempts_on(self, host: str) -> None:
         for task in self.tasks_on.pop(host, set()):
-            self.running[task] = [attempt for attempt in self.running[task] if attempt.host != host]
+            self.running_attempts[task] = [
+                attempt for attempt in self.running_attempts[task] if attempt.host != host
+            ]
 
     def _tasks_of(self, job: str) -> list[tuple[str, str]]:
         return [
             (task, attempt.host)
-            for task, alive in self.running.items()
+            for task, alive in self.running_attempts.items()
             if alive and _job_of(task) == job
             for attempt in alive
         ]
@@ -255,7 +257,7 @@
     def _handle_answer(self, event: Answered) -> None:
         if event.status == 0:
             return
-        known_before = self.accepted.get(event.job, event.at) < event.asked_at
+        known_before = self.accepted_at.get(event.job, event.at) < event.asked_at
         spec = self.jobs.get(event.job)
         if event.status == HTTPStatus.NOT_FOUND and known_before:
             self._report(event.at, "forgotten", event.job, f"404 by {event.controller}")
@@ -267,7 +269,7 @@
             self._report(event.at, "invented", event.job, f"{event.phase} by {event.controller}")
             return
         if event.kind == "submit":
-            self.accepted.setdefault(event.job, event.at)
+            self.accepted_at.setdefault(event.job, event.at)
             if spec.why_unfit:
                 self._report(event.at, "accepted", event.job, spec.why_unfit)
         self._check_phase(event, spec)
@@ -289,13 +291,13 @@
             self._report(event.at, "went_back", event.job, "cancelled by nobody")
         # A gang is done as soon as one of its tasks is.
         needed = 1 if spec.shape == wire.GANG else spec.shards
-        if event.phase == wire.DONE and len(self.done.get(event.job, ())) < needed:
+        if event.phase == wire.DONE and len(self.completed_tasks.get(event.job, ())) < needed:
             self._report(event.at, "not_done", event.job, f"done by {event.controller}")
         if event.phase in FINAL_PHASES and not final:
             self.confirmed_ends[event.job] = (event.phase, event.at)
 
-    def _report(self, at: float, rule: str, job: str, what: str) -> None:
-        self.broken.append(Violation(round(at, 3), rule, job, what))
+    def _report(self, at: float, rule: str, job: str, detail: str) -> None:
+        self.violations.append(Violation(round(at, 3), rule, job, detail))
 
 
 def _job_of(task: str) -> str:
--- a/umberward/soak/cluster.py
+++ b/umberward/soak/cluster.py
@@ -15,12 +15,12 @@
 from umberward.core.settings import TeamQuota
 from umberward.core.tasks import TaskScope
 from umberward.core.types import Address
-from umberward.local.cloudcore import Capacity, Machine
+from umberward.local.cloudcore import CapacityPool, Machine
 from umberward.local.cluster import ClusterPlan as LocalPlan
 from umberward.local.cluster import LocalCluster
 from umberward.local.links import Links
 from umberward.local.servers import WorkerServer
-from umberward.local.workercore import Fate, Task, WorkerCore
+from umberward.local.workercore import TaskAttempt, TaskOutcome, WorkerCore
 from umberward.protocol import wire
 from umberward.protocol.http import (
     Client,
@@ -85,10 +85,10 @@
         self.record(
             history.TaskStarted(now, self.host, self.incarnation, name, attempt, self.sent_at)
         )
-        if task.over:
+        if task.has_ended:
             self.record(history.TaskEnded(now, self.host, name, attempt, str(task.cause)))
 
-    def _exit(self, task: Task, cause: str, stored: bool | None = None) -> None:  # noqa: FBT001 - as in the base
+    def _exit(self, task: TaskAttempt, cause: str, stored: bool | None = None) -> None:  # noqa: FBT001 - as in the base
         super()._exit(task, cause, stored)
         self.record(history.TaskEnded(self.clock(), self.host, task.name, task.attempt, cause))
 
@@ -142,7 +142,7 @@
             return None
 
         async def send_over_link() -> None:
-            response = await self.links.carry(self.host, self.names[address], target, deliver)
+            response = await self.links.exchange(self.host, self.names[address], target, deliver)
             if response is not None:
                 responses.append(response)
                 await settled.set()
@@ -153,7 +153,7 @@
                 await self.client.request(address, method, target, body, timeout)
 
         await self.message_tasks.spawn(send_over_link)
-        duplicate_after_s = self.links.copied_after(self.host, self.names[address], target)
+        duplicate_after_s = self.links.duplicate_delay_s(self.host, self.names[address], target)
         if duplicate_after_s is not None:
             await self.message_tasks.spawn(send_duplicate, duplicate_after_s)
         await curio.ignore_after(timeout, settled.wait)
@@ -173,12 +173,12 @@
     hosts_used = 0  # loopback addresses given out
 
     @staticmethod
-    def local_plan(of: plan.Plan) -> LocalPlan:
+    def local_plan(soak_plan: plan.Plan) -> LocalPlan:
         """The plan of the local cluster for a plan of a soak."""
         return LocalPlan(
             controllers=plan.CONTROLLER_COUNT,
-            teams=teams(of.size),
-            seed=of.seed,
+            teams=teams(soak_plan.size),
+            seed=soak_plan.seed,
             graphs=False,
             speed=SPEED,
             workers=plan.WORKER_TIMES,
@@ -186,36 +186,40 @@
             properties={"idle.seconds": "3600", "lease.seconds": "1.5", "silence.seconds": "2"},
         )
 
-    def __init__(self, of: LocalPlan, folder: Path) -> None:
+    def __init__(self, local_plan: LocalPlan, folder: Path) -> None:
         """Start nothing yet. `folder`: for the controllers' settings and logs."""
-        super().__init__(of, folder)
+        super().__init__(local_plan, folder)
         self.links = Links(self.rng)
         self.run_started_at = time.monotonic()
         self.record = _ignore_event
         self.specs: dict[str, JobSpec] = {}  # of all jobs that users have submitted
-        self.runs: dict[str, float] = {}  # run time of a task of the job, in seconds
+        self.task_runtimes_s: dict[str, float] = {}  # job -> run time of each of its tasks
         self.killed_controllers: set[int] = set()  # controllers that the soak has killed
         self.takeovers = 0
-        self.token: int | None = None  # of the current leader
+        self.leader_token: int | None = None
         self.relays: dict[tuple[str, str], Server] = {}
-        for src in self.names:
-            for dst in self.names:
+        for src in self.controller_names:
+            for dst in self.controller_names:
                 if src != dst:
                     relay = Server(
-                        self._addresses(1)[0], self._relay_handler(src, dst), MAX_SERVER_SOCKETS
+                        self._free_addresses(1)[0],
+                        self._relay_handler(src, dst),
+                        MAX_SERVER_SOCKETS,
                     )
                     self.relays[src, dst] = relay
         for number, server in enumerate(self.state.servers):
-            server.handler = self._link_handler(self.names[number], STATE, server.handler)
+            server.handler = self._link_handler(
+                self.controller_names[number], STATE, server.handler
+            )
         self.cloud.server.handler = self._link_handler("keeper-*", CLOUD, self.cloud.server.handler)
         self.cloud.core.capacity = {
-            Capacity(machine_type.name, zone, spot): RENTABLE_PER_POOL
-            for machine_type in of.machines
+            CapacityPool(machine_type.name, zone, spot): RENTABLE_PER_POOL
+            for machine_type in local_plan.machines
             for zone in machine_type.zones
             for spot in (True, False)
         }
 
-    def _addresses(self, count: int) -> list[Address]:
+    def _free_addresses(self, count: int) -> list[Address]:
         """Loopback addresses that no other process uses.
 
         An outgoing connection may take any port of 127.0.0.1 at any time.
@@ -236,7 +240,7 @@
 
     def _link_handler(self, src: str, dst: str, handler: Handler) -> Handler:
         async def handle(request: Request) -> Response:
-            response = await self.links.carry(
+            response = await self.links.exchange(
                 src, dst, _request_target(request), lambda: handler(request)
             )
             return response if response is not None else await _withhold_response()
@@ -245,7 +249,7 @@
 
     def _relay_handler(self, src: str, dst: str) -> Handler:
         """A handler that forwards requests from one controller to another over their link."""
-        dst_address = self.peers[self.names.index(dst)]
+        dst_address = self.peers[self.controller_names.index(dst)]
 
         async def forward(request: Request) -> Response:
             try:
@@ -264,12 +268,12 @@
     def _settings(self, number: int) -> dict[str, Any]:
         settings = super()._settings(number)
         for peer in settings["peers"]:
-            peer["addr"] = str(self.relays[self.names[number], peer["label"]].address)
+            peer["addr"] = str(self.relays[self.controller_names[number], peer["label"]].address)
         return settings
 
     async def _start(self) -> None:
         for relay in self.relays.values():
-            await self.group.spawn(relay.run)
+            await self.task_scope.spawn(relay.run)
         await super()._start()
 
     # ---- machines ------------------------------------------------------------------------
@@ -282,14 +286,14 @@
             machine_type = machine_types[INITIAL_MACHINE_TYPES[number % len(INITIAL_MACHINE_TYPES)]]
             zone = machine_type.zones[number % len(machine_type.zones)]
             machine = Machine(
-                f"m-{number:06d}", machine_type, zone, spot=False, rented_at=now, up_at=now
+                f"m-{number:06d}", machine_type, zone, spot=False, rented_at=now, boots_at=now
             )
-            machine.up = True
+            machine.booted = True
             self.cloud.core.machines[machine.id] = machine
-            await self._up(machine, now)
+            await self._start_worker(machine, now)
 
-    def _worker(self, machine: Machine, now: float) -> WorkerServer:
-        core: Any = self._core(machine, now)
+    def _new_worker_server(self, machine: Machine, now: float) -> WorkerServer:
+        core: Any = self._new_worker_core(machine, now)
         core.record, core.clock = self.record, self.now
         self.record(
             history.MachineUp(
@@ -301,9 +305,11 @@
                 machine.machine_type.cores,
             )
         )
-        names = {address: name for name, address in self.nodes.items()}
-        client: Any = FaultInjectingClient(self.client, self.links, core, names, self.group)
-        worker = WorkerServer(core, self.nodes, self.workers_said.report_s, client, self.rng)
+        names = {address: name for name, address in self.controller_addresses.items()}
+        client: Any = FaultInjectingClient(self.client, self.links, core, names, self.task_scope)
+        worker = WorkerServer(
+            core, self.controller_addresses, self.worker_times.report_s, client, self.rng
+        )
         worker.server.socket_budget.limit = worker.server.socket_budget.client_limit = (
             MAX_SERVER_SOCKETS
         )
@@ -328,14 +334,14 @@
                 finally:
                     core.sent_at = self.now()
 
-            src = self.names[self.leader] if self.leader is not None else "keeper-?"
-            response = await self.links.carry(src, core.host, request.path, deliver)
+            src = self.controller_names[self.leader] if self.leader is not None else "keeper-?"
+            response = await self.links.exchange(src, core.host, request.path, deliver)
             return response if response is not None else await _withhold_response()
 
         return handle
 
-    def _gone(self, machines: list[Machine]) -> None:
-        super()._gone(machines)
+    def _remove_workers(self, machines: list[Machine]) -> None:
+        super()._remove_workers(machines)
         for machine in machines:
             self.record(history.SessionOver(self.now(), machine.id))
             self.record(history.MachineGone(self.now(), machine.id))
@@ -352,45 +358,45 @@
             core.tick(time.monotonic())
         self.record(history.MachineStill(self.now(), host, still))
 
-    def describe(self, job_id: str) -> JobSpec | None:
+    def find_spec(self, job_id: str) -> JobSpec | None:
         """The specification of a job as its user submitted it."""
         return self.specs.get(job_id)
 
-    def _fate(self, host: str, name: str, spec: JobSpec) -> Fate:
+    def _plan_outcome(self, host: str, name: str, spec: JobSpec) -> TaskOutcome:
         if spec.kind == wire.SERVICE:
-            return Fate(ENDLESS_S)
-        return Fate(self.runs[spec.job_id])
+            return TaskOutcome(ENDLESS_S)
+        return TaskOutcome(self.task_runtimes_s[spec.job_id])
 
-    def _end(self) -> None:
-        self.killed_controllers.update(range(len(self.children)))
-        super()._end()
+    def _stop_processes(self) -> None:
+        self.killed_controllers.update(range(len(self.controller_processes)))
+        super()._stop_processes()
 
     # ---- controllers ---------------------------------------------------------------------
 
-    def kill(self, number: int, restart_delay_s: float) -> None:
+    def kill_controller(self, number: int, restart_delay_s: float) -> None:
         """Kill a controller; it restarts `restart_delay_s` seconds after its exit."""
-        child = self.children[number]
+        child = self.controller_processes[number]
         if child is not None:
-            self.come_back_s[number] = restart_delay_s
+            self.restart_delays_s[number] = restart_delay_s
             self.killed_controllers.add(number)
             child.kill()
 
     def set_stopped(self, number: int, *, stopped: bool) -> None:
         """Send SIGSTOP (`stopped`) or SIGCONT to a controller."""
-        child = self.children[number]
+        child = self.controller_processes[number]
         if child is not None and child.poll() is None:
             child.send_signal(signal.SIGSTOP if stopped else signal.SIGCONT)
 
-    def _child_ended(self, number: int, code: int) -> None:
+    def _controller_exited(self, number: int, code: int) -> None:
         by_us = number in self.killed_controllers
         self.killed_controllers.discard(number)
-        self.record(history.ProcessEnded(self.now(), self.names[number], code, by_us))
+        self.record(history.ProcessEnded(self.now(), self.controller_names[number], code, by_us))
 
     def observe(self) -> None:
         """Record a change of leader. Raises HarnessError if a worker's task has ended."""
         leader_record = self.state.core.keys.get("leader")
-        if leader_record is not None and self.token != leader_record.version:
-            self.token = leader_record.version
+        if leader_record is not None and self.leader_token != leader_record.version:
+            self.leader_token = leader_record.version
             self.takeovers += 1
             name = str(leader_record.data["node"])
             self.record(history.LeaderChanged(self.now(), name, leader_record.version))
--- a/umberward/soak/plan.py
+++ b/umberward/soak/plan.py
@@ -21,7 +21,7 @@
 KILLS_IN_SERIES = 3  # leaders killed one after another
 
 
-class PlanError(Exception):
+class InvalidOptionError(Exception):
     """A command line option is invalid; the text names the option."""
 
 
@@ -72,12 +72,12 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """A planned fault. `at_s`: seconds after the start; `machines`: how many it affects."""
+    """A planned fault. `at_s`: seconds after the start; `machine_count`: how many it affects."""
 
     at_s: float
     kind: FaultKind
-    for_s: float
-    machines: int
+    duration_s: float
+    machine_count: int
 
 
 class Plan(msgspec.Struct, frozen=True):
@@ -88,30 +88,35 @@
     faults: list[Fault]
 
 
-def kinds(names: list[str]) -> list[FaultKind]:
-    """The kinds with these names, or all if there are none. Raises PlanError if one is unknown."""
+def fault_kinds_by_name(names: list[str]) -> list[FaultKind]:
+    """The kinds with these names, or all if there are none.
+
+    Raises InvalidOptionError if one is unknown.
+    """
     unknown = [name for name in names if name not in list(FaultKind)]
     if unknown:
-        raise PlanError(f"--fault: unknown kind of fault {unknown[0]!r}")
+        raise InvalidOptionError(f"--fault: unknown kind of fault {unknown[0]!r}")
     return [FaultKind(name) for name in names] or list(FaultKind)
 
 
-def size(name: str) -> Size:
-    """The size with this name. Raises PlanError if it is unknown."""
+def size_by_name(name: str) -> Size:
+    """The size with this name. Raises InvalidOptionError if it is unknown."""
     if name not in SIZES:
-        raise PlanError(f"--size: {name!r} is not one of {', '.join(SIZES)}")
+        raise InvalidOptionError(f"--size: {name!r} is not one of {', '.join(SIZES)}")
     return SIZES[name]
 
 
-def draw(seed: int, of: Size, kinds: list[FaultKind]) -> Plan:
+def draw_plan(seed: int, size: Size, kinds: list[FaultKind]) -> Plan:
     """Draw a random plan; the same seed, size and kinds give the same faults and times."""
     rng = random.Random(f"soak {seed}")
     faults: list[Fault] = []
     at_s = FIRST_FAULT_AT_S
-    while at_s < of.seconds:
+    while at_s < size.seconds:
         for kind in rng.sample(kinds, min(rng.randint(1, MAX_SIMULTANEOUS_FAULTS), len(kinds))):
             duration_s = rng.choice([*FAULT_DURATIONS_S, LONGEST_FAULT_S])
-            machines = max(1, round(of.workers * rng.choice((0.1, 0.3, 1.0))))
-            faults.append(Fault(round(at_s + rng.uniform(0.0, 2.0), 2), kind, duration_s, machines))
+            machine_count = max(1, round(size.workers * rng.choice((0.1, 0.3, 1.0))))
+            faults.append(
+                Fault(round(at_s + rng.uniform(0.0, 2.0), 2), kind, duration_s, machine_count)
+            )
         at_s += rng.uniform(2.0, 9.0)
-    return Plan(seed, of, sorted(faults, key=lambda fault: fault.at_s))
+    return Plan(seed, size, sorted(faults, key=lambda fault: fault.at_s))
--- a/umberward/soak/runner.py
+++ b/umberward/soak/runner.py
@@ -54,33 +54,33 @@
     timeline: list[str] = []
 
 
-class Run:
+class SoakRun:
     """The run of one plan."""
 
-    def __init__(self, of: plan.Plan) -> None:
+    def __init__(self, soak_plan: plan.Plan) -> None:
         """Start nothing yet."""
-        self.of = of
-        self.checker = Checker(teams(of.size), plan.WORKER_TIMES.cancel_s)
+        self.soak_plan = soak_plan
+        self.checker = Checker(teams(soak_plan.size), plan.WORKER_TIMES.cancel_s)
         self.events: list[Event] = []
         self.kills = 0
         self.unfinished = 0  # jobs not finished when the run ended
 
-    async def play(self) -> Result:
+    async def execute(self) -> Result:
         """Run the plan on a cluster of its own.
 
         Raises HarnessError or RuntimeError if the soak itself fails.
         """
         started_at = time.monotonic()
         folder = Path(tempfile.mkdtemp(prefix="umberward-soak-"))
-        cluster = SoakCluster(SoakCluster.local_plan(self.of), folder)
+        cluster = SoakCluster(SoakCluster.local_plan(self.soak_plan), folder)
         cluster.record = self._record
         try:
             try:
-                async with cluster.group:
+                async with cluster.task_scope:
                     await cluster._start()
                     await self._run_plan(cluster)
             finally:
-                cluster._end()
+                cluster._stop_processes()
             return self._result(cluster, time.monotonic() - started_at, folder)
         finally:
             shutil.rmtree(folder, ignore_errors=True)
@@ -92,25 +92,25 @@
             self.kills += event.by_us
 
     async def _run_plan(self, cluster: SoakCluster) -> None:
-        rng = random.Random(f"users {self.of.seed}")
-        await cluster.add_machines(self.of.size.workers)
+        rng = random.Random(f"users {self.soak_plan.seed}")
+        await cluster.add_machines(self.soak_plan.size.workers)
         cluster.run_started_at = time.monotonic()
-        users = Users(cluster, rng, self.of.size.jobs_per_s)
-        faults = FaultInjector(cluster, users)
+        users = Users(cluster, rng, self.soak_plan.size.jobs_per_s)
+        fault_injector = FaultInjector(cluster, users)
         # The run ends with the scenario, or as soon as the monitor fails.
         async with curio.TaskGroup(wait=any) as group:
             await group.spawn(self._monitor, cluster)
-            await group.spawn(self._run_scenario, cluster, users, faults)
+            await group.spawn(self._run_scenario, cluster, users, fault_injector)
         if group.exception is not None:
             raise group.exception
 
     async def _run_scenario(
-        self, cluster: SoakCluster, users: Users, faults: FaultInjector
+        self, cluster: SoakCluster, users: Users, fault_injector: FaultInjector
     ) -> None:
-        submitting = await cluster.group.spawn(users.run, self.of.size.seconds)
-        await faults.run(self.of.faults)
+        submitting = await cluster.task_scope.spawn(users.run, self.soak_plan.size.seconds)
+        await fault_injector.run(self.soak_plan.faults)
         await submitting.join()
-        await faults.end_all()
+        await fault_injector.end_all()
         await self._drain(cluster, users)
 
     async def _monitor(self, cluster: SoakCluster) -> None:
@@ -122,20 +122,22 @@
     async def _drain(self, cluster: SoakCluster, users: Users) -> None:
         """Check after all faults that each controller knows each job and that all jobs progress."""
         faults_over_at = cluster.now()
-        unconfirmed = [(job, name) for job in self.checker.accepted for name in cluster.names]
+        unconfirmed = [
+            (job, name) for job in self.checker.accepted_at for name in cluster.controller_names
+        ]
         while unconfirmed and cluster.now() < faults_over_at + KNOWN_EVERYWHERE_WITHIN_S:
             unconfirmed = [
                 (job, name) for job, name in unconfirmed if await self._is_unknown(users, job, name)
             ]
         for job, name in unconfirmed:
-            self.checker.forgotten(cluster.now(), job, name)
+            self.checker.report_forgotten(cluster.now(), job, name)
         await users.cancel_services()
-        while self.checker.unfinished() and cluster.now() < faults_over_at + MAX_DRAIN_S:
-            for job in self.checker.unfinished():
+        while self.checker.unfinished_jobs() and cluster.now() < faults_over_at + MAX_DRAIN_S:
+            for job in self.checker.unfinished_jobs():
                 await users.send_request("poll", job)
             self.checker.check_waiting_jobs(cluster.now())
             await curio.sleep(0.5)
-        self.unfinished = len(self.checker.unfinished())
+        self.unfinished = len(self.checker.unfinished_jobs())
 
     async def _is_unknown(self, users: Users, job: str, name: str) -> bool:
         return await users.send_request("poll", job, name) != HTTPStatus.OK
@@ -144,10 +146,10 @@
 
     def _result(self, cluster: SoakCluster, seconds: float, folder: Path) -> Result:
         usage = resource.getrusage(resource.RUSAGE_CHILDREN)
-        kinds = [fault.kind.value for fault in self.of.faults]
+        kinds = [fault.kind.value for fault in self.soak_plan.faults]
         return Result(
-            seed=self.of.seed,
-            workers=self.of.size.workers,
+            seed=self.soak_plan.seed,
+            workers=self.soak_plan.size.workers,
             faults={kind: kinds.count(kind) for kind in sorted(set(kinds))},
             jobs=len(self.checker.jobs),
             starts=self.checker.starts,
@@ -157,16 +159,16 @@
             late_in_flight=self.checker.late_in_flight,
             late_sent_after=self.checker.late_sent_after,
             unfinished=self.unfinished,
-            broken=self.checker.broken,
+            broken=self.checker.violations,
             processor_s=round(usage.ru_utime + usage.ru_stime, 1),
             memory_mb=round(usage.ru_maxrss / KIB_PER_MIB, 1),
             seconds=round(seconds, 1),
-            timeline=self._timeline(cluster, folder) if self.checker.broken else [],
+            timeline=self._timeline(cluster, folder) if self.checker.violations else [],
         )
 
     def _timeline(self, cluster: SoakCluster, folder: Path) -> list[str]:
         """Events and log lines about the job of the first violation, with faults and leaders."""
-        broken = self.checker.broken[0]
+        broken = self.checker.violations[0]
         always_shown = (history.FaultBegan, history.LeaderChanged, history.ProcessEnded)
         events = [
             history.format_event(event)
@@ -175,10 +177,10 @@
             and (isinstance(event, always_shown) or _is_about(event, broken.job))
         ]
         lines = [
-            f"{broken.at:.3f} {broken.rule}: {broken.job} {broken.what}",
+            f"{broken.at:.3f} {broken.rule}: {broken.job} {broken.detail}",
             *events[-MAX_TIMELINE_LINES:],
         ]
-        for name in cluster.names:
+        for name in cluster.controller_names:
             with contextlib.suppress(OSError):
                 text = (folder / f"{name}.log").read_text(errors="replace").splitlines()
                 matching = [line for line in text if broken.job and broken.job in line]
--- a/umberward/soak/users.py
+++ b/umberward/soak/users.py
@@ -40,31 +40,31 @@
         self.rng = rng
         self.jobs_per_s = jobs_per_s
         self.client = Client(MAX_CLIENT_SOCKETS)
-        self.count = 0
+        self.submission_count = 0
         self.live_jobs: dict[str, dict[str, Any]] = {}  # accepted and not known to have ended
 
     async def run(self, until: float) -> None:
         """Submit and poll until second `until` of the run."""
         while self.cluster.now() < until:
             await curio.sleep(self.rng.expovariate(self.jobs_per_s))
-            most = LIVE_JOBS_PER_TEN_WORKERS * max(1, len(self.cluster.workers) // 10)
-            if len(self.live_jobs) < most:
-                await self.cluster.group.spawn(self._run_job)
+            max_live_jobs = LIVE_JOBS_PER_TEN_WORKERS * max(1, len(self.cluster.workers) // 10)
+            if len(self.live_jobs) < max_live_jobs:
+                await self.cluster.task_scope.spawn(self._run_job)
             for _ in range(POLLS_PER_SUBMISSION):
                 if self.live_jobs:
                     job = self.rng.choice(list(self.live_jobs))
-                    await self.cluster.group.spawn(self.send_request, "poll", job)
+                    await self.cluster.task_scope.spawn(self.send_request, "poll", job)
 
     async def cancel_many(self, count: int) -> None:
         """Cancel `count` of the live jobs at once."""
         for job in self.rng.sample(list(self.live_jobs), min(count, len(self.live_jobs))):
-            await self.cluster.group.spawn(self.cancel, job)
+            await self.cluster.task_scope.spawn(self.cancel, job)
 
     async def cancel_services(self) -> None:
         """Cancel the services, which would never end by themselves."""
         for job, spec in list(self.live_jobs.items()):
             if spec["shape"] == wire.SERVICE:
-                await self.cluster.group.spawn(self.cancel, job)
+                await self.cluster.task_scope.spawn(self.cancel, job)
 
     # ---- one job ---------------------------------------------------------------------------
 
@@ -85,7 +85,7 @@
         if self.rng.random() < QUERIED_SHARE:
             await self._query_all_controllers(job, spec)
         if self.rng.random() < REPEATED_SHARE:
-            await self.cluster.group.spawn(self._repeat_submission, job, spec)
+            await self.cluster.task_scope.spawn(self._repeat_submission, job, spec)
         if spec["shape"] == wire.SERVICE or self.rng.random() < CANCELLED_SHARE:
             await curio.sleep(self.rng.choice((0.0, 0.1, 1.0, 2.1, 6.0)))
             await self.cancel(job)
@@ -98,9 +98,9 @@
 
     async def _query_all_controllers(self, job: str, spec: dict[str, Any]) -> None:
         gap_s = self.rng.choice(QUERY_GAPS_S)
-        for name in self.cluster.names:
-            await self.cluster.group.spawn(self.send_request, "poll", job, name)
-            await self.cluster.group.spawn(
+        for name in self.cluster.controller_names:
+            await self.cluster.task_scope.spawn(self.send_request, "poll", job, name)
+            await self.cluster.task_scope.spawn(
                 self.send_request, "submit", job, name, wire.encode(spec)
             )
             await curio.sleep(gap_s)
@@ -116,7 +116,7 @@
 
     async def send_request(self, kind: str, job: str, name: str = "", body: bytes = b"") -> int:
         """Send a request to one controller, `name` or a random one. Returns its status or 0."""
-        name = name or self.rng.choice(self.cluster.names)
+        name = name or self.rng.choice(self.cluster.controller_names)
         method, target, wait = {
             "submit": ("POST", "/v1/jobs", SUBMIT_TIMEOUT_S),
             "poll": ("GET", f"/v1/jobs/{job}", POLL_TIMEOUT_S),
@@ -126,7 +126,7 @@
         status, phase = 0, ""
         try:
             response = await self.client.request(
-                self.cluster.nodes[name], method, target, body, wait
+                self.cluster.controller_addresses[name], method, target, body, wait
             )
             status = response.status
             if status in (200, 201):
@@ -143,10 +143,10 @@
 
     def _draw_spec(self) -> dict[str, Any]:
         rng = self.rng
-        self.count += 1
+        self.submission_count += 1
         shape = rng.choices((wire.ARRAY, wire.GANG, wire.SERVICE), (6, 2, 2))[0]
         spec: dict[str, Any] = {
-            "uid": f"req-{self.count:06d}",
+            "uid": f"req-{self.submission_count:06d}",
             "jobclass": shape,
             "owner": rng.choice(("red", "blue")),
             "shape": shape,
@@ -195,7 +195,7 @@
     def _register_job(self, spec: dict[str, Any], why: str) -> None:
         job = spec["uid"]
         self.cluster.specs[job] = wire.convert(spec, wire.JobSpec)
-        self.cluster.runs[job] = self.rng.choice(TASK_RUNTIMES_S)
+        self.cluster.task_runtimes_s[job] = self.rng.choice(TASK_RUNTIMES_S)
         self.cluster.record(
             history.Submitted(
                 self.cluster.now(),
