--- a/umberward/clients/cloud_client.py
+++ b/umberward/clients/cloud_client.py
@@ -10,8 +10,8 @@
 from http import HTTPStatus
 
 from umberward.clients.errors import (
+    CloudRequestFailedError,
     CloudStatusError,
-    CloudUnavailableError,
     NoCapacityError,
     RateBudgetExceededError,
 )
@@ -28,7 +28,7 @@
     ScaleOutResponse,
 )
 
-__all__ = ["CloudClient", "CloudUnavailableError", "NoCapacityError"]
+__all__ = ["CloudClient", "CloudRequestFailedError", "NoCapacityError"]
 
 USABLE_SHARE = 0.9  # of the cloud's rate limit
 REQUEST_TIMEOUT_S = 5.0
@@ -38,8 +38,8 @@
 class CloudClient:
     """Rents, deletes and lists machines.
 
-    All operations raise CloudUnavailableError if the request was not executed, or if it failed and
-    is safe to retry.
+    All operations raise CloudRequestFailedError if the request was not executed, or if it failed
+    and is safe to retry.
     """
 
     def __init__(self, address: Address, max_requests_per_s: float, client: Client) -> None:
@@ -53,13 +53,11 @@
 
     async def machine_types(self) -> dict[MachineTypeName, MachineType]:
         """Return the offered machine types with their current prices."""
-        response = await self._send_repeatable("GET", "/flavors", "flavors")
+        response = await self._send_idempotent("GET", "/flavors", "flavors")
         offered = self._decode_machine_types(response.body).machine_types
         return {MachineTypeName(machine_type.name): machine_type for machine_type in offered}
 
-    async def scale_out(
-        self, request: ScaleOutRequest, may_send: Callable[[], bool]
-    ) -> list[MachineId]:
+    async def rent(self, request: ScaleOutRequest, may_send: Callable[[], bool]) -> list[MachineId]:
         """Rent machines; returns the rented ones, which may be fewer than requested.
 
         Raises NoCapacityError if none is available, and NoResponseError if the request may have
@@ -79,9 +77,11 @@
             raise CloudStatusError("rent", response.status)
         return [MachineId(name) for name in self._decode_scale_out(response.body).machine_ids]
 
-    async def terminate(self, machine_ids: list[MachineId], may_send: Callable[[], bool]) -> None:
-        """Delete machines; after the return, they and all their tasks have certainly ended."""
-        await self._send_repeatable(
+    async def delete_machines(
+        self, machine_ids: list[MachineId], may_send: Callable[[], bool]
+    ) -> None:
+        """Delete machines; when this returns, they and all their tasks have certainly ended."""
+        await self._send_idempotent(
             "POST", "/hosts/delete", "delete", body={"hosts": machine_ids}, may_send=may_send
         )
 
@@ -92,13 +92,13 @@
             target = f"/hosts?most={wire.MAX_MACHINES_PER_PAGE}"
             if machines:
                 target += f"&from={machines[-1].machine_id}"
-            response = await self._send_repeatable("GET", target, "list")
+            response = await self._send_idempotent("GET", target, "list")
             page = self._decode_machines(response.body)
             machines += page.machines
             if not page.more or not page.machines:
                 return machines
 
-    async def _send_repeatable(
+    async def _send_idempotent(
         self,
         method: str,
         target: str,
@@ -109,12 +109,12 @@
     ) -> Response:
         """Send an idempotent request and return its successful response.
 
-        `operation`: its name in error messages. Raises only CloudUnavailableError.
+        `operation`: its name in error messages. Raises only CloudRequestFailedError.
         """
         try:
             response = await self._send(method, target, body, may_send)
         except NoResponseError as error:
-            raise CloudUnavailableError(str(error)) from None
+            raise CloudRequestFailedError(str(error)) from None
         if response.status != HTTPStatus.OK:
             raise CloudStatusError(operation, response.status)
         return response
@@ -122,25 +122,25 @@
     async def _send(
         self, method: str, target: str, body: object, may_send: Callable[[], bool] | None
     ) -> Response:
-        """Return the response to a request. Raises CloudUnavailableError or NoResponseError."""
+        """Return the response to a request. Raises CloudRequestFailedError or NoResponseError."""
         try:
             await self.budget.take(1, URGENT, BUDGET_WAIT_S)
         except RateBudgetExceededError as error:
-            raise CloudUnavailableError(str(error)) from None
+            raise CloudRequestFailedError(str(error)) from None
         data = b"" if body is None else wire.encode(body)
         try:
             response = await self.client.request(
                 self.address, method, target, data, REQUEST_TIMEOUT_S, may_send=may_send
             )
         except RequestNotSentError as error:
-            raise CloudUnavailableError(str(error)) from None
-        if _rejected_unprocessed(response):
+            raise CloudRequestFailedError(str(error)) from None
+        if _was_not_processed(response):
             operation = f"{method} {target}"
             raise CloudStatusError(operation, response.status)
         return response
 
 
-def _rejected_unprocessed(response: Response) -> bool:
+def _was_not_processed(response: Response) -> bool:
     """Whether the cloud rejected the request without processing it: rate limit or outage."""
     if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
         return b"capacity" not in response.body
--- a/umberward/clients/errors.py
+++ b/umberward/clients/errors.py
@@ -1,7 +1,7 @@
 """Errors of the clients of the state service and of the cloud.
 
-A caller must know whether a request may have been executed. Each error of the state service's
-client answers this; see also `umberward.protocol.http.NoResponseError`.
+A caller must know whether a request may have been executed. The class of each error raised by the
+state service's client says so; see also `umberward.protocol.http.NoResponseError`.
 """
 
 from __future__ import annotations
@@ -61,14 +61,14 @@
 
 
 class RevisionCompactedError(ServiceClientError):
-    """The state service no longer keeps the changes after the requested revision."""
+    """The state service has compacted (discarded) changes after the requested revision."""
 
 
-class CloudUnavailableError(ServiceClientError):
+class CloudRequestFailedError(ServiceClientError):
     """The request to the cloud was not executed, or it failed and is safe to retry."""
 
 
-class CloudStatusError(CloudUnavailableError):
+class CloudStatusError(CloudRequestFailedError):
     """The cloud responded with a status that is not expected for the operation."""
 
     def __init__(self, operation: str, status: int) -> None:
--- a/umberward/clients/rate_budget.py
+++ b/umberward/clients/rate_budget.py
@@ -11,11 +11,12 @@
 
 # Share of one second's tokens that requests of a priority leave to those of higher ones.
 RESERVED_SHARES = {Priority.URGENT: 0.0, Priority.NORMAL: 0.15, Priority.BACKGROUND: 0.4}
-TIMER_MARGIN_S = 0.001  # added to the computed wait, after which the bucket may lack a fraction
+# Added to each computed wait, at the end of which the bucket may still lack a fraction of a token.
+TIMER_MARGIN_S = 0.001
 
 
 class RateBudget:
-    """A token bucket: it refills at `rate` tokens per second and holds up to `burst` tokens.
+    """A token bucket: it refills at `rate` tokens per second and holds up to `capacity` tokens.
 
     Requests of a lower priority leave a reserve in the bucket for those of a higher one. All times
     are readings of the process's monotonic clock.
@@ -24,29 +25,32 @@
     def __init__(self, rate: float) -> None:
         """Create a full bucket that holds one second's tokens."""
         self.rate = rate
-        self.burst = rate
+        self.capacity = rate
         self.tokens = rate
         self.refilled_at = time.monotonic()
 
-    def set_rate(self, rate: float, min_burst: float = 0.0) -> None:
+    def set_rate(self, rate: float, min_capacity: float = 0.0) -> None:
         """Refill at `rate` tokens per second from now on.
 
-        The bucket then holds one second's tokens, but at least `min_burst`.
+        The bucket then holds one second's tokens, but at least `min_capacity`.
         """
         self._refill()
         self.rate = rate
-        self.burst = max(rate, min_burst)
+        self.capacity = max(rate, min_capacity)
 
     def wait_time(self, count: int, priority: Priority) -> float:
         """Return the seconds until `count` tokens may be taken; 0: immediately."""
         self._refill()
         needed = min(count, self.rate) + RESERVED_SHARES[priority] * self.rate
-        # The bucket may never hold more than one second's tokens.
+        # Require at most one second's tokens: the bucket need not hold more.
         needed = min(needed, self.rate)
         return max(0.0, (needed - self.tokens) / self.rate)
 
     def drain(self) -> None:
-        """Empty the bucket, as the other controllers have used up the service's limit."""
+        """Remove all tokens, as the other controllers have used up the service's limit.
+
+        A negative number of tokens, left by a large request, remains.
+        """
         self._refill()
         self.tokens = min(self.tokens, 0.0)
 
@@ -68,5 +72,5 @@
 
     def _refill(self) -> None:
         now = time.monotonic()
-        self.tokens = min(self.burst, self.tokens + (now - self.refilled_at) * self.rate)
+        self.tokens = min(self.capacity, self.tokens + (now - self.refilled_at) * self.rate)
         self.refilled_at = now
--- a/umberward/clients/state_client.py
+++ b/umberward/clients/state_client.py
@@ -148,7 +148,7 @@
 
     @property
     def max_changes_per_s(self) -> float:
-        """An upper bound of the revision's growth per second.
+        """An upper bound of the number of revisions per second.
 
         It covers writes, bursts of writes, and deletions of keys whose leases end.
         """
@@ -206,23 +206,25 @@
         self,
         prefix: str,
         after: Revision,
-        hold_s: float,
+        max_delay_s: float,
         response_margin_s: float = WATCH_RESPONSE_MARGIN_S,
     ) -> WatchResult:
         """Return the changes under `prefix` after the revision `after`.
 
-        This is a long poll: without changes, the service delays its response by up to `hold_s`
+        This is a long poll: without changes, the service delays its response by up to `max_delay_s`
         seconds. Raises RevisionCompactedError if the service no longer keeps these changes.
         """
-        target = f"/watch?prefix={quote(prefix)}&from={after}&hold_ms={round(hold_s * MS_PER_S)}"
+        target = (
+            f"/watch?prefix={quote(prefix)}&from={after}&hold_ms={round(max_delay_s * MS_PER_S)}"
+        )
         response = await self._send(
-            _Request("GET", target, timeout_s=hold_s + response_margin_s, priority=URGENT)
+            _Request("GET", target, timeout_s=max_delay_s + response_margin_s, priority=URGENT)
         )
         if response.status == HTTPStatus.GONE:
             raise RevisionCompactedError
         _require_ok(response, "watch")
-        answer = self._decode_watch(response.body)
-        return WatchResult(answer.changes, Revision(answer.revision))
+        watch_response = self._decode_watch(response.body)
+        return WatchResult(watch_response.changes, Revision(watch_response.revision))
 
     # ---- transactions ------------------------------------------------------------------
 
@@ -238,7 +240,7 @@
 
         Returns the revision, which is the new version of the written keys. Raises
         CompareAndSwapError if a condition failed, LeaseExpiredError if a write names a lease that
-        has ended, and ValueTooLargeError if the service accepts no transaction of that size.
+        has ended, and ValueTooLargeError if the service rejected the transaction or a value in it.
         """
         body: dict[str, Any] = {
             "if": [{"path": key, "stamp": version} for key, version in conditions]
@@ -304,7 +306,10 @@
     # ---- requests ----------------------------------------------------------------------
 
     async def _send(self, request: _Request) -> Response:
-        """Send a request and return its response. Raises if the service did not execute it."""
+        """Send a request and return its response.
+
+        Raises StateUnavailableError if the service certainly did not execute it, and
+        UnknownOutcomeError if it may have done so."""
         await self.request_budget.take(1, request.priority, request.budget_wait_s)
         body = b"" if request.body is None else wire.encode(request.body)
         try:
@@ -324,7 +329,10 @@
         return response
 
     def _use_strictest_limits(self) -> None:
-        """Assume that the service has lowered its limits; otherwise the lower ones are harmless."""
+        """Use the lower of the current and the announced limits from now on.
+
+        The service has probably lowered its limits. If it has not, this only costs speed.
+        """
         if self.limits is self.strictest_limits:
             return
         log.info("state_limits_lowered", reason="the state service refused a request for its rate")
--- a/umberward/control/absent_jobs.py
+++ b/umberward/control/absent_jobs.py
@@ -10,15 +10,15 @@
 
 @dataclass(eq=False)
 class AbsenceLookup:
-    """A lookup of a job in the state service; it says nothing until it is confirmed."""
+    """A lookup of a job in the state service; its result is not known until it is confirmed."""
 
     confirmed_absent: bool = False
 
 
-class AbsentJobs:
+class AbsentJobCache:
     """The latest lookups that are in progress or have found no job.
 
-    Whoever applies a change that shows a submission discards the job's id. A lookup is registered
+    Code that applies a change that shows a submission must call `discard`. A lookup is registered
     before its request is sent, so a submission during the lookup discards it as well, and the
     lookup can no longer be confirmed.
     """
--- a/umberward/control/cancellation_announcer.py
+++ b/umberward/control/cancellation_announcer.py
@@ -1,7 +1,7 @@
 """Announces confirmed cancellations to the other controllers, and receives theirs.
 
-A controller that has lost contact with the state service and still runs tasks of such a job can
-then stop them before its own time limit does. Nothing relies on these messages, so they are never
+A leader that has lost contact with the state service can then stop the tasks of a cancelled job
+before its own time limit does. Nothing relies on these messages, so they are never
 retried.
 """
 
@@ -27,7 +27,7 @@
 
 ANNOUNCE_INTERVAL_S = 0.1
 MAX_JOBS_PER_MESSAGE = 500
-MAX_LOGGED_REJECTIONS = 500  # distinct reasons, each of which is logged once
+MAX_LOGGED_REJECTIONS = 500  # each reason is logged once; further ones are not logged
 INVALID_ANNOUNCEMENT = "a job id is invalid, or the sender is not a known peer"
 
 
--- a/umberward/control/controller.py
+++ b/umberward/control/controller.py
@@ -13,7 +13,7 @@
 from umberward.clients.state_client import StateClient
 from umberward.control.heartbeat_api import HeartbeatApi
 from umberward.control.job_admission import max_value_bytes
-from umberward.control.job_api import JobApi, JobApiHooks
+from umberward.control.job_api import JobApi, JobApiCallbacks
 from umberward.control.job_state_cache import JobStateCache
 from umberward.control.machine_types import MachineTypeLoader
 from umberward.control.peer_link import PeerCallbacks, PeerLink
@@ -50,7 +50,7 @@
 log = logger(__name__)
 
 # Sockets set aside from those shared by workers, users and direct commands to workers.
-UPSTREAM_SOCKETS = 24
+UPSTREAM_SOCKETS = 24  # for the state service and the cloud
 PEER_SOCKETS = 64
 RESERVED_SOCKETS = 16  # for listeners, the event loop and sockets that are being closed
 MIN_SHARED_SOCKETS = 48
@@ -100,9 +100,9 @@
     def _create_peer_link(self) -> PeerLink:
         callbacks = PeerCallbacks(
             self._take_snapshot,
-            self._delegate,
+            self._issue_delegation,
             self._serve_forwarded_heartbeat,
-            self._cancel_jobs,
+            self._report_peer_cancellations,
         )
         return PeerLink(self.settings, self.election, self.client, self.rng, callbacks)
 
@@ -115,8 +115,8 @@
             self.store,
             self.job_states,
             self.machine_types,
-            _wall_clock,
-            JobApiHooks(readiness.is_state_reachable, self.peers.cancellations.announce),
+            _wall_now,
+            JobApiCallbacks(readiness.is_state_reachable, self.peers.cancellations.announce),
         )
         return RequestRouter(self.heartbeat_api, job_api, self._create_graph_api(), readiness)
 
@@ -126,7 +126,7 @@
         # Imported here so that the modules are loaded only if task graphs are enabled.
         from umberward.graphs.graph_api import GraphApi
 
-        return GraphApi(self.settings, self.store, self.machine_types, _wall_clock, self.rng)
+        return GraphApi(self.settings, self.store, self.machine_types, _wall_now, self.rng)
 
     async def run(self) -> None:
         """Run all parts until cancelled."""
@@ -181,7 +181,7 @@
         await task.cancel(blocking=False)
 
     def _take_snapshot(self) -> FailoverSnapshot | None:
-        """The snapshot for a later leader; None unless this controller leads and has loaded."""
+        """The snapshot for a later leader; None unless this one leads and has loaded the jobs."""
         leader_loop = self.leader_loop
         if leader_loop is None or not leader_loop.scheduler.loaded:
             return None
@@ -192,7 +192,7 @@
     def apply_heartbeat(
         self, header: wire.HeartbeatHeader, body: bytes
     ) -> Awaitable[list[wire.TaskCommand] | None]:
-        """Pass a worker's heartbeat to the leader's event loop, which must exist.
+        """Pass a worker's heartbeat to the leader's event loop; call only while there is one.
 
         Returns the commands for the worker, or None if leadership ends before they are known. Not a
         coroutine function, to avoid the cost of an additional coroutine per heartbeat.
@@ -200,15 +200,15 @@
         assert self.leader_loop is not None
         return self.leader_loop.ask(HeartbeatReceived(header, body))
 
-    async def _delegate(self, request: DelegationRequest) -> Delegation | None:
-        """The machines that a peer may answer in a partition; None if this one does not lead."""
+    async def _issue_delegation(self, request: DelegationRequest) -> Delegation | None:
+        """A delegation for a peer; None if this controller does not lead or can't give one."""
         if self.leader_loop is None:
             return None
         message = DelegationRequested(*request)
         delegation: Delegation | None = await self.leader_loop.ask(message)
         return delegation
 
-    async def _cancel_jobs(self, job_ids: list[JobId]) -> None:
+    async def _report_peer_cancellations(self, job_ids: list[JobId]) -> None:
         """Tell the leader's event loop, if any, of cancellations that a peer has confirmed."""
         if self.leader_loop is not None:
             await self.leader_loop.tell(JobsCancelledByPeer(job_ids))
@@ -235,7 +235,7 @@
     )
 
 
-def _wall_clock() -> WallTime:
+def _wall_now() -> WallTime:
     return WallTime(time.time())
 
 
--- a/umberward/control/heartbeat_api.py
+++ b/umberward/control/heartbeat_api.py
@@ -22,7 +22,7 @@
 
 
 class LocalLeader(Protocol):
-    """What heartbeats need of this controller when it is the leader."""
+    """Access to the event loop of this controller's leader, if it leads."""
 
     @property
     def leader_loop(self) -> LeaderLoop | None:
@@ -62,7 +62,7 @@
     ) -> None:
         """Create the handler of one controller.
 
-        `set_client_name` tells the HTTP server which machine is at the other end of a connection.
+        `set_client_name` tells the HTTP server the id of the machine that has opened a connection.
         `clock` is a monotonic clock, in seconds.
         """
         self.local_leader = local_leader
@@ -88,18 +88,18 @@
             # its heartbeats to this controller.
             if request.connection is not None:
                 await self.set_client_name(request.connection, header.machine_id)
-            self.peers.contacts.note_heartbeat()
+            self.peers.contacts.record_heartbeat()
         response = await self._answer_as_leader(header, request.body)
         if response is not None:
             return response
         if self.local_leader.leader_loop is None and self.peers.delegation.may_answer_worker(
             machine_id, header.fencing_token
         ):
-            # The leader and the state service are unreachable: a partition of the zone, or worse.
+            # The leader and the state service are unreachable, as when the zone is cut off.
             return _session_response(header.fencing_token, [])
         leader = self.peers.contacts.leader_for(header.fencing_token) if is_new else None
         if leader is None:
-            return _no_leader_response()
+            return _try_another_response()
         return await self._forward_or_redirect(machine_id, leader, request.body)
 
     async def serve_forwarded(self, body: bytes) -> Response:
@@ -108,7 +108,7 @@
             header = wire.decode_heartbeat_header(body)
         except wire.MalformedMessageError as error:
             return error_response(400, str(error))
-        return await self._answer_as_leader(header, body) or _no_leader_response()
+        return await self._answer_as_leader(header, body) or _try_another_response()
 
     async def _forward_or_redirect(
         self, machine_id: MachineId, leader: ControllerName, body: bytes
@@ -123,7 +123,7 @@
         return Response(421, wire.encode(RedirectResponse(leader)))
 
     async def _answer_as_leader(self, header: wire.HeartbeatHeader, body: bytes) -> Response | None:
-        """The response as the leader, or as a former one that may keep sessions alive, or None."""
+        """The response as the leader, with or without a valid lease; None if it may not answer."""
         leader_loop = self.local_leader.leader_loop
         if leader_loop is None:
             return None
@@ -148,6 +148,6 @@
     return Response(200, wire.encode(HeartbeatResponse(fencing_token, commands)))
 
 
-def _no_leader_response() -> Response:
+def _try_another_response() -> Response:
     """Tell the worker to try another controller."""
     return Response(421, wire.encode({}))
--- a/umberward/control/heartbeat_forwarder.py
+++ b/umberward/control/heartbeat_forwarder.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from umberward.control.peer_messages import HEARTBEAT_PATH
+from umberward.control.peer_messages import FORWARDED_HEARTBEAT_PATH
 from umberward.core.log import logger
 from umberward.core.types import Address, ControllerName
 from umberward.protocol.http import Client, NoResponseError, RequestNotSentError, Response
@@ -30,19 +30,19 @@
         self.addresses = addresses
         self.client = client
         self.clock = clock
-        self.slots = curio.Semaphore(MAX_IN_FLIGHT)
+        self.inflight_limit = curio.Semaphore(MAX_IN_FLIGHT)
         self.retry_not_before = -math.inf
 
     async def forward(self, leader: ControllerName, body: bytes) -> Response | None:
         """The leader's response to a heartbeat; None if it is unreachable or does not lead."""
         address = self.addresses.get(leader)
-        # A failed leader must not delay the responses to all workers that are still sent to it.
-        if address is None or self.slots.locked() or self.clock() < self.retry_not_before:
+        # While the leader does not respond, do not let every worker's heartbeat wait for it.
+        if address is None or self.inflight_limit.locked() or self.clock() < self.retry_not_before:
             return None
-        async with self.slots:
+        async with self.inflight_limit:
             try:
                 response = await self.client.request(
-                    address, "POST", HEARTBEAT_PATH, body, FORWARD_TIMEOUT_S
+                    address, "POST", FORWARDED_HEARTBEAT_PATH, body, FORWARD_TIMEOUT_S
                 )
             except (RequestNotSentError, NoResponseError) as error:
                 log.debug("heartbeat_not_forwarded", error=error)
--- a/umberward/control/job_admission.py
+++ b/umberward/control/job_admission.py
@@ -25,19 +25,19 @@
 
 BYTES_PER_KB = 1024
 COMPLETIONS_RESERVE_BYTES = 512  # reserved in each record for a running job's completions
-RECORD_SPARE_BYTES = 64  # left unused in each record
+RECORD_MARGIN_BYTES = 64  # left unused in each record
 SUBMITTED_AT_DIGITS = 3  # decimal places of the submission time in seconds
 
 
 class JobRejectedError(ControllerError):
-    """The job is well-formed but can never run."""
+    """The job is well-formed but not allowed: it can never run, or has an invalid dependency."""
 
 
 class UnknownTeamError(JobRejectedError):
     """The job's team is not in the settings."""
 
     def __init__(self, team: str) -> None:
-        """Name the team that the job belongs to."""
+        """`team`: the unknown team that the job names."""
         super().__init__(f"owner: no team {team}")
 
 
@@ -69,7 +69,7 @@
     """The job depends on a job that no controller has accepted."""
 
     def __init__(self, dependency: JobId) -> None:
-        """Name the dependency."""
+        """`dependency`: the one that is not allowed."""
         super().__init__(f"waits_on: {dependency} was never accepted")
 
 
@@ -77,7 +77,7 @@
     """The job depends on a service, which never ends by itself."""
 
     def __init__(self, dependency: JobId) -> None:
-        """Name the dependency."""
+        """`dependency`: the one that is not allowed."""
         super().__init__(f"waits_on: {dependency} is a service")
 
 
@@ -101,8 +101,8 @@
 class DependencyOutcome(NamedTuple):
     """What the states of a job's dependencies mean for the job.
 
-    `unfinished` lists the dependencies that it still waits for. `cancelled` is the first cancelled
-    dependency: if there is one, the job is cancelled as well.
+    `unfinished` lists the live dependencies, for which it still waits. `cancelled` is the first
+    cancelled dependency: if there is one, the job is cancelled as well.
     """
 
     unfinished: list[JobId]
@@ -118,12 +118,12 @@
         machine_types: Mapping[MachineTypeName, MachineType],
         wall_clock: Callable[[], WallTime],
     ) -> None:
-        """Create the checks; `machine_types` may be filled in later."""
+        """Create the admission checks; the owner of `machine_types` may fill it in later."""
         cluster = settings.platform.cluster
         self.machine_types = machine_types
         self.wall_clock = wall_clock
         self.quota = Quota(cluster.teams)
-        self.max_record_bytes = max_value_bytes(cluster.state)
+        self.max_value_bytes = max_value_bytes(cluster.state)
         self.graphs_enabled = settings.operator.graphs_enabled
 
     def decode(self, body: bytes) -> Submission:
@@ -145,11 +145,11 @@
         record = JobRecord(spec, round(self.wall_clock(), SUBMITTED_AT_DIGITS))
         # The record of a running job needs space for completed tasks. Dependencies are stored only
         # until the job starts, so they may use that space.
-        if wire.json_size(record) > self.max_record_bytes - COMPLETIONS_RESERVE_BYTES:
+        if wire.json_size(record) > self.max_value_bytes - COMPLETIONS_RESERVE_BYTES:
             reason = "the description is too long"
             raise InvalidSubmissionError(reason)
         record.dependencies = wire.pack_dependencies(dependencies)
-        if wire.json_size(record) > self.max_record_bytes - RECORD_SPARE_BYTES:
+        if wire.json_size(record) > self.max_value_bytes - RECORD_MARGIN_BYTES:
             reason = "waits_on: too many jobs for one record"
             raise InvalidSubmissionError(reason)
         return Submission(job_id, record, dependencies)
--- a/umberward/control/job_api.py
+++ b/umberward/control/job_api.py
@@ -59,19 +59,19 @@
 
 
 @dataclass(frozen=True)
-class JobApiHooks:
+class JobApiCallbacks:
     """Connections of the job API to other parts of the controller.
 
-    `state_reachable` returns whether the state service can be reached; if not, requests that need
-    it are rejected immediately. `on_cancelled` is called with each job whose cancellation is
-    confirmed to a user.
+    `is_state_reachable` returns whether the state service can be reached; if not, requests that
+    need it are rejected immediately. `announce_cancellation` is called with each job whose
+    cancellation is confirmed to a user.
     """
 
-    state_reachable: Callable[[], bool] = lambda: True
-    on_cancelled: Callable[[JobId], None] = lambda _: None
+    is_state_reachable: Callable[[], bool] = lambda: True
+    announce_cancellation: Callable[[JobId], None] = lambda _: None
 
 
-NO_HOOKS = JobApiHooks()
+NO_CALLBACKS = JobApiCallbacks()
 
 
 class JobApi:
@@ -84,13 +84,13 @@
         job_states: JobStateCache,
         machine_types: dict[MachineTypeName, MachineType],
         wall_clock: Callable[[], WallTime],
-        hooks: JobApiHooks = NO_HOOKS,
+        callbacks: JobApiCallbacks = NO_CALLBACKS,
     ) -> None:
         """Create the API; submissions get a 503 until `machine_types` has been filled in."""
         self.store = store
         self.job_states = job_states
         self.machine_types = machine_types
-        self.hooks = hooks
+        self.callbacks = callbacks
         self.admission = JobAdmission(settings, machine_types, wall_clock)
 
     # ---- submit ------------------------------------------------------------------------
@@ -254,7 +254,7 @@
         final = self.job_states.final_records.get(job_id)
         if final is not None and final.phase == CANCELLED:
             log.info("cancelled_by_user", job=job_id)
-            self.hooks.on_cancelled(job_id)
+            self.callbacks.announce_cancellation(job_id)
 
     def _cancelled_record(self, job_id: JobId, stored: object) -> FinalJobRecord:
         """The final record that cancels a job with this live record."""
@@ -291,7 +291,7 @@
 
     def _require_state_service(self) -> None:
         """Raise StateUnavailableError if the state service is known to be unreachable."""
-        if not self.hooks.state_reachable():
+        if not self.callbacks.is_state_reachable():
             raise state_client.StateUnavailableError(STATE_UNREACHABLE)
 
     async def _existing_job_response(
--- a/umberward/control/job_state_cache.py
+++ b/umberward/control/job_state_cache.py
@@ -17,7 +17,7 @@
 
 from umberward.clients import state_client
 from umberward.clients.state_client import StateClient
-from umberward.control.absent_jobs import AbsentJobs
+from umberward.control.absent_jobs import AbsentJobCache
 from umberward.control.revision_history import RevisionHistory
 from umberward.control.stored_jobs import done_task_count, final_key, live_key
 from umberward.core.actor import PendingRequest
@@ -39,21 +39,23 @@
 log = logger(__name__)
 
 REFRESH_RATE_SHARE = 0.2  # of the state service's request rate, for refreshes by all controllers
-MAX_ANSWER_TIME_S = 1.2  # users wait 2 s for the response to a poll
-# An older refresh is repeated: the process was paused, or its request was delayed.
+MAX_ANSWER_TIME_S = 1.2  # of a poll or of one refresh; users wait 2 s for the response to a poll
+# If the latest refresh was sent longer ago than this when the result is ready, it is repeated: the
+# process was paused, or a request was delayed.
 MAX_STALENESS_S = 0.4
 # Polls arriving within this time share a refresh; users wait 2 s. Submissions do not wait.
 BATCH_WINDOW_S = 0.15
 # Refresh interval without polls, needed because the state service discards old changes.
 IDLE_REFRESH_S = 10.0
-# Up to this age, the changes after a listing complete what the listing may have missed.
+# The changes after a listing complete what it may have missed, so a job's live record is not read
+# again unless the listing is older than this.
 RECENT_LISTING_S = 5.0
-NO_HOLD_S = 0.0  # the state service responds immediately, even without changes
+NO_DELAY_S = 0.0  # the state service responds immediately, even without changes
 STALE_ANSWER = "the job state that was read is out of date"
 
 
 class LiveJobState(NamedTuple):
-    """The state of an unfinished job, as far as it is shown to users."""
+    """The state of a live job, as far as it is shown to users."""
 
     placed_below: int  # tasks with lower numbers may have been placed
     done_count: int
@@ -69,7 +71,7 @@
 
 
 class JobStateCache:
-    """An actor that answers all waiting requests after a single refresh.
+    """Its `run` loop responds to all waiting requests after a single refresh.
 
     `live_jobs` and `final_records` hold the states by job id. `refresh_sent_at` is when the latest
     refresh was sent and `listed_at` when all live jobs were last listed, both by `clock`.
@@ -87,7 +89,7 @@
         self.dependency_graph = DependencyGraph(self.live_jobs.__contains__)
         self.final_records: OrderedDict[JobId, FinalJobRecord] = OrderedDict()
         self.max_final_records = settings.operator.poll_cache
-        self.absent_jobs = AbsentJobs(self.max_final_records)
+        self.absent_jobs = AbsentJobCache(self.max_final_records)
         self.watched_revision: Revision | None = None  # None: the live jobs must be listed
         self.listed_at = 0.0
         self.refresh_sent_at = 0.0
@@ -96,7 +98,7 @@
         self.mailbox: curio.Queue = curio.Queue()
         self.urgent_request = curio.Event()
 
-    # ---- questions ---------------------------------------------------------------------
+    # ---- reads -------------------------------------------------------------------------
 
     async def state(self, job_id: JobId, *, urgent: bool = False) -> JobState | None:
         """The job's state at the time of the call or later; None if no controller accepted it.
@@ -130,12 +132,12 @@
         """The jobs that this one still waits for, as of the latest refresh."""
         return sorted(self.dependency_graph.dependencies.get(job_id, ()))
 
-    def revision_before(self, moment: float) -> Revision | None:
-        """A revision lower than that of every commit after `moment`, by this process's clock.
+    def revision_before(self, instant: float) -> Revision | None:
+        """A revision lower than that of every commit after `instant`, by this process's clock.
 
         None if no refresh is that old.
         """
-        return self.revision_history.before(moment)
+        return self.revision_history.before(instant)
 
     def add_final_record(self, job_id: JobId, final: FinalJobRecord) -> None:
         """Add a job that has ended; its record never changes, so it needs no refresh."""
@@ -149,11 +151,11 @@
 
     async def _request_refresh(self, *, urgent: bool) -> None:
         """Wait for a refresh that is sent after this call. Raises its error if it fails."""
-        question = PendingRequest(RefreshRequested())
-        await self.mailbox.put(question)
+        pending_request = PendingRequest(RefreshRequested())
+        await self.mailbox.put(pending_request)
         if urgent:
             await self.urgent_request.set()
-        failure: Exception | None = await question.wait()
+        failure: Exception | None = await pending_request.wait()
         if failure is not None:
             raise failure
 
@@ -207,7 +209,7 @@
             log.warning("job_missing_from_cache", job=job_id)
             self._apply_live(live_key(job_id), stored_live.data)
             return self.live_jobs[job_id]
-        # Not earlier: concurrent requests must not take an unfinished lookup for a result.
+        # Confirm only now: concurrent requests must not take an unfinished lookup for a result.
         self.absent_jobs.confirm(job_id, lookup)
         return None
 
@@ -225,23 +227,23 @@
     async def run(self) -> None:
         """Refresh the cache on demand, or after IDLE_REFRESH_S without requests, in a loop."""
         while True:
-            questions = await self._receive_questions()
+            pending_requests = await self._receive_requests()
             failure = await self._try_refresh()
-            for question in questions:
-                await question.reply(failure)
+            for pending_request in pending_requests:
+                await pending_request.respond(failure)
             await curio.sleep(self.refresh_pause_s)
             await curio.ignore_after(BATCH_WINDOW_S, self.urgent_request.wait)
 
-    async def _receive_questions(self) -> list[PendingRequest]:
-        """Wait up to IDLE_REFRESH_S for a question and return all that have arrived."""
-        questions: list[PendingRequest] = []
+    async def _receive_requests(self) -> list[PendingRequest]:
+        """Wait up to IDLE_REFRESH_S for a request and return all that have arrived."""
+        pending_requests: list[PendingRequest] = []
         first = await curio.ignore_after(IDLE_REFRESH_S, self.mailbox.get)
         if first is not None:
-            questions.append(first)
+            pending_requests.append(first)
         self.urgent_request.clear()
         while not self.mailbox.empty():
-            questions.append(await self.mailbox.get())
-        return questions
+            pending_requests.append(await self.mailbox.get())
+        return pending_requests
 
     async def _try_refresh(self) -> state_client.StateUnavailableError | None:
         """Refresh the cache; return None, or the error to report to the waiting requests."""
@@ -292,7 +294,7 @@
 
     async def _apply_changes_after(self, revision: Revision) -> None:
         changes, self.watched_revision = await self.store.watch(
-            JOBS_PREFIX, revision, NO_HOLD_S, MAX_ANSWER_TIME_S
+            JOBS_PREFIX, revision, NO_DELAY_S, MAX_ANSWER_TIME_S
         )
         for change in changes:
             self._apply_change(change)
--- a/umberward/control/peer_contacts.py
+++ b/umberward/control/peer_contacts.py
@@ -12,12 +12,14 @@
 from umberward.leader.leader_election import LeaderElection
 from umberward.protocol.http import Client, NoResponseError, RequestNotSentError
 
-# A controller without a response from the state service for this long counts as cut off from it.
+# A controller whose latest granted lease renewal was sent longer ago than this counts as cut off
+# from the state service.
 STATE_CONTACT_TIMEOUT_S = 2.5
 CONTACT_VALID_S = 3.0  # maximum age of a peer's status
 PEER_TIMEOUT_S = 0.5  # short, so that a silent peer does not delay requests to the others
-# A worker whose heartbeat has had no response for 4 s tries the next controller 1 s later. Workers
-# that do so have sent a heartbeat within this base plus the heartbeat interval with a margin.
+# A worker whose heartbeat has had no response for 4 s tries the next controller 1 s later. A peer
+# counts as receiving heartbeats if one has arrived within this base plus the heartbeat interval,
+# multiplied by the factor as a margin.
 HEARTBEAT_RECENCY_BASE_S = 2.0
 HEARTBEAT_INTERVAL_FACTOR = 1.25
 
@@ -26,7 +28,9 @@
     """The status of a peer, received at `received_at` by this controller's monotonic clock."""
 
     received_at: float
-    state_contact_age_s: float  # seconds since the state service renewed its lease, at that time
+    state_contact_age_s: (
+        float  # seconds since it sent its latest granted lease renewal, at that time
+    )
     heartbeat_age_s: float  # seconds since it received a worker's heartbeat, at that time
     leader: ControllerName | None  # the leader known to the peer
 
@@ -55,7 +59,8 @@
         self.client = client
         self.clock = election.clock
         self.contacts_by_peer: dict[str, PeerContact] = {}
-        self.polling_since = math.inf  # when peers were first queried in this state service outage
+        # When peers were first queried while this controller was cut off; infinity: it is not.
+        self.polling_since = math.inf
         self.heartbeat_at = -math.inf  # when a worker last sent a heartbeat to this controller
         heartbeat_interval_s = settings.platform.cluster.workers.report_s
         self.heartbeat_recency_s = (
@@ -65,10 +70,10 @@
     # ---- this controller ---------------------------------------------------------------
 
     def lacks_state_contact(self) -> bool:
-        """Whether the state service has not responded to this controller within the timeout."""
+        """Whether no recently sent lease renewal of this controller was granted."""
         return self.clock() - self.election.renewed_at >= STATE_CONTACT_TIMEOUT_S
 
-    def note_heartbeat(self) -> None:
+    def record_heartbeat(self) -> None:
         """Record that a worker has sent a heartbeat to this controller, whoever answers it."""
         self.heartbeat_at = self.clock()
 
@@ -85,13 +90,13 @@
 
     # ---- the peers ---------------------------------------------------------------------
 
-    async def refresh_without_state(self) -> None:
+    async def refresh_while_cut_off(self) -> None:
         """Query all peers, and record when this began."""
         self.polling_since = min(self.polling_since, self.clock())
         await self.refresh()
 
-    def note_state_contact(self) -> None:
-        """Record that the state service is in contact, so peers need not be queried."""
+    def record_state_contact(self) -> None:
+        """Record contact with the state service: peers need not be queried."""
         self.polling_since = math.inf
 
     async def refresh(self) -> None:
@@ -135,7 +140,7 @@
         return not any(contact.is_valid(now) for contact in self.contacts_by_peer.values())
 
     def leader_for(self, fencing_token: int) -> ControllerName | None:
-        """The leader to redirect a worker with this token to; None if it must search itself.
+        """The leader to redirect a worker with this token to; None if it must find one by itself.
 
         A controller without contact with the state service may only know an earlier leader. If that
         one redirects the worker back here, the worker alternates between two controllers that do
--- a/umberward/control/peer_delegation.py
+++ b/umberward/control/peer_delegation.py
@@ -1,6 +1,6 @@
 """Obtains delegations of lease renewal from the leader, and uses them in a zone partition.
 
-umberward.scheduling.lease_delegation has the rules and the reasons for them.
+The rules and their reasons are explained in umberward.scheduling.lease_delegation.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class PeerDelegation:
-    """This controller as the current leader's delegate for the machines of its own zone."""
+    """Requests and uses delegations for the machines of this controller's own zone."""
 
     def __init__(
         self, settings: Settings, contacts: PeerContacts, client: Client, rng: random.Random
@@ -42,14 +42,14 @@
         self.rng = rng
         self.delegate = Delegate(cluster.workers)
         self.is_answering = False  # whether it answers workers of the zone in place of the leader
-        self.multiple_zones = len(cluster.zones) > 1  # otherwise no zone can be partitioned
+        self.has_multiple_zones = len(cluster.zones) > 1  # otherwise no zone can be cut off
 
     async def run(self) -> None:
         """Request delegations from the leader periodically, until cancelled."""
         while True:
             await curio.sleep(REQUEST_INTERVAL_S * self.rng.uniform(*INTERVAL_JITTER))
             address = self.addresses.get(str(self.election.leader))
-            if address is not None and self.multiple_zones:
+            if address is not None and self.has_multiple_zones:
                 await self._request(address)
 
     async def _request(self, leader: Address) -> None:
@@ -66,7 +66,7 @@
             log.debug("delegation_not_available", error=error)
 
     def may_answer_worker(self, machine_id: MachineId, fencing_token: int) -> bool:
-        """Whether this controller may keep the session of a worker with this token alive.
+        """Whether this controller may renew the session of a worker with this token.
 
         It may do so only while it is cut off from the state service and from the leader.
         """
--- a/umberward/control/peer_link.py
+++ b/umberward/control/peer_link.py
@@ -22,21 +22,21 @@
 from umberward.protocol.http import Client, Request, Response
 from umberward.scheduling.lease_delegation import Delegation
 
-POLL_INTERVAL_S = (0.8, 1.2)  # range of the random pause between two polls of the peers
+POLL_PAUSE_RANGE_S = (0.8, 1.2)  # range of the random pause between two polls of the peers
 
 
 @dataclass(frozen=True)
 class PeerCallbacks:
     """Callbacks for requests of peers that other parts of this controller must answer.
 
-    `take_snapshot` returns the snapshot of a leader, and `delegate` answers a request for a
+    `take_snapshot` returns the snapshot of a leader, and `issue_delegation` answers a request for a
     delegation; both return None if this controller does not lead. `answer_heartbeat` answers a
     heartbeat forwarded by a peer. `on_cancelled` is called with jobs whose cancellation a peer has
     announced.
     """
 
     take_snapshot: Callable[[], FailoverSnapshot | None]
-    delegate: Callable[[DelegationRequest], Awaitable[Delegation | None]]
+    issue_delegation: Callable[[DelegationRequest], Awaitable[Delegation | None]]
     answer_heartbeat: Callable[[bytes], Awaitable[Response]]
     on_cancelled: Callable[[list[JobId]], Awaitable[None]]
 
@@ -67,18 +67,19 @@
         self.snapshots = SnapshotExchange(addresses, election, client, callbacks.take_snapshot)
 
     async def run(self) -> None:
-        """Poll the peers' status while cut off from the state service, else the leader's snapshot.
+        """Query the peers' status or fetch the leader's snapshot periodically, until cancelled.
 
-        Runs until cancelled.
+        The status is queried while this controller is cut off from the state service, and the
+        snapshot is fetched otherwise.
         """
         fetched_at = 0.0
         while True:
-            await curio.sleep(self.rng.uniform(*POLL_INTERVAL_S))
+            await curio.sleep(self.rng.uniform(*POLL_PAUSE_RANGE_S))
             now = self.clock()
             if self.contacts.lacks_state_contact():
-                await self.contacts.refresh_without_state()
+                await self.contacts.refresh_while_cut_off()
                 continue
-            self.contacts.note_state_contact()
+            self.contacts.record_state_contact()
             if now - fetched_at >= FETCH_INTERVAL_S:
                 fetched_at = now
                 await self.snapshots.fetch()
@@ -88,7 +89,7 @@
         path = request.path
         if path == peer_messages.STATUS_PATH:
             return Response(200, peer_messages.encode(self.contacts.own_status()))
-        if path == peer_messages.HEARTBEAT_PATH and request.method == "POST":
+        if path == peer_messages.FORWARDED_HEARTBEAT_PATH and request.method == "POST":
             return await self.callbacks.answer_heartbeat(request.body)
         if path == peer_messages.CANCELLATIONS_PATH and request.method == "POST":
             return await self.cancellations.receive(request.body)
@@ -108,7 +109,7 @@
             request = DelegationRequest.from_query(query)
         except InvalidPeerMessageError:
             return Response(400)
-        delegation = await self.callbacks.delegate(request)
+        delegation = await self.callbacks.issue_delegation(request)
         if delegation is None:
             return Response(404)
         return Response(200, peer_messages.encode(delegation))
--- a/umberward/control/peer_messages.py
+++ b/umberward/control/peer_messages.py
@@ -18,7 +18,7 @@
 from umberward.core.types import ControllerName
 
 STATUS_PATH = "/peer"
-HEARTBEAT_PATH = "/peer/hello"
+FORWARDED_HEARTBEAT_PATH = "/peer/hello"
 CANCELLATIONS_PATH = "/peer/cancelled"
 DELEGATION_PATH = "/peer/loan"
 SNAPSHOT_PATH = "/peer/hints"
@@ -41,9 +41,10 @@
         "heartbeat_age_s": "heard_age",
     },
 ):
-    """The response of a controller to a peer that has no contact with the state service.
+    """The status of a controller, returned to a peer that requests it.
 
-    `state_contact_age_s` is the time in seconds since the state service last renewed its lease.
+    `state_contact_age_s` is the time in seconds since it sent the latest lease renewal that the
+    state service granted.
     `leader` and `leader_version` are the current leader and the version of the leader's key.
     `heartbeat_age_s` is the time in seconds since a worker last sent it a heartbeat; earlier
     versions omit it.
--- a/umberward/control/readiness.py
+++ b/umberward/control/readiness.py
@@ -62,6 +62,9 @@
         )
 
     def is_state_reachable(self) -> bool:
-        """Whether the state service has answered this controller within the contact timeout."""
+        """Whether the state service has answered a recently sent lease renewal or refresh.
+
+        Contact in `is_ready` and in `PeerContacts` means lease renewals only.
+        """
         last_contact_at = max(self.election.renewed_at, self.job_states.refresh_sent_at)
         return self.clock() - last_contact_at < STATE_CONTACT_TIMEOUT_S
--- a/umberward/control/request_router.py
+++ b/umberward/control/request_router.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from umberward.graphs.graph_api import GraphApi
 
-HEARTBEAT_PATH = "/hello"
+WORKER_HEARTBEAT_PATH = "/hello"
 JOBS_PATH = "/v1/jobs"
 GRAPHS_PATH = "/v1/graphs"
 READINESS_PATH = "/ready"
@@ -39,7 +39,7 @@
     async def serve(self, request: Request) -> Response:
         """Answer a request; 404 for an unknown path, 405 for a wrong method."""
         path = request.path
-        if path == HEARTBEAT_PATH:  # first, because most requests are heartbeats
+        if path == WORKER_HEARTBEAT_PATH:  # first, because most requests are heartbeats
             if request.method != "POST":
                 return Response(405)
             return await self.heartbeat_api.serve(request)
--- a/umberward/control/revision_history.py
+++ b/umberward/control/revision_history.py
@@ -35,7 +35,7 @@
         while len(observed) > 1 and now - observed[1].observed_at > self.retention_s:
             observed.popleft()
 
-    def before(self, moment: float) -> Revision | None:
-        """A revision lower than that of every commit after `moment`; None if none is that old."""
-        revisions = [entry.revision for entry in self._observed if entry.observed_at <= moment]
+    def before(self, instant: float) -> Revision | None:
+        """A revision lower than that of every commit after `instant`; None if none is that old."""
+        revisions = [entry.revision for entry in self._observed if entry.observed_at <= instant]
         return revisions[-1] if revisions else None
--- a/umberward/control/snapshot_exchange.py
+++ b/umberward/control/snapshot_exchange.py
@@ -17,7 +17,7 @@
 log = logger(__name__)
 
 FETCH_INTERVAL_S = 2.0  # interval of requests to the leader for its snapshot
-ENCODED_REUSE_S = 0.9 * FETCH_INTERVAL_S  # an encoded snapshot is served to all peers for this long
+ENCODED_SNAPSHOT_TTL_S = 0.9 * FETCH_INTERVAL_S  # an encoded snapshot is served for this long
 
 
 class SnapshotExchange:
@@ -42,22 +42,22 @@
         self.client = client
         self.clock = election.clock
         self.take_own_snapshot = take_own_snapshot
-        self.latest: FailoverSnapshot | None = None
-        self.latest_at = 0.0
+        self.last_snapshot: FailoverSnapshot | None = None
+        self.last_snapshot_at = 0.0  # when it was received, or taken by this controller
         self.encoded = b""
         self.encoded_at = 0.0
 
     def keep(self, snapshot: FailoverSnapshot) -> None:
         """Keep the snapshot unless there is one of a later leader."""
-        if self.latest is None or snapshot.fencing_token >= self.latest.fencing_token:
-            self.latest, self.latest_at = snapshot, self.clock()
+        if self.last_snapshot is None or snapshot.fencing_token >= self.last_snapshot.fencing_token:
+            self.last_snapshot, self.last_snapshot_at = snapshot, self.clock()
 
     def recent(self) -> tuple[FailoverSnapshot, float] | None:
         """The last leader's snapshot and its age in seconds; None if missing or too old."""
-        age_s = self.clock() - self.latest_at
-        if self.latest is None or age_s > failover_snapshot.MAX_SNAPSHOT_AGE_S:
+        age_s = self.clock() - self.last_snapshot_at
+        if self.last_snapshot is None or age_s > failover_snapshot.MAX_SNAPSHOT_AGE_S:
             return None
-        return self.latest, age_s
+        return self.last_snapshot, age_s
 
     async def fetch(self) -> None:
         """Fetch the leader's snapshot, if another controller leads."""
@@ -77,7 +77,7 @@
 
     def serve(self) -> Response:
         """Respond with this controller's snapshot, or 404 if it has none."""
-        if self.clock() - self.encoded_at > ENCODED_REUSE_S:
+        if self.clock() - self.encoded_at > ENCODED_SNAPSHOT_TTL_S:
             snapshot = self.take_own_snapshot()
             if snapshot is None:
                 return Response(404)
--- a/umberward/control/stored_jobs.py
+++ b/umberward/control/stored_jobs.py
@@ -21,5 +21,5 @@
 
 
 def done_task_count(record: JobRecord) -> int:
-    """The number of completed tasks. Raises ValueError for a malformed bitmap."""
+    """The number of done tasks. Raises ValueError for a malformed bitmap."""
     return record.done_below + int(record.done_bitmap, 16).bit_count()
--- a/umberward/core/actor.py
+++ b/umberward/core/actor.py
@@ -16,11 +16,11 @@
 log = logger(__name__)
 
 MessageT = TypeVar("MessageT")
-AnswerT = TypeVar("AnswerT")
+ResponseT = TypeVar("ResponseT")
 
 
-class Request(msgspec.Struct, Generic[AnswerT], frozen=True):
-    """Base class of messages whose response is an `AnswerT`."""
+class Request(msgspec.Struct, Generic[ResponseT], frozen=True):
+    """Base class of messages whose response is a `ResponseT`."""
 
 
 class PendingRequest:
@@ -29,30 +29,31 @@
     The response's type depends on the request and is not checked here; see `Actor.ask`.
     """
 
-    __slots__ = ("_done", "answer", "message")
+    __slots__ = ("_done", "message", "response")
 
     def __init__(self, message: object) -> None:
         """Wrap `message`, which the receiver will handle."""
         self.message = message
-        self.answer: Any = None
+        self.response: Any = None
         self._done = curio.Event()
 
-    async def reply(self, answer: object) -> None:
+    async def respond(self, response: object) -> None:
         """Set the response and wake up the sender. Must be called only once."""
-        self.answer = answer
+        self.response = response
         await self._done.set()
 
     async def wait(self) -> Any:  # noqa: ANN401 - depends on the message
         """Wait for the response and return it."""
         await self._done.wait()
-        return self.answer
+        return self.response
 
 
 class Actor(Generic[MessageT]):
     """Handles one message at a time.
 
-    `handle` may spawn tasks but must not wait for anything, as no other message is handled until it
-    returns. If it raises, the error is logged and the actor continues with the next message.
+    `handle` may spawn tasks but must not wait for I/O or other actors, as no other message is
+    handled until it returns. If it raises, the error is logged and the actor continues with the
+    next message.
     """
 
     def __init__(self) -> None:
@@ -66,7 +67,7 @@
         """Put the message into the mailbox without waiting for its handling."""
         await self.mailbox.put(message)
 
-    async def ask(self, request: Request[AnswerT]) -> AnswerT | None:
+    async def ask(self, request: Request[ResponseT]) -> ResponseT | None:
         """Send the request and return its response.
 
         Returns None if the actor has ended, ends before it responds, or fails to handle the
@@ -76,12 +77,12 @@
             return None
         if self.running and not self.handling and self.mailbox.empty():
             # With no message queued before it, handle the request directly in the sender's task.
-            # This saves two task switches, which cost more than the handling of a heartbeat. Nearly
-            # all heartbeats of a large fleet take this path.
+            # This saves two task switches, which cost more than handling a heartbeat. Nearly all
+            # heartbeats of a large fleet take this path.
             return await self._handle_or_log(request)  # type: ignore[no-any-return]
-        question = PendingRequest(request)
-        await self.mailbox.put(question)
-        return await question.wait()  # type: ignore[no-any-return]
+        pending_request = PendingRequest(request)
+        await self.mailbox.put(pending_request)
+        return await pending_request.wait()  # type: ignore[no-any-return]
 
     async def run(self) -> None:
         """Handle messages until cancelled, then respond to all queued requests with None."""
@@ -90,7 +91,7 @@
             while True:
                 message = await self.mailbox.get()
                 if isinstance(message, PendingRequest):
-                    await message.reply(await self._handle_or_log(message.message))
+                    await message.respond(await self._handle_or_log(message.message))
                 else:
                     await self._handle_or_log(message)
         finally:
@@ -99,9 +100,9 @@
             while not self.mailbox.empty():
                 message = await self.mailbox.get()
                 if isinstance(message, PendingRequest):
-                    await message.reply(None)
+                    await message.respond(None)
 
-    async def _handle_or_log(self, message: Any) -> Any:  # noqa: ANN401 - see Question
+    async def _handle_or_log(self, message: Any) -> Any:  # noqa: ANN401 - see PendingRequest
         """Return the handler's result; if it raises, log the error and return None."""
         self.handling = True
         try:
--- a/umberward/core/log.py
+++ b/umberward/core/log.py
@@ -26,18 +26,18 @@
     return structlog.get_logger(name)
 
 
-def configure(level: str, form: str, *, cache_loggers: bool = True) -> None:
+def configure(level: str, line_format: str, *, cache_loggers: bool = True) -> None:
     """Set the level and format of all log lines; must be called before the program logs anything.
 
-    `level`: one of LEVELS; `form`: "json" or "lines". With `cache_loggers`, loggers cache the
-    configuration at their first line, which makes them faster; later calls of this function do not
-    affect them.
+    `level`: one of LEVELS; `line_format`: "json" or "lines". With `cache_loggers`, loggers cache
+    the configuration at their first line, which makes them faster; later calls of this function do
+    not affect them.
     """
     structlog.configure(
         processors=[
             structlog.stdlib.add_log_level,
             structlog.processors.format_exc_info,
-            _render_json if form == "json" else _render_line,
+            _render_json if line_format == "json" else _render_line,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
         logger_factory=_LineWriter,
--- a/umberward/core/rate_limited_log.py
+++ b/umberward/core/rate_limited_log.py
@@ -18,7 +18,10 @@
 
 
 class _EventWindow:
-    """Line counts of one event in the window that began at `began_at`."""
+    """Counts of one event: `lines` written in the window that began at `began_at`.
+
+    `left_out` counts the lines suppressed since the last written one, also in earlier windows.
+    """
 
     __slots__ = ("began_at", "left_out", "lines")
 
--- a/umberward/core/settings.py
+++ b/umberward/core/settings.py
@@ -16,7 +16,8 @@
 Count = Annotated[int, msgspec.Meta(ge=1, lt=1 << 40)]
 NonEmptyText = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 
-MIN_VALUE_KB = 2.0  # room for a job's spec, its placement intents and some completions
+# Enough for a job's record: its spec, its placement intents and some completed tasks.
+MIN_VALUE_KB = 2.0
 MIN_TRANSACTION_CHANGES = 2  # a job's end writes its final record and deletes its live one
 
 
@@ -56,7 +57,8 @@
 class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
     """A service-level objective for the jobs of one class, or for all if `job_class` is not set.
 
-    `within_s` is in seconds, `share` a fraction of the jobs, `times` a multiple of their deadlines.
+    `within_s` is in seconds, `share` a fraction of the jobs. `times` is the multiple of a job's
+    deadline within which it is to end.
     """
 
     kind: NonEmptyText
@@ -104,7 +106,10 @@
     next: NextLimits | None = None
 
     def strictest(self) -> StateLimits:
-        """Return the lower value of each limit; requests within these are never rejected."""
+        """Return the lower of the current and the next value of each limit.
+
+        Requests within these are never rejected.
+        """
         if self.next is None:
             return self
         smaller_limits = {
@@ -122,7 +127,7 @@
     list_lag_s: NonNegative
 
 
-class MachineLimits(msgspec.Struct, frozen=True):
+class ControllerLimits(msgspec.Struct, frozen=True):
     """The CPUs, memory and open sockets that a controller may use on its machine."""
 
     cpu: Positive
@@ -139,13 +144,16 @@
     workers: WorkerTimes
     state: StateLimits
     cloud: CloudLimits
-    machine_limits: MachineLimits
+    machine_limits: ControllerLimits
     skew_ms: NonNegative = 0.0
     objectives: list[Objective] = []
 
 
 class PlatformSettings(msgspec.Struct, frozen=True):
-    """The platform's settings file for one controller; addresses are HOST:PORT."""
+    """The platform's settings file for one controller; addresses are HOST:PORT.
+
+    `label` is the controller's name and `site` its zone.
+    """
 
     label: NonEmptyText
     site: NonEmptyText
@@ -157,7 +165,13 @@
 
 
 class OperatorSettings(msgspec.Struct, frozen=True):
-    """The operators' own settings; the field ``a_b`` is the property ``a.b``."""
+    """The operators' own settings; the field ``a_b`` is the property ``a.b``.
+
+    `lease_seconds`: length of the controller's own lease; `rent_spare`: factor applied to the spare
+    machines rented for accelerated jobs, 0 for none; `idle_seconds`: minimum idle time before a
+    machine is deleted; `silence_seconds`: minimum timeout of a worker's heartbeats; `poll_cache`:
+    maximum number of final records, and of ids of unknown jobs, cached for polls.
+    """
 
     lease_seconds: Annotated[float, msgspec.Meta(ge=1.0, le=60.0)] = 3.0
     rent_spare: Annotated[float, msgspec.Meta(ge=0.0, le=10.0)] = 1.0
@@ -260,7 +274,7 @@
     team_names = [team.name for team in platform.cluster.teams]
     for name in team_names:
         if team_names.count(name) > 1:
-            raise SettingsError(source, f"cluster.teams: {name} stands there twice")
+            raise SettingsError(source, f"cluster.teams: {name} is listed twice")
 
 
 def load_operator_settings(path: Path | None) -> OperatorSettings:
--- a/umberward/core/types.py
+++ b/umberward/core/types.py
@@ -18,8 +18,10 @@
 
 Version = NewType("Version", int)  # of a key in the state service; 0: no such key
 Revision = NewType("Revision", int)  # counter of all changes in the state service
-FencingToken = NewType("FencingToken", int)  # workers reject commands with a lower one than seen
-Incarnation = NewType("Incarnation", int)  # of a worker; grows whenever its lease expires
+FencingToken = NewType("FencingToken", int)  # workers reject commands below the highest seen
+Incarnation = NewType(
+    "Incarnation", int
+)  # of a worker's session; a new one begins when its lease expires
 SequenceNumber = NewType("SequenceNumber", int)  # of a worker's heartbeats within an incarnation
 Attempt = NewType("Attempt", int)  # distinguishes the starts of one task
 LeaseId = NewType("LeaseId", int)
@@ -32,7 +34,7 @@
 MAX_PORT = 65535
 TASK_ID_CACHE_SIZE = 32768  # parsed ids; successive heartbeats name the same tasks
 JOB_ID_PREFIX = "req-"
-_JOB_ID = re.compile(JOB_ID_PREFIX + r"[0-9]{1,18}\Z")
+_JOB_ID_PATTERN = re.compile(JOB_ID_PREFIX + r"[0-9]{1,18}\Z")
 
 
 class TaskId(NamedTuple):
@@ -59,7 +61,7 @@
 
 def parse_job_id(text: object) -> JobId | None:
     """Parse a job id; None if `text` is not a valid one."""
-    if isinstance(text, str) and _JOB_ID.match(text):
+    if isinstance(text, str) and _JOB_ID_PATTERN.match(text):
         return JobId(text)
     return None
 
@@ -92,7 +94,7 @@
     mem_gb: float
 
     def plus(self, other: Resources, times: int = 1) -> Resources:
-        """Return the sum of these and `times` times the other resources."""
+        """Return the sum of these resources and `times` times `other`."""
         cores, accelerators, mem_gb = other
         return _make_resources(
             (
@@ -103,7 +105,7 @@
         )
 
     def minus(self, other: Resources, times: int = 1) -> Resources:
-        """Return these minus `times` times the other resources."""
+        """Return these resources minus `times` times `other`."""
         return self.plus(other, -times)
 
     def elementwise_min(self, other: Resources) -> Resources:
@@ -127,7 +129,8 @@
         return max(count, 0)
 
 
-# A scheduling pass creates more of these than of any other object; this is the fastest way.
+# Bypasses `Resources.__new__`, as the fastest way to create one: a scheduling pass creates more of
+# these than of any other object.
 _make_resources = partial(tuple.__new__, Resources)
 NO_RESOURCES = Resources(0.0, 0.0, 0.0)
 
--- a/umberward/leader/command_sender.py
+++ b/umberward/leader/command_sender.py
@@ -26,7 +26,8 @@
 # A worker responds to a direct command with a heartbeat if it executed the command (200) or
 # rejected its fencing token or incarnation (409).
 HEARTBEAT_STATUSES = (HTTPStatus.OK, HTTPStatus.CONFLICT)
-# With these it is certain what was executed: no part of a malformed command (400) is.
+# After one of these statuses the outcome is known: of a malformed command (400) nothing was
+# executed.
 KNOWN_OUTCOME_STATUSES = (*HEARTBEAT_STATUSES, HTTPStatus.BAD_REQUEST)
 
 
@@ -39,7 +40,8 @@
         client: Client,
         spawn: Callable[..., Awaitable[object]],
     ) -> None:
-        """`spawn(function, *args)` starts a task that is cancelled when the leadership ends."""
+        """`spawn(function, *args)` starts a background task that is cancelled when the leader's
+        term ends."""
         self.context = context
         self.client = client
         self.spawn = spawn
@@ -49,13 +51,13 @@
         """Whether a task start may be scheduled or sent now."""
         return self.context.election.may_start(self.context.scheduler.jobs_read_at)
 
-    def job_read_age_s(self, now: Instant) -> float | None:
+    def jobs_read_age_s(self, now: Instant) -> float | None:
         """Seconds since the latest successful read of the jobs was requested; None: no read yet."""
         read_at = self.context.scheduler.jobs_read_at
         return None if read_at is None else round(now - read_at, 2)
 
     async def send_outbox(self) -> None:
-        """Drain the scheduler's outbox: start sending each item, or queue it."""
+        """Take everything from the scheduler's outbox: start sending each item, or queue it."""
         scheduler = self.context.scheduler
         outbox, scheduler.outbox = scheduler.outbox, []
         for item in outbox:
@@ -64,7 +66,7 @@
             else:
                 await self._spawn_command(self.queue.submit(item))
 
-    async def command_completed(self, machine: MachineId) -> None:
+    async def send_next(self, machine: MachineId) -> None:
         """Send the machine's next queued command, if any, as the one in flight has completed."""
         await self._spawn_command(self.queue.complete_and_take_next(machine))
 
@@ -80,7 +82,7 @@
             epoch=command.fencing_token,
             session=command.incarnation,
             orders=_describe_commands(command.commands),
-            jobs_read_s=self.job_read_age_s(sent_at),
+            jobs_read_s=self.jobs_read_age_s(sent_at),
         )
         try:
             completed = await self._request(command)
@@ -97,7 +99,7 @@
                 error=type(error).__name__,
             )
             completed = CommandCompleted(command, None, outcome_unknown=True)
-        await self.context.mailbox.tell(completed)
+        await self.context.leader_loop.tell(completed)
 
     async def _request(self, command: DirectCommand) -> CommandCompleted:
         """Send the command and convert the worker's response.
@@ -145,7 +147,7 @@
                 heartbeat = wire.decode_heartbeat(response.body)
         except (RequestNotSentError, NoResponseError, wire.MalformedMessageError, ValueError):
             pass  # to the scheduler, every failure is a probe without a response
-        await self.context.mailbox.tell(ProbeCompleted(probe, heartbeat))
+        await self.context.leader_loop.tell(ProbeCompleted(probe, heartbeat))
 
 
 def _describe_commands(commands: list[wire.TaskCommand]) -> str:
--- a/umberward/leader/failover_snapshot.py
+++ b/umberward/leader/failover_snapshot.py
@@ -1,9 +1,9 @@
 """Snapshots of a leader's in-memory knowledge, which the next leader restores. No I/O.
 
 A snapshot holds what no stored record does: cached images, observed run times, demand for
-accelerators, booting machines and failures. Without it a new leader would start replicas where
-their image is missing and request machines that were already requested. It only improves decisions:
-no safety rule depends on it, and it may be outdated or missing.
+accelerators, booting machines and failures. Without it a new leader would start tasks on
+machines without their image and request machines that were already requested. It only improves
+decisions: no safety rule depends on it, and it may be outdated or missing.
 
 The other controllers fetch it from the leader every few seconds. In case all controllers fail at
 once, its slowly changing content is also stored in the state service, one part at a time because
@@ -50,14 +50,14 @@
     pending_s: float  # time since it was rented
 
 
-class CapacityPause(NamedTuple):
+class OfferBackoff(NamedTuple):
     """The back-off of an offer for which the cloud had no capacity."""
 
     machine_type: str
     zone: str
     spot: bool
     remaining_s: float  # time until the offer may be requested again
-    pause_s: float  # the whole back-off, from which the next one is computed
+    backoff_s: float  # the whole back-off, from which the next one is computed
 
 
 class FailoverSnapshot(
@@ -68,9 +68,9 @@
         "machine_images": "machines",
         "runtime_ratio": "runtime",
         "headroom_peak": "peak",
-        "accelerated_spec": "accelerated",
+        "latest_accelerated_spec": "accelerated",
         "quarantined": "sick",
-        "faulty_jobs": "mistaken",
+        "faulty_job_retries": "mistaken",
         "no_capacity": "refused",
     },
 ):
@@ -81,12 +81,15 @@
     # Machine -> indexes into `images`, least recently used first.
     machine_images: dict[str, list[int]]
     runtime_ratio: dict[str, float] = {}  # job class -> observed run time / expected run time
-    headroom_peak: float = 0.0  # peak number of concurrent accelerated tasks
-    accelerated_spec: wire.JobSpec | None = None  # the latest accelerated job, as an example
+    # Decaying peak of the demand for accelerated tasks, and the latest job with such tasks. They
+    # determine the number and the size of the machines kept free for such work.
+    headroom_peak: float = 0.0
+    latest_accelerated_spec: wire.JobSpec | None = None
     quarantined: list[str] = []  # machine ids
-    faulty_jobs: dict[str, int] = {}  # job id -> retries since its failures were attributed to it
+    # Job id -> retries since its failures were attributed to it.
+    faulty_job_retries: dict[str, int] = {}
     booting: dict[str, BootingMachine] = {}
-    no_capacity: list[CapacityPause] = []
+    no_capacity: list[OfferBackoff] = []
 
 
 # ---- taking snapshots --------------------------------------------------------------------
@@ -101,11 +104,13 @@
         machine_images=machine_images,
         runtime_ratio=dict(scheduler.runtime_ratios),
         headroom_peak=scheduler.headroom.peak,
-        accelerated_spec=scheduler.headroom.latest_accelerated_spec,
+        latest_accelerated_spec=scheduler.headroom.latest_accelerated_spec,
         quarantined=[
             str(machine.id) for machine in scheduler.machines.values() if machine.quarantined
         ],
-        faulty_jobs={str(job.id): job.retry_count for job in scheduler.jobs.values() if job.faulty},
+        faulty_job_retries={
+            str(job.id): job.retry_count for job in scheduler.jobs.values() if job.faulty
+        },
         booting={
             str(machine_id): BootingMachine(
                 str(pending.offer.type),
@@ -116,8 +121,8 @@
             for machine_id, pending in autoscaler.pending_machines.items()
         },
         no_capacity=[
-            CapacityPause(str(offer.type), str(offer.zone), offer.spot, until - now, pause_s)
-            for offer, (until, pause_s) in autoscaler.no_capacity_until.items()
+            OfferBackoff(str(offer.type), str(offer.zone), offer.spot, until - now, backoff_s)
+            for offer, (until, backoff_s) in autoscaler.no_capacity_until.items()
             if until > now
         ],
     )
@@ -141,7 +146,7 @@
 def split_snapshot(
     snapshot: FailoverSnapshot, max_machines: int, max_bytes: int
 ) -> list[FailoverSnapshot]:
-    """Return the content worth storing, in parts.
+    """Return the slowly changing content in parts: images, run time ratios, accelerator demand.
 
     A part has at most `max_machines` machines and `max_bytes` bytes as JSON. The first part holds
     what is not specific to a machine. A machine or first part that exceeds `max_bytes` is omitted.
@@ -152,11 +157,14 @@
         {},
         snapshot.runtime_ratio,
         round(snapshot.headroom_peak, 1),  # rounded because every change costs a write
-        snapshot.accelerated_spec,
+        snapshot.latest_accelerated_spec,
     )
     parts = [general] if wire.json_size(general) <= max_bytes else []
-    names = sorted(snapshot.machine_images)
-    chunks = [names[first : first + max_machines] for first in range(0, len(names), max_machines)]
+    machine_ids = sorted(snapshot.machine_images)
+    chunks = [
+        machine_ids[first : first + max_machines]
+        for first in range(0, len(machine_ids), max_machines)
+    ]
     while chunks:
         chunk = chunks.pop(0)
         part = _snapshot_of_machines(snapshot, chunk)
@@ -168,15 +176,16 @@
     return parts
 
 
-def _snapshot_of_machines(snapshot: FailoverSnapshot, names: list[str]) -> FailoverSnapshot:
+def _snapshot_of_machines(snapshot: FailoverSnapshot, machine_ids: list[str]) -> FailoverSnapshot:
     """Return a snapshot of the images of these machines only."""
-    used = sorted({index for name in names for index in snapshot.machine_images[name]})
+    used = sorted({index for name in machine_ids for index in snapshot.machine_images[name]})
     new_indexes = {index: position for position, index in enumerate(used)}
     return FailoverSnapshot(
         fencing_token=snapshot.fencing_token,
         images=[snapshot.images[index] for index in used],
         machine_images={
-            name: [new_indexes[index] for index in snapshot.machine_images[name]] for name in names
+            name: [new_indexes[index] for index in snapshot.machine_images[name]]
+            for name in machine_ids
         },
     )
 
@@ -197,17 +206,17 @@
     """
     _restore_images(snapshot, scheduler)
     scheduler.runtime_ratios = {**snapshot.runtime_ratio, **scheduler.runtime_ratios}
-    spec = snapshot.accelerated_spec
+    spec = snapshot.latest_accelerated_spec
     if spec is not None:
         scheduler.headroom.restore(
             spec, Resources(spec.cores, spec.accelerators, spec.mem_gb), snapshot.headroom_peak
         )
     _restore_failures(snapshot, scheduler, now)
     _restore_pending_machines(snapshot, age_s, scheduler, autoscaler, now)
-    for pause in snapshot.no_capacity:
-        offer = _offer(pause)
-        until = Instant(now + pause.remaining_s - age_s)
-        autoscaler.no_capacity_until.setdefault(offer, (until, pause.pause_s))
+    for backoff in snapshot.no_capacity:
+        offer = _offer(backoff)
+        until = Instant(now + backoff.remaining_s - age_s)
+        autoscaler.no_capacity_until.setdefault(offer, (until, backoff.backoff_s))
 
 
 def _restore_images(snapshot: FailoverSnapshot, scheduler: Scheduler) -> None:
@@ -234,7 +243,7 @@
         if machine is not None:
             machine.quarantined_since = now
             machine.availability_changed()
-    for name, retry_count in snapshot.faulty_jobs.items():
+    for name, retry_count in snapshot.faulty_job_retries.items():
         job = scheduler.jobs.get(JobId(name))
         if job is not None:
             scheduler.failure_attribution.restore_faulty_job(job, retry_count, now)
@@ -255,7 +264,7 @@
             autoscaler.pending_machines.setdefault(machine_id, pending)
 
 
-def _offer(entry: BootingMachine | CapacityPause) -> MachineOffer:
+def _offer(entry: BootingMachine | OfferBackoff) -> MachineOffer:
     return MachineOffer(MachineTypeName(entry.machine_type), ZoneName(entry.zone), entry.spot)
 
 
--- a/umberward/leader/leader_context.py
+++ b/umberward/leader/leader_context.py
@@ -1,4 +1,4 @@
-"""Objects shared by the tasks of one leadership."""
+"""Objects shared by the background tasks of one leader's term."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderContext:
-    """The objects that nearly every task of the leader loop uses.
+    """The objects that nearly every background task of the leader loop uses.
 
-    Tasks change the scheduler through messages to `mailbox`, so that a scheduling pass and its
-    effects follow; a comment explains each direct call. All tasks run in one thread and switch only
-    at an `await`, so a call of the scheduler is atomic.
+    These tasks change the scheduler through messages to `leader_loop`, so that a scheduling pass
+    and its effects follow; a comment explains each direct call. All of them run in one thread and
+    switch only at an `await`, so a call of the scheduler is atomic.
     """
 
     election: LeaderElection
     store: StateClient
     scheduler: Scheduler
-    mailbox: Actor[LeaderMessage]  # the leader loop
+    leader_loop: Actor[LeaderMessage]
     rng: random.Random
 
     def is_loaded_leader(self) -> bool:
--- a/umberward/leader/leader_election.py
+++ b/umberward/leader/leader_election.py
@@ -35,24 +35,24 @@
 
 LEADER_KEY = Key("leader")
 CONTROLLER_KEY_PREFIX = "controllers/"
-ALL_JOB_HASHES = (0, 65536)  # one leader is responsible for all jobs
-
-# Assumed lower bound of a lease's length on this controller's clock, relative to its length on the
-# state service's clock.
-RENEWAL_DRIFT_FACTOR = 0.999
-RENEWAL_MARGIN_S = 0.15
-# If workers may be kept alive without the state service for less than this, the intervals between
-# lease renewals and reads in normal operation use up all of it.
+ALL_JOB_HASHES = (0, 65536)  # one leader leads all jobs; the stored record has a range of hashes
+
+# A lease of 1 s by the state service's clock lasts at least this many seconds by this controller's.
+LEASE_DRIFT_FACTOR = 0.999
+LEASE_VALIDITY_MARGIN_S = 0.15  # the lease counts as expired this long before its assumed end
+# If `renewal_window_s` is below this, the intervals between lease renewals and between reads of the
+# jobs in normal operation use up all of it, so it allows no outage of the state service.
 MIN_KEEPALIVE_S = 3.0
 
 RENEWALS_PER_LEASE = 5
 RENEWAL_JITTER = (0.9, 1.1)
 RENEWAL_TIMEOUTS_PER_LEASE = 3  # a renewal times out after a third of the lease
 MIN_RENEWAL_TIMEOUT_S = 0.5  # lower bound of that timeout
-MAX_LEASE_AGE_TO_CAMPAIGN = 0.8  # share of the lease's length; an older lease is renewed first
+MAX_CAMPAIGN_LEASE_AGE_RATIO = 0.8  # of the lease's length; an older one is renewed first
 
-LEADER_WATCH_HOLD_S = 10.0
-FREE_KEY_WATCH_HOLD_S = 1.0  # while there is no leader and this controller may not campaign yet
+LEADER_WATCH_MAX_DELAY_S = 10.0
+# While there is no leader and this controller may not campaign yet.
+FREE_KEY_WATCH_MAX_DELAY_S = 1.0
 MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.2, 0.4
 STEP_DOWN_CAMPAIGN_DELAY_LEASES = 2  # lease lengths without campaigning after stepping down
 RESTARTED_LEADER_CAMPAIGN_DELAY_S = 1.0  # after a leader's restart only the others campaign
@@ -88,12 +88,13 @@
         self.on_lost = on_lost
         self.used_nonces: set[str] = set()  # nonces of all campaigns of this process
         self.nonce = ""  # of the latest campaign; empty if its lease was abandoned
-        self.term = 0
+        self.term = 0  # the number of fencing tokens obtained in this term
         self.lease: LeaseId | None = None
         self.renewed_at = Instant(0.0)  # when the latest successful renewal was sent
         self.fencing_token: FencingToken | None = None  # None: not the leader
         self.leader: ControllerName | None = None  # None: unknown or none
-        self.leader_version = Version(0)  # of the leader key
+        # Of the leader key, and so also the first fencing token of the leader that wrote it.
+        self.leader_version = Version(0)
         self.campaign_not_before = 0.0
 
     def _warn_if_keepalive_too_short(self, workers: WorkerTimes) -> None:
@@ -116,7 +117,7 @@
             self.fencing_token is not None
             and self.lease is not None
             and self.clock()
-            < self.renewed_at + self.lease_seconds * RENEWAL_DRIFT_FACTOR - RENEWAL_MARGIN_S
+            < self.renewed_at + self.lease_seconds * LEASE_DRIFT_FACTOR - LEASE_VALIDITY_MARGIN_S
         )
 
     def may_start(self, jobs_read_at: Instant | None) -> bool:
@@ -136,7 +137,7 @@
         return self.fencing_token is not None and self.clock() < self.renewed_at + renewal_window_s
 
     def may_answer(self, jobs_read_at: Instant | None) -> bool:
-        """Whether a heartbeat may be answered, which extends the worker's incarnation.
+        """Whether a heartbeat may be answered, which renews the worker's session.
 
         `jobs_read_at`: as for `may_start`. The check also applies to heartbeats that another
         controller has forwarded.
@@ -144,7 +145,7 @@
         if self.fencing_token is None or jobs_read_at is None:
             return False
         if self.bounds.renewal_window_s < MIN_KEEPALIVE_S and self.is_leader():
-            return True  # otherwise every incarnation would expire; a warning was logged at start
+            return True  # otherwise every session would expire; a warning was logged at start
         return self.bounds.may_answer(jobs_read_at, self.renewed_at, Instant(self.clock()))
 
     def leadership_condition(self) -> tuple[Key, Version]:
@@ -190,7 +191,8 @@
         """Give up the leadership if a worker has seen a higher fencing token.
 
         It shows that another controller was elected, even if this one has not yet read that from
-        the state service. Tasks kept alive here would only be withheld from the new leader.
+        the state service. Answering workers any longer would only withhold their tasks from the new
+        leader.
         """
         if self.fencing_token is not None and seen_token > self.fencing_token:
             log.warning("leadership_superseded", epoch=self.fencing_token, seen=seen_token)
@@ -254,8 +256,8 @@
     def _abandon_lease(self) -> None:
         """Stop renewing the lease, and no longer accept a leader key attached to it as a win.
 
-        Otherwise the leader key could persist although its owner does not lead, or a late read
-        could take it as this controller's after it has been deleted with its lease.
+        Renewing it further could preserve a leader key whose owner does not lead. Accepting the key
+        could rely on a read made before the key was deleted with its lease.
         """
         self.lease = None
         self.nonce = ""
@@ -285,8 +287,10 @@
             if self.leader is None and self.clock() >= self.campaign_not_before:
                 await self._campaign()
                 return
-            hold_s = FREE_KEY_WATCH_HOLD_S if self.leader is None else LEADER_WATCH_HOLD_S
-            changes, revision = await self.store.watch(LEADER_KEY, revision, hold_s)
+            max_delay_s = (
+                FREE_KEY_WATCH_MAX_DELAY_S if self.leader is None else LEADER_WATCH_MAX_DELAY_S
+            )
+            changes, revision = await self.store.watch(LEADER_KEY, revision, max_delay_s)
             if any(LEADER_KEY in (change.put_key, change.deleted_key) for change in changes):
                 return
 
@@ -304,19 +308,20 @@
         if record.controller != self.name:
             await self._follow_leader(ControllerName(record.controller), version)
         elif record.nonce in self.used_nonces:
-            await self._claim_own_key(record.nonce, version)
+            await self._handle_own_key(record.nonce, version)
         else:
             await self._delete_key_of_former_process(version)
         return revision
 
-    async def _claim_own_key(self, nonce: str, version: Version) -> None:
+    async def _handle_own_key(self, nonce: str, version: Version) -> None:
         """Handle a leader key written by a campaign of this process."""
         if self.fencing_token is not None:
             return
         if self.lease is not None and nonce == self.nonce:
             await self._become_leader(version)
         else:
-            # It is attached to an abandoned lease, or its campaign was committed late.
+            # It is attached to an abandoned lease, or its campaign was committed late. Treat it as
+            # free: the next campaign replaces this version.
             self.leader, self.leader_version = None, version
 
     async def _delete_key_of_former_process(self, version: Version) -> None:
@@ -324,8 +329,8 @@
 
         From now on the former process's commands have an outdated fencing token, and the condition
         of its transactions fails. The other controllers may campaign first: unlike this process,
-        they have the former one's snapshot. Otherwise, a controller that repeatedly crashes and
-        restarts within its former lease would also prevent the others from leading.
+        they have the former one's snapshot. Without this delay, a controller that repeatedly
+        crashes and restarts within its former lease would also prevent the others from leading.
         """
         self.campaign_not_before = self.clock() + RESTARTED_LEADER_CAMPAIGN_DELAY_S
         log.info("restarted_leader_yields", rest_s=RESTARTED_LEADER_CAMPAIGN_DELAY_S)
@@ -350,7 +355,7 @@
         Raises CompareAndSwapError if another controller has written the key first, and the other
         errors of `StateClient`.
         """
-        max_age_s = self.lease_seconds * MAX_LEASE_AGE_TO_CAMPAIGN
+        max_age_s = self.lease_seconds * MAX_CAMPAIGN_LEASE_AGE_RATIO
         if self.lease is None or self.clock() > self.renewed_at + max_age_s:
             await self._renew()
         if self.lease is None:
--- a/umberward/leader/leader_loop.py
+++ b/umberward/leader/leader_loop.py
@@ -1,8 +1,8 @@
 """The leader's event loop: applies events to the scheduler and starts the resulting I/O.
 
-There is one `LeaderLoop` per leadership. The scheduler makes decisions and has no I/O. The loop's
-tasks, in the other modules of this package, do the I/O and send the results to the loop as messages
-of `umberward.leader.messages`.
+There is one `LeaderLoop` per term. The scheduler makes decisions and has no I/O. The loop's
+background tasks, in the other modules of this package, do the I/O and send the results to the loop
+as messages of `umberward.leader.messages`.
 """
 
 from __future__ import annotations
@@ -38,8 +38,8 @@
 from umberward.leader.messages import (
     CommandCompleted,
     DelegationRequested,
+    FinalRecordFound,
     HeartbeatReceived,
-    JobEnded,
     JobsCancelledByPeer,
     JobsChanged,
     JobsListed,
@@ -72,18 +72,18 @@
 # Interval between the starts of two passes, in multiples of the first one's duration. The time left
 # is for heartbeats and other messages.
 PASS_INTERVAL_RATIO = 4.0
-# With thousands of waiting jobs a pass is slow and changes little, so the interval grows by up to
-# this multiple of the pass's duration, in full for a pass of SLOW_PASS_S or longer.
+# Added to PASS_INTERVAL_RATIO in proportion to the pass's duration, in full from SLOW_PASS_S: with
+# thousands of waiting jobs a pass is slow and changes little.
 SLOW_PASS_INTERVAL_RATIO = 6.0
 SLOW_PASS_S = 0.1
-IDLE_PASS_INTERVAL_S = 1.0  # extra time until the next pass if no event requests one
-ASSUMED_SNAPSHOT_AGE_S = 15.0  # an assumption, as a stored snapshot does not record its age
+IDLE_PASS_EXTRA_DELAY_S = 1.0  # extra time until the next pass if no event requests one
+ASSUMED_SNAPSHOT_AGE_S = 15.0  # of a stored snapshot, which does not record its age
 
 MessageHandler = Callable[[Any, Instant], Awaitable[object]]
 
 
 class LeaderLoop(Actor[LeaderMessage]):
-    """Handles the messages of one leadership and owns its tasks."""
+    """Handles the messages of one term and owns its background tasks."""
 
     def __init__(  # noqa: PLR0913 - every part that the controller shares with its leader loop
         self,
@@ -100,7 +100,7 @@
         revision_before: Callable[[float], Revision | None],  # see StateSync
         peer_snapshot: tuple[FailoverSnapshot, float] | None = None,
     ) -> None:
-        """Prepare the leadership that began with `fencing_token`; `serve` runs it.
+        """Prepare the term that began with `fencing_token`; `serve` runs it.
 
         `peers_receive_heartbeats`: asks the other controllers whether they receive heartbeats from
         any worker. `peer_snapshot`: the former leader's snapshot, if this controller has it, and
@@ -110,9 +110,10 @@
         now = monotonic_now()
         self.election = election
         self.peers_receive_heartbeats = peers_receive_heartbeats
-        self.snapshots = [] if peer_snapshot is None else [peer_snapshot]
+        self.snapshots_to_restore = [] if peer_snapshot is None else [peer_snapshot]
         self.scheduler = Scheduler(settings, machine_types, fencing_token, now, wall_now, rng)
-        prefix = f"{settings.platform.label}-{fencing_token}"  # of scale-out request ids
+        # Prefix of the ids of requests for machines.
+        prefix = f"{settings.platform.label}-{fencing_token}"
         self.autoscaler = Autoscaler(self.scheduler, prefix, now)
         self.graph_controller = self._create_graph_controller(settings, store)
         context = LeaderContext(election, store, self.scheduler, self, rng)
@@ -124,7 +125,7 @@
         self.sweeper = LiveJobSweeper(context)
         self.scaler = MachineScaler(election, cloud, self.scheduler, self.autoscaler)
         self._next_pass_at = 0.0
-        self._checking_peers = False
+        self._peer_check_running = False
         self._tasks: curio.TaskGroup | None = None  # set while `serve` runs
         self._handlers = self._message_handlers()
 
@@ -137,7 +138,7 @@
             JobsChanged: self._jobs_changed,
             DelegationRequested: self._delegation_requested,
             JobsCancelledByPeer: self._jobs_cancelled_by_peer,
-            JobEnded: self._job_ended,
+            FinalRecordFound: self._final_record_found,
             LiveJobsPageRead: self._live_jobs_page_read,
             UnknownJobRead: self._unknown_job_read,
             TransactionCompleted: self._transaction_completed,
@@ -172,10 +173,10 @@
             self.election.is_leader,
         )
 
-    # ---- tasks -------------------------------------------------------------------------
+    # ---- background tasks --------------------------------------------------------------
 
     async def serve(self) -> None:
-        """Run all tasks of the leadership until cancelled."""
+        """Run all background tasks of the term until cancelled."""
         async with curio.TaskGroup() as self._tasks:
             await self._spawn(self.run)
             await self._spawn(self.state_sync.run)
@@ -191,7 +192,7 @@
                 await self._spawn(self.graph_controller.clean)
 
     async def _spawn(self, function: Callable[..., Awaitable[object]], *args: object) -> None:
-        """Start a task that ends with `serve`; if it raises, `serve` ends."""
+        """Start a background task that ends with `serve`; if it raises, `serve` ends."""
         assert self._tasks is not None, "serve() is not running"
         await self._tasks.spawn(function, *args)
 
@@ -210,14 +211,14 @@
         log.info(
             "inflight_starts",
             **self.scheduler.inflight_summary(),
-            jobs_read_s=self.commands.job_read_age_s(now),
+            jobs_read_s=self.commands.jobs_read_age_s(now),
         )
 
     async def _load_stored_snapshots(self) -> None:
-        """Load the snapshot stored by a former leader, unless a newer one is available."""
-        if not self.snapshots:
+        """Load the snapshot stored by a former leader, unless this controller already has one."""
+        if not self.snapshots_to_restore:
             for snapshot in await self.snapshot_store.load():
-                self.snapshots.append((snapshot, ASSUMED_SNAPSHOT_AGE_S))
+                self.snapshots_to_restore.append((snapshot, ASSUMED_SNAPSHOT_AGE_S))
 
     # ---- messages ----------------------------------------------------------------------
 
@@ -248,7 +249,7 @@
                 message.command, message.heartbeat, message.outcome_unknown, now
             )
         finally:
-            await self.commands.command_completed(message.command.machine)
+            await self.commands.send_next(message.command.machine)
 
     async def _probe_completed(self, message: ProbeCompleted, now: Instant) -> None:
         self.scheduler.probe_completed(message.probe, message.heartbeat, now)
@@ -259,18 +260,19 @@
             listed_ids.add(JobId(entry.key[len(LIVE_JOBS_PREFIX) :]))
             job_records.apply_job_record(self.scheduler, entry.key, entry.data, entry.version)
         for job in [*self.scheduler.jobs.values(), *self.scheduler.waiting_jobs.jobs.values()]:
-            # A job with conditions has no own record; it is removed with the record they name.
+            # A graph's job has no live record of its own: it has conditions, and is removed with
+            # the record whose key they name.
             if job.id not in listed_ids and not job.conditions:
                 self.scheduler.remove_job(job.id)
         if not self.scheduler.loaded:
             self._finish_loading(message.recent_final_records)
-        self._record_jobs_read(message.requested_at)
+        self._update_jobs_read_at(message.requested_at)
 
     def _finish_loading(self, recent_final_records: list[wire.KeyChange] | None) -> None:
         """Restore the snapshots of former leaders and enable scheduling."""
         self.scheduler.cancellations_unread = recent_final_records is None
         job_records.apply_final_records(self.scheduler, recent_final_records or ())
-        for snapshot, age_s in self.snapshots:  # age at the start of this leadership
+        for snapshot, age_s in self.snapshots_to_restore:  # age at the start of this term
             now = monotonic_now()
             failover_snapshot.restore_snapshot(
                 snapshot,
@@ -283,9 +285,9 @@
 
     async def _jobs_changed(self, message: JobsChanged, _now: Instant) -> None:
         job_records.apply_changes(self.scheduler, message.changes)
-        self._record_jobs_read(message.requested_at)
+        self._update_jobs_read_at(message.requested_at)
 
-    def _record_jobs_read(self, requested_at: Instant) -> None:
+    def _update_jobs_read_at(self, requested_at: Instant) -> None:
         """Record that all cancellations confirmed before `requested_at` are known."""
         if self.scheduler.loaded:  # otherwise some jobs are not known yet
             self.scheduler.jobs_read_at = max(
@@ -307,7 +309,7 @@
                 log.info("job_cancelled_by_peer", job=job_id)
                 self.scheduler.remove_job(job_id)
 
-    async def _job_ended(self, message: JobEnded, _now: Instant) -> None:
+    async def _final_record_found(self, message: FinalRecordFound, _now: Instant) -> None:
         job_records.apply_final_record(self.scheduler, message.job_id, message.data)
 
     async def _live_jobs_page_read(self, message: LiveJobsPageRead, now: Instant) -> list[JobId]:
@@ -316,7 +318,7 @@
         return unknown_ids
 
     async def _unknown_job_read(self, message: UnknownJobRead, now: Instant) -> None:
-        job_records.apply_unknown_job(self.scheduler, message.job_id, message.found, now)
+        job_records.apply_unknown_job(self.scheduler, message.job_id, message.stored, now)
 
     async def _transaction_completed(self, _message: TransactionCompleted, _now: Instant) -> None:
         """Apply nothing: the message only triggers a due pass and the resulting I/O."""
@@ -324,19 +326,19 @@
     async def _timer_tick(self, _message: TimerTick, now: Instant) -> None:
         scheduler = self.scheduler
         scheduler.tick(now)
-        # The tasks spawned here are not owned by the loop, as they must outlive it: when one gives
-        # up the leadership, the controller cancels `serve` with all tasks of the loop, but for
-        # example the lease must still be revoked. Each task ends after a few requests with
-        # timeouts.
+        # The background tasks spawned here are not owned by the loop, as they must outlive it: when
+        # one gives up the leadership, the controller cancels `serve` with all tasks of the loop,
+        # but for example the lease must still be revoked. Each ends by itself: it sends a few
+        # requests, all with timeouts.
         if scheduler.is_isolated(now) and self.election.is_leader():
             # The state service responds but workers do not; another controller may reach them.
             await curio.spawn(self.election.step_down, "hardly any worker is heard", daemon=True)
         elif (
             scheduler.no_heartbeat_this_term(now)
             and self.election.is_leader()
-            and not self._checking_peers
+            and not self._peer_check_running
         ):
-            self._checking_peers = True
+            self._peer_check_running = True
             await curio.spawn(self._step_down_if_peers_receive_heartbeats, daemon=True)
         if scheduler.token_rotation.requested and self.election.is_leader():
             scheduler.token_rotation.started()
@@ -352,7 +354,7 @@
 
     def _run_due_pass(self, now: Instant) -> None:
         due = self.scheduler.pass_wanted and now >= self._next_pass_at
-        idle_due = now >= self._next_pass_at + IDLE_PASS_INTERVAL_S
+        idle_due = now >= self._next_pass_at + IDLE_PASS_EXTRA_DELAY_S
         if (due or idle_due) and self.commands.may_start():
             self.scheduler.run_pass(now)
             self._next_pass_at = now + pass_interval_s(monotonic_now() - now)
@@ -371,7 +373,7 @@
             if await self.peers_receive_heartbeats() and self.election.is_leader():
                 await self.election.step_down("others hear workers and we do not")
         finally:
-            self._checking_peers = False
+            self._peer_check_running = False
 
     async def _rotate_token(self) -> None:
         """Get a higher fencing token and pass it to the scheduler."""
--- a/umberward/leader/live_job_sweeper.py
+++ b/umberward/leader/live_job_sweeper.py
@@ -42,13 +42,13 @@
                 log.debug("live_job_sweep_failed", error=error)
 
     async def _sweep_page(self) -> None:
-        store, mailbox = self.context.store, self.context.mailbox
+        store, leader_loop = self.context.store, self.context.leader_loop
         page = await store.list_page(
             LIVE_JOBS_PREFIX, self._last_key, SWEEP_PAGE_SIZE, transactions.BACKGROUND
         )
         self._last_key = page.entries[-1].key if page.more and page.entries else ""
-        for job_id in await mailbox.ask(LiveJobsPageRead(page.entries)) or ():
+        for job_id in await leader_loop.ask(LiveJobsPageRead(page.entries)) or ():
             # The page may be outdated by now, so read the record again.
-            found = await store.get(Key(LIVE_JOBS_PREFIX + job_id))
-            if found is not None:
-                await mailbox.tell(UnknownJobRead(job_id, found))
+            stored = await store.get(Key(LIVE_JOBS_PREFIX + job_id))
+            if stored is not None:
+                await leader_loop.tell(UnknownJobRead(job_id, stored))
--- a/umberward/leader/machine_scaler.py
+++ b/umberward/leader/machine_scaler.py
@@ -4,7 +4,7 @@
 
 import curio
 
-from umberward.clients.cloud_client import CloudClient, CloudUnavailableError, NoCapacityError
+from umberward.clients.cloud_client import CloudClient, CloudRequestFailedError, NoCapacityError
 from umberward.core.log import logger
 from umberward.core.types import Instant, MachineId, ScaleOutRequest
 from umberward.leader.clock import monotonic_now
@@ -25,7 +25,7 @@
 
 
 class MachineScaler:
-    """Rents and returns machines, and reads the cloud's lists of machines and machine types.
+    """Rents and deletes machines, and reads the cloud's lists of machines and machine types.
 
     It calls the scheduler and the autoscaler directly, not through messages to the leader loop,
     because each decision depends on the result of the previous one.
@@ -44,14 +44,14 @@
         self.scheduler = scheduler
         self.autoscaler = autoscaler
         self.decision_time_s = 0.0  # computing time of the latest round of decisions
-        self._machines_listed_at = Instant(0.0)
-        self._machine_types_read_at = Instant(0.0)
+        self._list_requested_at = Instant(0.0)
+        self._machine_types_requested_at = Instant(0.0)
 
     async def run(self) -> None:
         """Scale in and out, until cancelled."""
         # The controller has already read the machine types at its start.
-        self._machine_types_read_at = monotonic_now()
-        self._machines_listed_at = Instant(0.0)
+        self._machine_types_requested_at = monotonic_now()
+        self._list_requested_at = Instant(0.0)
         while True:
             await curio.sleep(max(SCALING_INTERVAL_S, DECISION_PAUSE_RATIO * self.decision_time_s))
             self.decision_time_s = 0.0
@@ -61,7 +61,7 @@
                 await self._scale_in()
                 await self._scale_out()
                 await self._read_lists()
-            except CloudUnavailableError as error:
+            except CloudRequestFailedError as error:
                 log.debug("cloud_request_failed", error=error)
                 await curio.sleep(RETRY_DELAY_S)
 
@@ -78,8 +78,8 @@
         machine_ids = self.autoscaler.machines_to_delete(now)[: wire.MAX_DELETIONS_PER_REQUEST]
         if machine_ids:
             log.info("machine_terminated", machines=" ".join(machine_ids))
-            await self.cloud.terminate(machine_ids, self.election.is_leader)
-            self._machines_removed(machine_ids)
+            await self.cloud.delete_machines(machine_ids, self.election.is_leader)
+            self._remove_machines(machine_ids)
 
     def _drain(self, machine: Machine) -> None:
         log.info(
@@ -92,7 +92,7 @@
         machine.deletion_requested = True
         machine.availability_changed()
 
-    def _machines_removed(self, machine_ids: list[MachineId]) -> None:
+    def _remove_machines(self, machine_ids: list[MachineId]) -> None:
         self.scheduler.remove_machines(machine_ids, monotonic_now())
         self.autoscaler.machines_deleted(machine_ids)
 
@@ -114,18 +114,18 @@
     async def _rent(self, request: ScaleOutRequest) -> None:
         """Send the request until its result is known, while this controller leads.
 
-        Raises CloudUnavailableError.
+        Raises CloudRequestFailedError.
         """
         while self.election.is_leader():
             try:
-                machine_ids = await self.cloud.scale_out(request, self.election.is_leader)
+                machine_ids = await self.cloud.rent(request, self.election.is_leader)
             except NoCapacityError:
                 log.info("no_capacity", **request.offer._asdict())
                 self.autoscaler.request_refused(request.offer, monotonic_now())
                 return
             except NoResponseError:
                 # The request may have been executed. A retry with the same id rents nothing twice,
-                # and its response names the machines.
+                # and its response lists the machines that the first request has rented.
                 await curio.sleep(RETRY_DELAY_S)
             else:
                 self.autoscaler.machines_created(request, machine_ids, monotonic_now())
@@ -135,11 +135,11 @@
 
     async def _read_lists(self) -> None:
         """Refresh the lists of machines and of machine types if they are due."""
-        if monotonic_now() - self._machines_listed_at > MACHINE_LIST_INTERVAL_S:
-            self._machines_listed_at = monotonic_now()
+        if monotonic_now() - self._list_requested_at > MACHINE_LIST_INTERVAL_S:
+            self._list_requested_at = monotonic_now()
             await self._reconcile_machine_list()
-        if monotonic_now() - self._machine_types_read_at > MACHINE_TYPES_REFRESH_S:
-            self._machine_types_read_at = monotonic_now()
+        if monotonic_now() - self._machine_types_requested_at > MACHINE_TYPES_REFRESH_S:
+            self._machine_types_requested_at = monotonic_now()
             self.scheduler.machine_types.update(await self.cloud.machine_types())
             self.scheduler.machine_types_changed()
 
@@ -149,7 +149,7 @@
         if failed_ids:
             # A failed machine runs no tasks, but stays in the cloud's list until it is deleted.
             log.info("machines_failed", machines=" ".join(failed_ids))
-            self._machines_removed(failed_ids)
-            await self.cloud.terminate(
+            self._remove_machines(failed_ids)
+            await self.cloud.delete_machines(
                 failed_ids[: wire.MAX_DELETIONS_PER_REQUEST], self.election.is_leader
             )
--- a/umberward/leader/messages.py
+++ b/umberward/leader/messages.py
@@ -31,10 +31,10 @@
 
 
 class CommandCompleted(msgspec.Struct, frozen=True):
-    """A direct command was answered or rejected, timed out or could not be sent."""
+    """A worker responded to a direct command, or it timed out or could not be sent."""
 
     command: DirectCommand
-    heartbeat: Heartbeat | None  # the worker's answer, if there was a valid one
+    heartbeat: Heartbeat | None  # the worker's response, if there was a valid one
     outcome_unknown: bool  # whether the worker may have executed it or may yet do so
 
 
@@ -42,14 +42,14 @@
     """A probe was answered, timed out or could not be sent."""
 
     probe: Probe
-    heartbeat: Heartbeat | None  # the worker's answer, if there was a valid one
+    heartbeat: Heartbeat | None  # the worker's response, if there was a valid one
 
 
 class JobsListed(Request[None], frozen=True):
     """All live jobs were read. Answered with None once they are loaded into the scheduler."""
 
     entries: list[KeyValue]
-    requested_at: Instant  # the entries include all changes before this time
+    requested_at: Instant  # when the read was sent; all changes committed before it are included
     # Recently written final records, for a leader that loads the jobs for the first time; None:
     # they could not be read.
     recent_final_records: list[KeyChange] | None
@@ -59,11 +59,11 @@
     """The watch of the jobs returned changes, or none within its time limit."""
 
     changes: list[KeyChange]
-    requested_at: Instant  # the changes include all up to this time, and possibly later ones
+    requested_at: Instant  # when the watch was sent; all changes committed before it are included
 
 
 class DelegationRequested(Request[Delegation | None], frozen=True):
-    """A controller requests permission to answer machines of its zone if the zone is cut off.
+    """A controller requests permission to answer its zone's heartbeats if the zone is cut off.
 
     Answered with None if no delegation can be given.
     """
@@ -82,8 +82,8 @@
     job_ids: list[JobId]
 
 
-class JobEnded(msgspec.Struct, frozen=True):
-    """The final record of a job that other jobs depend on was found by a lookup."""
+class FinalRecordFound(msgspec.Struct, frozen=True):
+    """A lookup found the final record of a job that other jobs depend on."""
 
     job_id: JobId
     data: object  # the stored record, not validated yet
@@ -102,7 +102,7 @@
     """The record of a live job unknown to the scheduler was read again."""
 
     job_id: JobId
-    found: VersionedValue
+    stored: VersionedValue
 
 
 class TransactionCompleted(msgspec.Struct, frozen=True):
@@ -110,7 +110,10 @@
 
 
 class TimerTick(Request[None], frozen=True):
-    """A periodic tick, several per second. Answered with None once it is handled."""
+    """Triggers the scheduler's time-dependent checks, several times per second.
+
+    Answered with None once it is handled.
+    """
 
 
 LeaderMessage: TypeAlias = (
@@ -121,7 +124,7 @@
     | JobsChanged
     | DelegationRequested
     | JobsCancelledByPeer
-    | JobEnded
+    | FinalRecordFound
     | LiveJobsPageRead
     | UnknownJobRead
     | TransactionCompleted
--- a/umberward/leader/snapshot_store.py
+++ b/umberward/leader/snapshot_store.py
@@ -17,7 +17,7 @@
 
 log = logger(__name__)
 
-STORE_SNAPSHOT_INTERVAL_S = 3.0  # between two parts
+STORE_SNAPSHOT_INTERVAL_S = 3.0  # between the writes of two parts
 TOKEN_FIELD = "epoch"  # the fencing token's field in a stored snapshot
 
 
@@ -69,7 +69,7 @@
                 [self.context.election.leadership_condition()],
                 [transactions.put(key, part)],
                 priority=transactions.BACKGROUND,
-                budget_wait_s=0.0,  # do not wait for the rate budget: all other writes go first
+                budget_wait_s=0.0,  # skip this write if the rate budget does not allow it now
             )
         except (
             state_client.StateUnavailableError,
--- a/umberward/leader/state_sync.py
+++ b/umberward/leader/state_sync.py
@@ -29,7 +29,7 @@
 
 # Without changes the scheduler's copy of the jobs becomes this old between two watch responses. No
 # task may be started on the basis of a copy that is much older.
-WATCH_HOLD_S = 0.5
+WATCH_MAX_DELAY_S = 0.5
 MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.15, 0.3
 
 
@@ -44,7 +44,7 @@
         load_snapshots: Callable[[], Awaitable[None]],
         flush_scheduler_output: Callable[[], Awaitable[None]],
     ) -> None:
-        """Prepare to load, for one leadership.
+        """Prepare to load, for one term.
 
         `graph_controller`: None if graphs are disabled. `revision_before(instant)`: a revision
         lower than that of every commit after `instant`, or None if none is known.
@@ -80,7 +80,7 @@
         await self.flush_scheduler_output()
         await self.load_snapshots()
         if self.graph_controller is not None:
-            # Before the jobs, as tasks of unknown graphs are stopped when the jobs are loaded.
+            # Load graphs before jobs: loading the jobs stops the tasks of unknown graphs.
             await self.graph_controller.load()
 
     async def _load_blocks(self) -> None:
@@ -102,15 +102,15 @@
         requested_at = monotonic_now()
         entries, revision = await self.context.store.list_all(LIVE_JOBS_PREFIX)
         recent_final_records = await self._recent_final_records(revision)
-        await self.context.mailbox.ask(JobsListed(entries, requested_at, recent_final_records))
+        await self.context.leader_loop.ask(JobsListed(entries, requested_at, recent_final_records))
         # Returned only after the message is handled: if any step fails, all are repeated.
         return revision
 
     async def _watch_jobs(self, revision: Revision) -> Revision:
         """Send the changes after `revision` to the leader loop; returns the new revision."""
         requested_at = monotonic_now()
-        changes, revision = await self.context.store.watch(JOBS_PREFIX, revision, WATCH_HOLD_S)
-        await self.context.mailbox.tell(JobsChanged(changes, requested_at))
+        changes, revision = await self.context.store.watch(JOBS_PREFIX, revision, WATCH_MAX_DELAY_S)
+        await self.context.leader_loop.tell(JobsChanged(changes, requested_at))
         return revision
 
     async def _recent_final_records(self, listed_revision: Revision) -> list[wire.KeyChange] | None:
@@ -119,7 +119,7 @@
         Such tasks count against their team's limits, but a new leader that reads only live records
         does not know them. No such job can have ended more than `takeover_s` ago, so the read
         starts at a revision known from before that time. If none is known, it starts as many
-        revisions below `listed_revision` as can have been written since.
+        revisions below `listed_revision` as can have been written start_revision.
 
         Returns None if the state service no longer keeps these changes.
         """
@@ -128,12 +128,12 @@
             return []
         store = self.context.store
         takeover_s = scheduler.delegator.bounds.takeover_s
-        since = self.revision_before(monotonic_now() - takeover_s)
-        if since is None:
+        start_revision = self.revision_before(monotonic_now() - takeover_s)
+        if start_revision is None:
             max_changes = math.ceil(takeover_s * store.max_changes_per_s)
-            since = Revision(max(0, listed_revision - max_changes))
+            start_revision = Revision(max(0, listed_revision - max_changes))
         try:
-            changes, _ = await store.watch(FINAL_JOBS_PREFIX, since, 0.0)
+            changes, _ = await store.watch(FINAL_JOBS_PREFIX, start_revision, 0.0)
         except state_client.RevisionCompactedError:
             log.warning(
                 "final_records_not_read", reason="the state service no longer keeps such changes"
--- a/umberward/leader/transaction_writer.py
+++ b/umberward/leader/transaction_writer.py
@@ -15,7 +15,7 @@
 
 log = logger(__name__)
 
-POLL_INTERVAL_S = 0.5  # between two checks for due writes if `request_write` is not called
+WRITE_CHECK_INTERVAL_S = 0.5  # between two checks for due writes if `request_write` is not called
 # A write rejected for its content would be rejected again, so its retry is delayed longer.
 REJECTED_WRITE_RETRY_DELAY_S = 2.0
 MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.05, 0.15
@@ -44,7 +44,7 @@
     async def run(self) -> None:
         """Commit due transactions until cancelled."""
         while True:
-            await curio.ignore_after(POLL_INTERVAL_S, self._requested.wait)
+            await curio.ignore_after(WRITE_CHECK_INTERVAL_S, self._requested.wait)
             self._requested.clear()
             while self.context.election.is_leader():
                 transaction = self.context.scheduler.writer.next_transaction(monotonic_now())
@@ -54,7 +54,7 @@
                     await curio.sleep(
                         self.context.rng.uniform(MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S)
                     )
-                await self.context.mailbox.tell(TransactionCompleted())
+                await self.context.leader_loop.tell(TransactionCompleted())
 
     async def _commit(self, transaction: Transaction) -> bool:
         """Commit the transaction; returns whether it was certainly committed."""
@@ -91,8 +91,8 @@
             if not self.context.election.is_leader():
                 return
             try:
-                found = await self.context.store.get(key, transactions.URGENT)
+                stored = await self.context.store.get(key, transactions.URGENT)
             except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
                 log.debug("read_failed", key=key, error=error)
                 return
-            self.context.scheduler.reconcile_key(key, found)
+            self.context.scheduler.reconcile_key(key, stored)
--- a/umberward/protocol/constants.py
+++ b/umberward/protocol/constants.py
@@ -32,7 +32,7 @@
 
     START = "start"
     KILL = "kill"
-    FORGET = "forget"
+    FORGET = "forget"  # drop an exited attempt from the heartbeats
 
 
 class TaskPhase(enum.StrEnum):
--- a/umberward/protocol/http/client.py
+++ b/umberward/protocol/http/client.py
@@ -66,7 +66,7 @@
         target: str,
         body: bytes = b"",
         timeout: float = 2.0,
-        new_connection: bool = False,  # noqa: FBT001, FBT002 (callers name it)
+        new_connection: bool = False,  # noqa: FBT001, FBT002 (passed by keyword)
         may_send: Callable[[], bool] | None = None,
     ) -> Response:
         """Send a request and wait for its response.
@@ -101,7 +101,7 @@
         for connection in self.idle_connections.pop(address, []):
             await self._close(connection.sock)
 
-    async def close_idle_connection(self) -> bool:
+    async def evict_idle_connection(self) -> bool:
         """Close an idle connection to the least recently used address; return False if none."""
         if not self.idle_connections:
             return False
@@ -118,9 +118,9 @@
             if self._is_usable(connection.sock):
                 return connection
             await self._close(connection.sock)
-        # Idle connections use up the budget. With more addresses than sockets they would exhaust
-        # it, and no further address could be reached.
-        while self.socket_budget.available_to_client <= 0 and await self.close_idle_connection():
+        # Otherwise idle connections to other addresses could use up the budget, and no further
+        # address could be reached.
+        while self.socket_budget.available_to_client <= 0 and await self.evict_idle_connection():
             pass
         await self._acquire_socket(address, deadline)
         sock = sockets.socket(sockets.AF_INET, sockets.SOCK_STREAM)
--- a/umberward/protocol/http/connection.py
+++ b/umberward/protocol/http/connection.py
@@ -10,8 +10,10 @@
 from curio.traps import _read_wait
 
 IDLE_TIMEOUT_S = 75.0  # a connection is closed after this time without a request
-SILENT_TIMEOUT_S = 20.0  # a named connection idle for longer may be evicted for a new one
-REQUEST_TIMEOUT_S = 10.0  # from the first byte of a request to its last
+MIN_IDLE_BEFORE_EVICTION_S = 20.0  # a named connection idle for longer may be evicted for a new one
+# For a request from its first byte to its last, for a response, or for the first request of a new
+# connection before it may be evicted.
+TRANSFER_TIMEOUT_S = 10.0
 READ_BYTES = 16384
 
 
@@ -29,15 +31,15 @@
     and write of a thousand workers would cost the event loop more than their messages do.
     """
 
-    __slots__ = ("deadline", "name", "quiescent", "response_sent", "sock", "task")
+    __slots__ = ("deadline", "name", "request_awaited", "response_sent", "sock", "task")
 
     def __init__(self, sock: curio.io.Socket) -> None:
         """Wrap an accepted socket; the server sets `task` when it spawns the serving task."""
         self.sock = sock
         self.deadline = time.monotonic() + IDLE_TIMEOUT_S
         self.task: Any = None
-        self.name = ""  # the client, once `Server.set_client_name` has been called
-        self.quiescent = True  # waiting for a request
+        self.name = ""  # of the client, once `Server.set_client_name` has been called
+        self.request_awaited = True  # waiting for a request
         self.response_sent = False  # at least one response has been sent
 
     def set_idle_deadline(self) -> None:
@@ -45,8 +47,8 @@
         self.deadline = time.monotonic() + IDLE_TIMEOUT_S
 
     def set_transfer_deadline(self) -> None:
-        """Allow REQUEST_TIMEOUT_S for the rest of a request, or for a response."""
-        self.deadline = time.monotonic() + REQUEST_TIMEOUT_S
+        """Allow TRANSFER_TIMEOUT_S for the rest of a request, or for a response."""
+        self.deadline = time.monotonic() + TRANSFER_TIMEOUT_S
 
     def clear_deadline(self) -> None:
         """Set no time limit while the handler runs."""
@@ -55,12 +57,12 @@
     def may_be_evicted(self, now: float) -> bool:
         """Whether this connection is idle and may be closed in favor of a new one.
 
-        A connection of a named client is kept for SILENT_TIMEOUT_S, and a new connection waits for
-        its first request for REQUEST_TIMEOUT_S.
+        A connection of a named client is kept for MIN_IDLE_BEFORE_EVICTION_S, and a new connection
+        waits for its first request for TRANSFER_TIMEOUT_S.
         """
-        if not self.quiescent:
+        if not self.request_awaited:
             return False
-        silent_s = now - (self.deadline - IDLE_TIMEOUT_S)
+        idle_s = now - (self.deadline - IDLE_TIMEOUT_S)
         if self.name:
-            return silent_s > SILENT_TIMEOUT_S
-        return self.response_sent or silent_s > REQUEST_TIMEOUT_S
+            return idle_s > MIN_IDLE_BEFORE_EVICTION_S
+        return self.response_sent or idle_s > TRANSFER_TIMEOUT_S
--- a/umberward/protocol/http/messages.py
+++ b/umberward/protocol/http/messages.py
@@ -21,7 +21,7 @@
 
 
 class HttpError(Exception):
-    """A request that the client could not carry out."""
+    """The client has got no response to its request."""
 
 
 class RequestNotSentError(HttpError):
@@ -101,8 +101,8 @@
 class HeadCache(Generic[ParsedHead]):
     """A cache of parsed heads by their bytes.
 
-    It holds only heads of messages that keep the connection open and whose unencoded body arrived
-    in the same read: h11 would parse an identical head to the same result.
+    It holds only heads of messages that keep the connection open and whose body, if any, is
+    not chunked and arrived in the same read: h11 would parse an identical head to the same result.
     """
 
     def __init__(self) -> None:
--- a/umberward/protocol/http/server.py
+++ b/umberward/protocol/http/server.py
@@ -28,7 +28,7 @@
 
 log = logger(__name__)
 
-SWEEP_INTERVAL_S = 1.0  # how often connections past their deadline are closed
+DEADLINE_CHECK_INTERVAL_S = 1.0  # how often connections past their deadline are closed
 SOCKET_POLL_INTERVAL_S = 0.01  # interval of checks for a free socket in the budget
 MAX_SOCKET_POLLS = 20  # such checks before a new connection is refused
 ACCEPT_RETRY_S = 0.05
@@ -83,7 +83,8 @@
                 try:
                     sock, _ = await listener.accept()
                 except OSError as error:
-                    # Out of sockets: pause instead of looping; clients see a refusal.
+                    # The process is out of sockets: pause instead of looping. New clients wait in
+                    # the backlog, and are refused once it is full.
                     log.error("connection_accept_failed", address=self.address, error=error)  # noqa: TRY400 (expected, without a traceback)
                     await curio.sleep(ACCEPT_RETRY_S)
                     continue
@@ -131,7 +132,7 @@
 
     async def _evict(self) -> bool:
         """Close an idle connection of `client`, or else the accepted one idle for longest."""
-        if self.client is not None and await self.client.close_idle_connection():
+        if self.client is not None and await self.client.evict_idle_connection():
             return True
         now = time.monotonic()
         evictable = (
@@ -156,7 +157,7 @@
 
     async def _sweep(self) -> None:
         while True:
-            await curio.sleep(SWEEP_INTERVAL_S)
+            await curio.sleep(DEADLINE_CHECK_INTERVAL_S)
             for connection in list(self.connections):
                 if time.monotonic() > connection.deadline:
                     await self._close(connection)
@@ -182,9 +183,9 @@
             connection.set_idle_deadline()
             data = b""
             if not state.trailing_data[0]:
-                connection.quiescent = True
+                connection.request_awaited = True
                 data = await receive(connection.sock)
-                connection.quiescent = False
+                connection.request_awaited = False
                 if await self._serve_cached_head(connection, data):
                     continue
             try:
--- a/umberward/protocol/job_spec.py
+++ b/umberward/protocol/job_spec.py
@@ -40,7 +40,9 @@
     """A job as submitted by a user (PROTOCOL, "POST /v1/jobs").
 
     `cores`, `accelerators`, `mem_gb` and `image_gb` are per task; fields ending in `_s` are in
-    seconds. `dependencies` is never set in a stored record: see `JobRecord.dependencies`.
+    seconds. `same_zone`: all tasks run in one zone; `spread`: at most half of the tasks, rounded
+    up, run in one zone. `dependencies` is never set in a stored record: see
+    `JobRecord.dependencies`.
     """
 
     job_id: Name
--- a/umberward/protocol/state_records.py
+++ b/umberward/protocol/state_records.py
@@ -37,14 +37,14 @@
         "ready_at": "ready",
     },
 ):
-    """An unfinished job, under `LIVE_JOBS_PREFIX` and its id.
+    """A live job, under `LIVE_JOBS_PREFIX` and its id.
 
     `submitted_at` is the wall-clock time of the submission, in seconds, at the controller that
     accepted the job.
-    `placed_below` is the placement intent, stored before any of the tasks starts: tasks below this
-    number may have been placed by some leader.
+    `placed_below` is the placement intent: tasks below this number may have been placed by some
+    leader. It is stored before any of them starts.
     `done_below`: all tasks below this number are done. `done_bitmap` contains the committed
-    completions from there on, in hexadecimal digits, lowest bit first.
+    completions from there on: a hexadecimal number whose lowest bit stands for task `done_below`.
     `dependencies` holds the jobs that were not done when this one was accepted
     (`pack_dependencies`), until its first placement intent. From then on, `ready_at` holds the time
     when the last of them was done. Both are unset for jobs without dependencies.
@@ -107,7 +107,7 @@
 class LeaderRecord(msgspec.Struct, rename={"controller": "node"}):
     """The current leader; deleted with its lease.
 
-    `nonce` distinguishes runs of the same controller.
+    `nonce` identifies the campaign that wrote the record.
     """
 
     controller: str
@@ -124,7 +124,7 @@
 
 
 class ControllerRecord(msgspec.Struct, rename={"controller": "node", "job_hash_range": "jobs"}):
-    """What a controller leads; the revision of this record is its fencing token.
+    """The jobs that a leader is responsible for; the revision of this record is its fencing token.
 
     `term` counts the tokens of one leadership; `job_hash_range` is the range of job hashes.
     """
--- a/umberward/protocol/transactions.py
+++ b/umberward/protocol/transactions.py
@@ -15,7 +15,10 @@
 
 
 class Priority(enum.IntEnum):
-    """The priority of a request to a rate-limited service; the lowest value goes first."""
+    """The priority of a request to a rate-limited service.
+
+    A request of a lower value may use more of the rate budget (`RateBudget`).
+    """
 
     URGENT = 0
     NORMAL = 1
--- a/umberward/protocol/wire.py
+++ b/umberward/protocol/wire.py
@@ -1,7 +1,8 @@
 """Typed structures of the messages on the wire, and their codecs.
 
-The interfaces to users, workers, the cloud and the state service use different names (PROTOCOL).
-These are mapped to the fields of the structures in this package, and nowhere else:
+The interfaces to users, workers, the cloud and the state service use names that differ from those
+in the code (PROTOCOL). Most of them are mapped to the fields of the structures in this package;
+bodies that are built or read as plain dictionaries use them directly:
 
 | wire name | field |
 | --- | --- |
@@ -232,7 +233,7 @@
         "preemption_notice_s": "reclaim_in_s",
     },
 ):
-    """A report of a worker (PROTOCOL, "POST /hello").
+    """A heartbeat of a worker (PROTOCOL, "POST /hello").
 
     `incarnation` increases whenever the worker's lease expires, and `sequence` with each heartbeat:
     the larger pair is the newer one. `fencing_token` is the highest one that the worker has seen.
@@ -362,7 +363,7 @@
 def _decode_body(decode: Callable[[bytes], T], body: bytes) -> T:
     try:
         return decode(body)
-    # Too deep nesting and text that is not UTF-8 raise built-in exceptions.
+    # Nesting that is too deep and text that is not UTF-8 raise built-in exceptions.
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError, ValueError) as error:
         raise MalformedMessageError(str(error)) from None
 
