--- a/umberward/clients/state_client.py
+++ b/umberward/clients/state_client.py
@@ -112,7 +112,10 @@
     def __init__(
         self, address: Address, limits: StateLimits, controller_count: int, client: Client
     ) -> None:
-        """Create a follower's client. `limits` apply to all `controller_count` controllers."""
+        """Create a client of a follower, a controller that does not lead.
+
+        `limits` apply to all `controller_count` controllers.
+        """
         self.address = address
         self.limits = limits
         self.strictest_limits = limits.strictest()  # these may take effect without notice
@@ -121,6 +124,7 @@
         self.leading = False
         self.client = client
         self.follower_count = max(1, controller_count - 1)
+        # `set_role` replaces these rates.
         self.request_budget = RateBudget(limits.rps * LEADER_REQUEST_SHARE)
         self.write_budget = RateBudget(limits.write_rps * LEADER_WRITE_SHARE)
         self.set_role(leading=False)
--- a/umberward/control/heartbeat_api.py
+++ b/umberward/control/heartbeat_api.py
@@ -37,7 +37,7 @@
 class HeartbeatResponse(
     msgspec.Struct, rename={"fencing_token": "epoch", "commands": "orders"}, frozen=True
 ):
-    """Body of a response that keeps the worker's session alive."""
+    """Body of a response that renews the worker's session."""
 
     fencing_token: int
     commands: list[wire.TaskCommand]
--- a/umberward/control/peer_messages.py
+++ b/umberward/control/peer_messages.py
@@ -67,18 +67,18 @@
 class DelegationRequest(NamedTuple):
     """The query with which a controller requests a delegation from the leader.
 
-    `last_seen_serial` is the serial number of the latest delegation that it has received, or 0.
+    `last_sequence` is the `serial` of the latest delegation that it has received, or 0.
     `unused` is true if it has answered no worker since it requested that delegation.
     """
 
     delegate: ControllerName
-    last_seen_serial: int
+    last_sequence: int
     unused: bool
 
     def to_target(self) -> str:
         """The request target, including the query."""
         return (
-            f"{DELEGATION_PATH}?for={self.delegate}&seen={self.last_seen_serial}"
+            f"{DELEGATION_PATH}?for={self.delegate}&seen={self.last_sequence}"
             f"&idle={int(self.unused)}"
         )
 
@@ -87,10 +87,10 @@
         """Decode a query. Raises InvalidPeerMessageError."""
         fields = dict(parse_qsl(query))
         try:
-            delegate, last_seen_serial = ControllerName(fields["for"]), int(fields["seen"])
+            delegate, last_sequence = ControllerName(fields["for"]), int(fields["seen"])
         except (KeyError, ValueError) as error:
             raise InvalidPeerMessageError(str(error)) from None
-        return cls(delegate, last_seen_serial, unused=fields.get("idle") == "1")
+        return cls(delegate, last_sequence, unused=fields.get("idle") == "1")
 
 
 def encode(message: msgspec.Struct) -> bytes:
--- a/umberward/core/types.py
+++ b/umberward/core/types.py
@@ -19,9 +19,7 @@
 Version = NewType("Version", int)  # of a key in the state service; 0: no such key
 Revision = NewType("Revision", int)  # counter of all changes in the state service
 FencingToken = NewType("FencingToken", int)  # workers reject commands below the highest seen
-Incarnation = NewType(
-    "Incarnation", int
-)  # of a worker's session; a new one begins when its lease expires
+Incarnation = NewType("Incarnation", int)  # of a worker's session; increases when its lease expires
 SequenceNumber = NewType("SequenceNumber", int)  # of a worker's heartbeats within an incarnation
 Attempt = NewType("Attempt", int)  # distinguishes the starts of one task
 LeaseId = NewType("LeaseId", int)
--- a/umberward/leader/final_record_lookup.py
+++ b/umberward/leader/final_record_lookup.py
@@ -10,7 +10,7 @@
 from umberward.core.log import logger
 from umberward.core.types import JobId, Key
 from umberward.leader.leader_context import LeaderContext
-from umberward.leader.messages import FinalRecordFound
+from umberward.leader.messages import JobEnded
 from umberward.protocol import wire
 from umberward.protocol.wire import FINAL_JOBS_PREFIX, FinalJobRecord
 
@@ -49,9 +49,9 @@
         """Send the job's final record to the leader loop, if there is one."""
         final = self.cached_final_record(job_id)
         if final is not None:
-            await self.context.leader_loop.tell(FinalRecordFound(job_id, wire.to_builtins(final)))
+            await self.context.leader_loop.tell(JobEnded(job_id, wire.to_builtins(final)))
             return
         stored = await self.context.store.get(Key(FINAL_JOBS_PREFIX + job_id))
         if stored is not None:
-            await self.context.leader_loop.tell(FinalRecordFound(job_id, stored.data))
+            await self.context.leader_loop.tell(JobEnded(job_id, stored.data))
         # Otherwise the job is still live in the state service, and the watch will report its end.
--- a/umberward/leader/leader_loop.py
+++ b/umberward/leader/leader_loop.py
@@ -38,8 +38,8 @@
 from umberward.leader.messages import (
     CommandCompleted,
     DelegationRequested,
-    FinalRecordFound,
     HeartbeatReceived,
+    JobEnded,
     JobsCancelledByPeer,
     JobsChanged,
     JobsListed,
@@ -138,7 +138,7 @@
             JobsChanged: self._jobs_changed,
             DelegationRequested: self._delegation_requested,
             JobsCancelledByPeer: self._jobs_cancelled_by_peer,
-            FinalRecordFound: self._final_record_found,
+            JobEnded: self._job_ended,
             LiveJobsPageRead: self._live_jobs_page_read,
             UnknownJobRead: self._unknown_job_read,
             TransactionCompleted: self._transaction_completed,
@@ -309,7 +309,7 @@
                 log.info("job_cancelled_by_peer", job=job_id)
                 self.scheduler.remove_job(job_id)
 
-    async def _final_record_found(self, message: FinalRecordFound, _now: Instant) -> None:
+    async def _job_ended(self, message: JobEnded, _now: Instant) -> None:
         job_records.apply_final_record(self.scheduler, message.job_id, message.data)
 
     async def _live_jobs_page_read(self, message: LiveJobsPageRead, now: Instant) -> list[JobId]:
--- a/umberward/leader/messages.py
+++ b/umberward/leader/messages.py
@@ -82,7 +82,7 @@
     job_ids: list[JobId]
 
 
-class FinalRecordFound(msgspec.Struct, frozen=True):
+class JobEnded(msgspec.Struct, frozen=True):
     """A lookup found the final record of a job that other jobs depend on."""
 
     job_id: JobId
@@ -124,7 +124,7 @@
     | JobsChanged
     | DelegationRequested
     | JobsCancelledByPeer
-    | FinalRecordFound
+    | JobEnded
     | LiveJobsPageRead
     | UnknownJobRead
     | TransactionCompleted
--- a/umberward/protocol/cloud_messages.py
+++ b/umberward/protocol/cloud_messages.py
@@ -1,6 +1,7 @@
 """Messages of the cloud's machine API (PROTOCOL, "Controller nodes -> cloud").
 
-The table of wire names is in `umberward.protocol.wire`.
+The table of wire names is in `umberward.protocol.wire`. The names in requests are in
+`umberward.clients.cloud_client`.
 """
 
 from __future__ import annotations
--- a/umberward/protocol/http/server.py
+++ b/umberward/protocol/http/server.py
@@ -202,6 +202,7 @@
                 return
             state.start_next_cycle()
             if request.method != "HEAD":
+                # The first three fields are the method, the path and the query.
                 request_head_cache.add(data, request[:3], len(request.body))
 
     async def _serve_cached_head(self, connection: Connection, data: bytes) -> bool:
--- a/umberward/protocol/state_messages.py
+++ b/umberward/protocol/state_messages.py
@@ -1,6 +1,7 @@
 """Messages of the state service (PROTOCOL, "Controller nodes -> state service").
 
-The table of wire names is in `umberward.protocol.wire`.
+The table of wire names is in `umberward.protocol.wire`. The names in requests are in
+`umberward.clients.state_client`.
 """
 
 from __future__ import annotations
--- a/umberward/protocol/state_records.py
+++ b/umberward/protocol/state_records.py
@@ -126,7 +126,7 @@
 class ControllerRecord(msgspec.Struct, rename={"controller": "node", "job_hash_range": "jobs"}):
     """The jobs that a leader is responsible for; the revision of this record is its fencing token.
 
-    `term` counts the tokens of one leadership; `job_hash_range` is the range of job hashes.
+    `term` counts the tokens of one term; `job_hash_range` is the range of job hashes.
     """
 
     controller: str
