--- a/umberward/control/peer_messages.py
+++ b/umberward/control/peer_messages.py
@@ -18,7 +18,7 @@
 from umberward.core.types import ControllerName
 
 STATUS_PATH = "/peer"
-HEARTBEAT_PATH = "/peer/hello"
+FORWARDED_HEARTBEAT_PATH = "/peer/hello"
 CANCELLATIONS_PATH = "/peer/cancelled"
 DELEGATION_PATH = "/peer/loan"
 SNAPSHOT_PATH = "/peer/hints"
@@ -41,9 +41,10 @@
         "heartbeat_age_s": "heard_age",
     },
 ):
-    """The response of a controller to a peer that has no contact with the state service.
+    """The status of a controller, returned to a peer that requests it.
 
-    `state_contact_age_s` is the time in seconds since the state service last renewed its lease.
+    `state_contact_age_s` is the time in seconds since it sent the latest lease renewal that the
+    state service granted.
     `leader` and `leader_version` are the current leader and the version of the leader's key.
     `heartbeat_age_s` is the time in seconds since a worker last sent it a heartbeat; earlier
     versions omit it.
@@ -66,18 +67,18 @@
 class DelegationRequest(NamedTuple):
     """The query with which a controller requests a delegation from the leader.
 
-    `last_seen_serial` is the serial number of the latest delegation that it has received, or 0.
+    `last_sequence` is the `serial` of the latest delegation that it has received, or 0.
     `unused` is true if it has answered no worker since it requested that delegation.
     """
 
     delegate: ControllerName
-    last_seen_serial: int
+    last_sequence: int
     unused: bool
 
     def to_target(self) -> str:
         """The request target, including the query."""
         return (
-            f"{DELEGATION_PATH}?for={self.delegate}&seen={self.last_seen_serial}"
+            f"{DELEGATION_PATH}?for={self.delegate}&seen={self.last_sequence}"
             f"&idle={int(self.unused)}"
         )
 
@@ -86,10 +87,10 @@
         """Decode a query. Raises InvalidPeerMessageError."""
         fields = dict(parse_qsl(query))
         try:
-            delegate, last_seen_serial = ControllerName(fields["for"]), int(fields["seen"])
+            delegate, last_sequence = ControllerName(fields["for"]), int(fields["seen"])
         except (KeyError, ValueError) as error:
             raise InvalidPeerMessageError(str(error)) from None
-        return cls(delegate, last_seen_serial, unused=fields.get("idle") == "1")
+        return cls(delegate, last_sequence, unused=fields.get("idle") == "1")
 
 
 def encode(message: msgspec.Struct) -> bytes:
