--- a/umberward/leader/leader_election.py
+++ b/umberward/leader/leader_election.py
@@ -42,7 +42,7 @@
 LEASE_VALIDITY_MARGIN_S = 0.15  # the lease counts as expired this long before its assumed end
 # If `renewal_window_s` is below this, the intervals between lease renewals and between reads of the
 # jobs in normal operation use up all of it, so it allows no outage of the state service.
-MIN_KEEPALIVE_S = 3.0
+MIN_RENEWAL_WINDOW_S = 3.0
 
 RENEWALS_PER_LEASE = 5
 RENEWAL_JITTER = (0.9, 1.1)
@@ -144,7 +144,7 @@
         """
         if self.fencing_token is None or jobs_read_at is None:
             return False
-        if self.bounds.renewal_window_s < MIN_KEEPALIVE_S and self.is_leader():
+        if self.bounds.renewal_window_s < MIN_RENEWAL_WINDOW_S and self.is_leader():
             return True  # otherwise every session would expire; a warning was logged at start
         return self.bounds.may_answer(jobs_read_at, self.renewed_at, Instant(self.clock()))
 
