--- a/umberward/scheduling/autoscaler.py
+++ b/umberward/scheduling/autoscaler.py
@@ -1,4 +1,4 @@
-"""Autoscaling: which machines to request from the cloud and which to return. No I/O.
+"""Autoscaling: chooses the machines to request from the cloud and those to drain. No I/O.
 
 The leader's machine scaler carries out the decisions and reports their results.
 """
@@ -39,11 +39,11 @@
 __all__ = ["Autoscaler", "PendingMachine"]
 
 FIRST_DECISION_DELAY_S = 2.0  # in a new term, so that existing machines report first
-NO_CAPACITY_PAUSE_S = 15.0  # before an offer is requested again after its first refusal
+FIRST_NO_CAPACITY_PAUSE_S = 15.0  # before an offer is requested again after its first refusal
 MAX_NO_CAPACITY_PAUSE_S = 60.0
-PAUSE_GROWTH_RATIO = 1.5  # per consecutive refusal
+PAUSE_GROWTH_FACTOR = 1.5  # per consecutive refusal
 # A machine that boots for longer than this multiple of `boot_s` plus the margin is deleted.
-FAILED_BOOT_RATIO = 5.0
+FAILED_BOOT_FACTOR = 5.0
 FAILED_BOOT_MARGIN_S = 10.0
 NEVER_REPORTED_DELETE_S = 60.0  # a running machine that never reported is deleted after this time
 
@@ -60,17 +60,18 @@
         # By refused offer: the time before which it is not requested, and the pause in seconds.
         self.no_capacity_until: dict[MachineOffer, tuple[Instant, float]] = {}
         self.pending_machines: dict[MachineId, PendingMachine] = {}
-        # Machines that run according to the cloud but have not reported, and since when.
+        # Machines that the cloud lists as running but that have not reported, with the time at
+        # which this was first seen.
         self.unreported_machines: dict[MachineId, Instant] = {}
         # Jobs that wait for affordable machines, as of the last decision to scale out.
-        self.affordable: dict[JobId, AffordableMachines] = {}
+        self.affordable_by_job: dict[JobId, AffordableMachines] = {}
 
     # ---- responses of the cloud ----------------------------------------------------------
 
     def machines_created(
         self, request: ScaleOutRequest, machine_ids: list[MachineId], now: Instant
     ) -> None:
-        """Record the machines of a request; fewer than requested count as a refusal of more."""
+        """Record the machines that a request created; if some are missing, count it as refused."""
         for machine_id in machine_ids:
             self.pending_machines[machine_id] = PendingMachine(request.offer, now)
         if len(machine_ids) < request.machine_count:
@@ -80,9 +81,9 @@
 
     def request_refused(self, offer: MachineOffer, now: Instant) -> None:
         """Pause requests for an offer that the cloud refused, longer with each refusal."""
-        first_pause_s = NO_CAPACITY_PAUSE_S / PAUSE_GROWTH_RATIO
+        first_pause_s = FIRST_NO_CAPACITY_PAUSE_S / PAUSE_GROWTH_FACTOR
         _, pause_s = self.no_capacity_until.get(offer, (now, first_pause_s))
-        pause_s = min(pause_s * PAUSE_GROWTH_RATIO, MAX_NO_CAPACITY_PAUSE_S)
+        pause_s = min(pause_s * PAUSE_GROWTH_FACTOR, MAX_NO_CAPACITY_PAUSE_S)
         self.no_capacity_until[offer] = (Instant(now + pause_s), pause_s)
 
     def reconcile_machine_list(
@@ -127,20 +128,23 @@
     # ---- scaling in ----------------------------------------------------------------------
 
     def machines_to_delete(self, now: Instant) -> list[MachineId]:
-        """Return the machines to delete at once: lost, failed to boot, or drained."""
+        """Return the machines to delete now: silent ones, ones that never reported, drained ones.
+
+        Drained machines are those with `deletion_requested`.
+        """
         scheduler = self.scheduler
         lost = [
             machine_id
             for machine_id in scheduler.machines_to_delete
-            if machine_id in scheduler.machines and scheduler.machines[machine_id].probe_unanswered
+            if machine_id in scheduler.machines and scheduler.machines[machine_id].silent
         ]
         scheduler.machines_to_delete.intersection_update(lost)
         drained = [
             machine.id for machine in scheduler.machines.values() if machine.deletion_requested
         ]
-        return lost + self._machines_failed_to_boot(now) + drained
+        return lost + self._machines_never_reported(now) + drained
 
-    def _machines_failed_to_boot(self, now: Instant) -> list[MachineId]:
+    def _machines_never_reported(self, now: Instant) -> list[MachineId]:
         overdue = []
         for machine_id, pending in self.pending_machines.items():
             machine_type = self.scheduler.machine_types.get(pending.offer.type)
@@ -148,7 +152,7 @@
                 continue
             if (
                 now - pending.requested_at
-                > FAILED_BOOT_RATIO * machine_type.boot_s + FAILED_BOOT_MARGIN_S
+                > FAILED_BOOT_FACTOR * machine_type.boot_s + FAILED_BOOT_MARGIN_S
             ):
                 overdue.append(machine_id)
         overdue += [
@@ -159,12 +163,12 @@
         return overdue
 
     def unreachable_machines_to_return(self, now: Instant) -> list[Machine]:
-        """Return the machines to return because this leader's messages do not reach them."""
+        """Return the machines to drain because they are reachable in one direction only."""
         return self.scheduler.reachability.unreachable_machines_to_delete(now)
 
     def machines_to_return(self, now: Instant) -> list[Machine]:
-        """Return the empty machines to return: idle for long, or quarantined."""
-        return unneeded_machines(self.scheduler, self.affordable, now)
+        """Return the empty machines to drain: idle for too long, or quarantined and faulty."""
+        return unneeded_machines(self.scheduler, self.affordable_by_job, now)
 
     # ---- scaling out ---------------------------------------------------------------------
 
@@ -180,12 +184,15 @@
         booting = simulate_pending(scheduler, self.pending_machines.values(), now)
         machine_counts = Counter(machine.offer for machine in booting)
         machine_counts.update(
-            {offer: len(machines) for offer, machines in scheduler.schedulable.by_offer.items()}
+            {
+                offer: len(machines)
+                for offer, machines in scheduler.schedulable_index.by_offer.items()
+            }
         )
-        self.affordable = jobs_limited_to_affordable(
+        self.affordable_by_job = jobs_limited_to_affordable(
             scheduler, (job for job, _ in waiting), machine_counts
         )
-        offers = OfferSelection(scheduler, self.affordable, self.no_capacity_until, now)
+        offers = OfferSelection(scheduler, self.affordable_by_job, self.no_capacity_until, now)
         plan = ScaleOutPlan(scheduler, offers, existing + booting)
         plan.request_for_headroom()
         plan.request_for_jobs(waiting)
--- a/umberward/scheduling/best_fit.py
+++ b/umberward/scheduling/best_fit.py
@@ -1,4 +1,4 @@
-"""Best-fit descending, the placement step of BestFit (Algorithm 3, lines 19-32). Pure.
+"""Best-fit descending, the placement step of BestFit (Algorithm 3, lines 19-32). No I/O.
 
 The machines are sorted by allocated cores, descending. Tasks are assigned one at a time,
 round-robin over the first D machines; a full machine is replaced by the next in order. D is 1 for
@@ -41,25 +41,26 @@
             if room.zone not in zone_limits:
                 zone_limits[room.zone] = remaining_in_zone(room.zone)
     active = ordered[: max(spread_width, 1)]  # the machines in rotation
-    replacements = ordered[max(spread_width, 1) :]  # of full machines, the next one last
+    # Machines that replace full ones, in reverse order: pop() returns the next.
+    replacements = ordered[max(spread_width, 1) :]
     replacements.reverse()
     task_limits: dict[MachineId, int] = {}  # set when a machine is first visited
     chosen: list[MachineId] = []
-    turn = 0
+    active_index = 0
     while active and len(chosen) < count:
-        turn %= len(active)
-        room = active[turn]
+        active_index %= len(active)
+        room = active[active_index]
         if room.machine_id not in task_limits:
             task_limits[room.machine_id] = need.count_within(room.free)
         if task_limits[room.machine_id] <= 0 or zone_limits.get(room.zone, 1) <= 0:
             if replacements:
-                active[turn] = replacements.pop()
+                active[active_index] = replacements.pop()
             else:
-                del active[turn]
+                del active[active_index]
             continue
         task_limits[room.machine_id] -= 1
         if remaining_in_zone is not None:
             zone_limits[room.zone] -= 1
         chosen.append(room.machine_id)
-        turn += 1
+        active_index += 1
     return chosen
--- a/umberward/scheduling/cluster_state.py
+++ b/umberward/scheduling/cluster_state.py
@@ -2,7 +2,7 @@
 
 The parts of the scheduler share their decisions through this state and don't depend on each
 other's internals. Its methods are those that several parts need: where a job may run, and the
-bookkeeping of a placement from the decision until its task is certainly off the machine.
+bookkeeping of a placement from the decision until its task has certainly ended on the machine.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class DirectCommand(NamedTuple):
-    """Task commands sent to a worker at once instead of in a heartbeat's response."""
+    """Task commands sent to a worker immediately, not in the response to a heartbeat."""
 
     machine: MachineId
     address: str
@@ -89,14 +89,14 @@
         self.rng = rng
         self.invariants = Invariants()
         self.loaded = False  # the stored jobs and machines have been read
-        # For each machine, it is known what it runs or certain that it runs nothing any more.
+        # For every machine, either its tasks are known or it certainly runs none.
         self.reconciliation_completed = False
-        self.pass_wanted = True  # something changed that may allow a task to start
+        self.pass_wanted = True  # a scheduling pass is needed: a change may allow a task to start
         self._init_term(fencing_token, now)
         self._init_jobs()
         self._init_machines(now)
         self._init_counters()
-        self.outbox: list[DirectCommand | Probe] = []  # sent by the leader's event loop
+        self.outbox: list[DirectCommand | Probe] = []  # sent by the leader loop
 
     def _init_term(self, fencing_token: FencingToken, now: Instant) -> None:
         """Initialize the fencing tokens and the times, which are monotonic."""
@@ -108,8 +108,8 @@
         self.now = now
         self.last_pause_check_at = now  # last check for a pause of this process
         self.last_heartbeat_at = now  # last heartbeat of any worker
-        # Every cancellation before this time is known: when the latest answered listing of the
-        # jobs was requested. None: no listing has been read in this term.
+        # When the latest successful read of the job records was requested: all earlier
+        # cancellations are known. None: the jobs have not been read in this term.
         self.jobs_read_at: Instant | None = None
 
     def _init_jobs(self) -> None:
@@ -123,26 +123,29 @@
         self.jobs_to_place: dict[JobId, Job] = {}
         self.jobs_to_write: set[JobId] = set()  # jobs with a placement intent or an end to store
         self.precedences_outdated = True
-        # Number of placements by preemption key: most jobs can preempt none, and then no machine
-        # needs to be examined.
+        # Number of placements by preemption key. Most jobs can preempt no placement at all; these
+        # counts show it without examining any machine.
         self.running_by_key: Counter[PreemptionKey] = Counter()
 
     def _init_machines(self, now: Instant) -> None:
         """Initialize the fields about machines."""
         self.machines: dict[MachineId, Machine] = {}
-        self.schedulable = SchedulableMachines()
-        self.unscheduled_checks: list[Machine] = []  # new machines without a time for their checks
-        # Machines that recently did not answer a probe.
-        self.unresponsive_machines: set[MachineId] = set()
-        self.machines_to_delete: set[MachineId] = set()  # to request as soon as the cloud answers
+        self.schedulable_index = SchedulableMachines()
+        # New machines whose first check is not scheduled yet.
+        self.machines_without_check: list[Machine] = []
+        # Machines that sent no message for the heartbeat timeout and did not answer a probe
+        # (`Machine.silent`).
+        self.silent_machines: set[MachineId] = set()
+        # Silent machines whose deletion is to be requested once the cloud answers.
+        self.machines_to_delete: set[MachineId] = set()
         # Deleted machines, whose late heartbeats are ignored. A dict keeps the order, so that the
         # oldest can be dropped.
         self.deleted_machines: dict[MachineId, None] = {}
         self.offers: set[MachineOffer] = set()  # offers with at least one machine
         self.offers_version = 0  # number of changes of the offers or the machine types
         self.headroom = Headroom(self.machine_types, now)
-        self.headroom_machines: set[MachineId] = set()  # machines kept open for accelerated work
-        # Tasks that workers run without a placement, with the number of machines that run each.
+        self.headroom_machines: set[MachineId] = set()  # machines kept free for accelerated work
+        # By task that workers run without a placement: the number of machines that run it.
         self.tasks_without_placement: Counter[TaskId] = Counter()
 
     def _init_counters(self) -> None:
@@ -165,7 +168,7 @@
             self.running_by_key[placement.preemption_key] += 1
             machine = self.machines.get(placement.machine)
             if machine is not None:
-                machine.precedence_changed()
+                machine.clear_cached_sums()
 
     def admits_offer(
         self,
@@ -197,16 +200,18 @@
 
     def schedulable_room(self) -> tuple[list[Machine], dict[MachineId, Resources]]:
         """Return the schedulable machines and a copy of the free resources on each."""
-        self.schedulable.refresh(self.machines, self.machine_types)
-        return list(self.schedulable.machines.values()), dict(self.schedulable.free)
+        self.schedulable_index.refresh(self.machines, self.machine_types)
+        return list(self.schedulable_index.machines.values()), dict(self.schedulable_index.free)
 
     def machine_types_changed(self) -> None:
         """Re-examine all machines after the cloud's list of machine types was read again."""
         self.offers_version += 1
-        self.schedulable.changed.update(dict.fromkeys(self.machines))
+        self.schedulable_index.changed.update(dict.fromkeys(self.machines))
 
-    def headroom_limited_machines(self, job: Job, open_machines: set[MachineId]) -> set[MachineId]:
-        """Return those of `open_machines` on which the job may not use the reserved headroom."""
+    def headroom_limited_machines(
+        self, job: Job, candidate_machines: set[MachineId]
+    ) -> set[MachineId]:
+        """Return those of `candidate_machines` on which the job must leave the headroom free."""
         spec = self.headroom.latest_accelerated_spec
         start_within_s = None
         if spec is not None:
@@ -215,8 +220,8 @@
             )
         return self.headroom.headroom_limited_machines(
             job,
-            open_machines,
-            self.expected_task_runtime(job),
+            candidate_machines,
+            self.expected_task_runtime_s(job),
             start_within_s or DEFAULT_START_WITHIN_S,
         )
 
@@ -233,23 +238,29 @@
         machine = self.machines.get(machine_id)
         if machine is None:
             machine = self.machines[machine_id] = Machine(
-                machine_id, address, machine_type, zone, spot, now, self.schedulable.changed
+                machine_id,
+                address,
+                machine_type,
+                zone,
+                spot,
+                now,
+                self.schedulable_index.changed,
             )
-            self.unscheduled_checks.append(machine)
+            self.machines_without_check.append(machine)
             if machine.offer not in self.offers:
                 self.offers.add(machine.offer)
                 self.offers_version += 1
         return machine
 
-    def heartbeat_timeout(self) -> float:
-        """Return the seconds without a heartbeat after which a machine counts as silent."""
+    def heartbeat_timeout_s(self) -> float:
+        """Return the seconds without a message after which a machine is probed."""
         return max(self.operator.silence_seconds, self.worker_times.report_s * 1.25 + 1.0)
 
     # ---- placements ----------------------------------------------------------------------
 
     def add_placement(self, machine: Machine, job: Job, placement: Placement) -> None:
         """Add a placement to the machine, the job and the usage of the team's quota."""
-        machine.placements_changed()
+        machine.mark_placements_changed()
         machine.placements[placement.task] = placement
         self.running_by_key[placement.preemption_key] += 1
         self.headroom.placement_added(placement)
@@ -258,10 +269,10 @@
             self.jobs_to_write.add(job.id)
         machine.allocated = machine.allocated.plus(placement.need)
         job.placements[placement.task.number] = placement
-        self.quota.reserve(placement.team, placement.need)
+        self.quota.add_usage(placement.team, placement.need)
 
     def release(self, machine: Machine, placement: Placement, *, requeue: bool = True) -> None:
-        """Remove a placement whose attempt is certainly off its machine; idempotent.
+        """Remove a placement whose attempt has certainly ended on its machine; idempotent.
 
         Releasing one task of a gang also releases the others whose start was not sent, so a caller
         that iterates over all tasks of a machine may release these twice. `requeue`: the task is
@@ -269,7 +280,7 @@
         """
         if machine.placements.get(placement.task) is not placement:
             return
-        machine.placements_changed()
+        machine.mark_placements_changed()
         machine.placements.pop(placement.task, None)
         self.running_by_key[placement.preemption_key] -= 1
         self.headroom.placement_released(placement)
@@ -278,7 +289,7 @@
         )
         if not machine.placements:
             machine.idle_since = self.now
-        self.quota.release(placement.team, placement.need)
+        self.quota.remove_usage(placement.team, placement.need)
         self.pass_wanted = True
         job = self.jobs.get(placement.task.job)
         if job is not None and not job.ended:
@@ -300,7 +311,7 @@
                     self.stop(other, 0.0)
 
     def release_all_placements(self, machine: Machine, reason: str) -> None:
-        """Release all placements of a machine whose incarnation has ended; log the `reason`."""
+        """Release all placements of a machine whose session has ended; log the `reason`."""
         if machine.placements:
             log.info("tasks_lost", machine=machine.id, tasks=len(machine.placements), reason=reason)
         machine.inflight_starts.incarnation_ended()
@@ -317,7 +328,7 @@
             self.tasks_without_placement[task] += 1
 
     def clear_tasks_without_placement(self, machine: Machine) -> None:
-        """Forget the tasks that the machine was recorded to run without a placement."""
+        """Clear the record of tasks that the machine runs without a placement."""
         for task in machine.tasks_without_placement:
             self.tasks_without_placement[task] -= 1
             if not self.tasks_without_placement[task]:
@@ -332,8 +343,8 @@
         machine = self.machines.get(placement.machine)
         if machine is None:
             return
-        placement.stopped_at = self.now
-        machine.placements_changed()
+        placement.stop_requested_at = self.now
+        machine.mark_placements_changed()
         if not placement.sent:
             self.release(machine, placement)
             return
@@ -342,7 +353,7 @@
         )
 
     def queue_commands(self, machine: Machine, commands: list[TaskCommand]) -> None:
-        """Add commands for a worker to its message in the outbox, one message per worker."""
+        """Add commands for a worker to its direct command in the outbox, one per worker."""
         for message in self.outbox:
             if isinstance(message, DirectCommand) and message.machine == machine.id:
                 message.commands.extend(commands)
@@ -354,7 +365,7 @@
         )
 
     def send_start(self, placement: Placement) -> None:
-        """Send the start of a task whose intent is stored, unless an invariant refuses it."""
+        """Queue the start of a task whose intent is stored, unless an invariant refuses it."""
         machine = self.machines[placement.machine]
         job = self.jobs.get(placement.task.job)
         if not self.invariants.may_start(job, placement, self.tasks_without_placement):
@@ -371,9 +382,9 @@
     def has_unwanted_start(self, machine: Machine) -> bool:
         """Tell whether a start of a task that is to be stopped may still be executed there.
 
-        Only a higher fencing token or the end of the worker's session makes such a start void, so
-        without a higher token the session must not be kept alive. A start has no effect on an
-        attempt that the worker already lists, exited or not.
+        Such a start becomes void when the worker receives a higher fencing token or its session
+        ends. Until the token is raised, the session must therefore be allowed to end. A start has
+        no effect on an attempt that the worker already lists, exited or not.
         """
         for task, attempt in machine.inflight_starts:
             placement = machine.placements.get(task)
--- a/umberward/scheduling/command_queue.py
+++ b/umberward/scheduling/command_queue.py
@@ -17,10 +17,10 @@
 class CommandQueue:
     """Returns the direct commands to send, and queues those for machines with one in flight."""
 
-    def __init__(self, cluster: ClusterState, may_start: Callable[[], bool]) -> None:
-        """`may_start` returns whether the leader may send a start at the time of the call."""
+    def __init__(self, cluster: ClusterState, leader_may_start: Callable[[], bool]) -> None:
+        """`leader_may_start` returns whether the leader may send a start at this moment."""
         self.cluster = cluster
-        self.may_start = may_start
+        self.leader_may_start = leader_may_start
         self._inflight: set[MachineId] = set()
         self._waiting: dict[MachineId, list[DirectCommand]] = {}
 
@@ -35,7 +35,7 @@
         return self._prepare(command)
 
     def complete_and_take_next(self, machine_id: MachineId) -> DirectCommand | None:
-        """Record that the command in flight was answered or given up; return the next one."""
+        """Record that the command in flight was answered or given up; return the next to send."""
         self._inflight.discard(machine_id)
         waiting = self._waiting.pop(machine_id, [])
         while waiting:
@@ -91,7 +91,7 @@
         placement = machine.placements.get(task_id)
         if placement is None or placement.attempt != attempt or placement.stop_grace_s is not None:
             return False
-        if machine.incarnation != command.incarnation or not self.may_start():
+        if machine.incarnation != command.incarnation or not self.leader_may_start():
             return False
         job = self.cluster.jobs.get(placement.task.job)
         return self.cluster.invariants.may_start(
--- a/umberward/scheduling/command_results.py
+++ b/umberward/scheduling/command_results.py
@@ -32,19 +32,19 @@
         self,
         command: DirectCommand,
         heartbeat: Heartbeat | None,
-        may_be_executed: bool,  # noqa: FBT001 - the scheduler passes the result on by position
+        outcome_unknown: bool,  # noqa: FBT001 - the scheduler passes the result on by position
         now: Instant,
     ) -> None:
         """Apply the result of a direct command.
 
-        `heartbeat` is the response (None: there was none). `may_be_executed` means that the worker
+        `heartbeat` is the response (None: there was none). `outcome_unknown` means that the worker
         may have received the command without answering, or may still receive it.
         """
         machine = self.cluster.machines.get(command.machine)
         if machine is None:
             return
         if command.incarnation == machine.incarnation:
-            self._settle_starts(machine, command, may_be_executed=may_be_executed)
+            self._record_start_outcomes(machine, command, outcome_unknown=outcome_unknown)
         if heartbeat is None:
             self.reachability.suspect_unreachable(machine, now)
             return
@@ -59,38 +59,40 @@
             return
         machine.probe_inflight = False
         if heartbeat is None:
-            self._probe_unanswered(machine, now)
+            self._handle_unanswered_probe(machine, now)
             return
         if heartbeat.machine_id != machine.id:
             # Another machine now uses this one's address.
             self.reachability.suspect_unreachable(machine, now, mark_unreachable=True)
         elif (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence):
             # An old heartbeat is not applied below, but the machine has answered.
-            machine.last_heard_at = self.cluster.last_heartbeat_at = now
+            machine.last_message_at = self.cluster.last_heartbeat_at = now
             self.reachability.confirm_reachable(machine, now)
         self.heartbeats.apply(heartbeat, now, HeartbeatSource.RESPONSE)
 
-    def _probe_unanswered(self, machine: Machine, now: Instant) -> None:
-        """Count the probe, and mark the machine as silent if no heartbeat arrived either."""
+    def _handle_unanswered_probe(self, machine: Machine, now: Instant) -> None:
+        """Count the probe, and mark the machine as silent if no message arrived in time either."""
         self.reachability.count_unanswered_probe(machine)
-        silent_s = now - machine.last_heard_at
-        if silent_s <= self.cluster.heartbeat_timeout():
+        silent_s = now - machine.last_message_at
+        if silent_s <= self.cluster.heartbeat_timeout_s():
             return
-        if not machine.probe_unanswered:
+        if not machine.silent:
             log.info("machine_probe_unanswered", machine=machine.id, seconds=round(silent_s, 1))
-        machine.probe_unanswered = True
-        machine.unchanged_heartbeat = None
+        machine.silent = True
+        machine.settled_task_list = None
         machine.availability_changed()
-        self.cluster.unresponsive_machines.add(machine.id)
+        self.cluster.silent_machines.add(machine.id)
 
     @staticmethod
-    def _settle_starts(machine: Machine, command: DirectCommand, *, may_be_executed: bool) -> None:
+    def _record_start_outcomes(
+        machine: Machine, command: DirectCommand, *, outcome_unknown: bool
+    ) -> None:
         """Record the outcome of the starts in a direct command of the current session."""
         for task_command in command.commands:
             if task_command.started_attempt is None:
                 continue
             task_id, attempt = task_command.started_attempt
-            if may_be_executed:
+            if outcome_unknown:
                 machine.inflight_starts.timed_out(
                     task_id, attempt, command.fencing_token, machine.token_seen
                 )
--- a/umberward/scheduling/consolidation.py
+++ b/umberward/scheduling/consolidation.py
@@ -1,9 +1,10 @@
 """Moves of replicas off expensive machines on which nothing else runs. No I/O.
 
-The machines can then be returned. In a burst, replicas take any free room, and they never end by
-themselves: a machine that costs a hundred times as much as theirs would be kept for them. They move
-one at a time to room that costs less than half, so rarely that availability does not suffer. If
-there is no such room, machines are requested (`ScaleOutPlan.request_for_consolidation`).
+The machines can then be returned to the cloud. When many jobs arrive together, replicas take any
+free room, and they never end by themselves: a machine that costs a hundred times as much as the
+replicas need would be kept for them. They move one at a time to room that costs less than half, so
+rarely that availability does not suffer. If there is no such room, machines are requested
+(`ScaleOutPlan.request_for_consolidation`).
 """
 
 from __future__ import annotations
@@ -24,12 +25,14 @@
 
 log = logger(__name__)
 
-MOVE_PRICE_RATIO_MAX = 0.5  # highest price per core of a target, relative to the source
+MAX_MOVE_PRICE_RATIO = 0.5  # highest price per core of a target, relative to the source
 CONSOLIDATE_INTERVAL_S = 1.0
 MAX_REPLICAS_EXAMINED = 12  # per check
 MOVE_DOWNTIME_S = 0.3  # of a replica that moves to a machine with its image
-MOVE_DOWNTIME_SHARE_MAX = 0.0005  # of total replica time: a quarter of what operators allow
-MIN_REPLICAS_DOWN = 0.01  # lower bound of the average allowed down, so that moves do happen
+MAX_MOVE_DOWNTIME_FRACTION = 0.0005  # of total replica time; a quarter of what operators allow
+# Lower bound of the average number of replicas that moves may keep down, so that replicas move
+# even if there are few.
+MIN_ALLOWED_REPLICAS_DOWN = 0.01
 
 
 class _Move(NamedTuple):
@@ -51,10 +54,10 @@
         self.preemption = preemption
         self.check_not_before = now
         self.move_not_before = now
-        # Jobs of replicas for which cheaper room must be requested, and its highest price per core.
-        self.replicas_without_room: list[tuple[Job, float]] = []
+        # Jobs whose replicas need cheaper machines, with the highest price per core of these.
+        self.jobs_needing_cheaper_room: list[tuple[Job, float]] = []
 
-    def unit_price(self, machine_type_name: MachineTypeName) -> float:
+    def price_per_core(self, machine_type_name: MachineTypeName) -> float:
         """Return the hourly price per core of an on-demand machine."""
         machine_type = self.cluster.machine_types[machine_type_name]
         if machine_type.cores > 0:
@@ -71,7 +74,7 @@
         if now < max(self.check_not_before, self.move_not_before) or not self.cluster.machine_types:
             return
         self.check_not_before = Instant(now + CONSOLIDATE_INTERVAL_S)
-        self.replicas_without_room = []
+        self.jobs_needing_cheaper_room = []
         sources = self._expensive_machines(headroom_machines, schedulable_machines)
         if not sources:
             return
@@ -82,15 +85,18 @@
     def _expensive_machines(
         self, headroom_machines: set[MachineId], schedulable_machines: list[Machine]
     ) -> list[Machine]:
-        """Return the expensive machines that run only replicas, the most wasteful first."""
+        """Return the expensive machines to empty, the most wasteful first.
+
+        They run only work of the highest priority that uses no accelerators.
+        """
         machine_types = self.cluster.machine_types
-        lowest = min(self.unit_price(name) for name in machine_types)
+        lowest = min(self.price_per_core(name) for name in machine_types)
         wasteful = [
             (machine_types[m.machine_type].hourly_price - lowest * m.allocated.cores, m.id, m)
             for m in schedulable_machines
             if m.placements
             and m.id not in headroom_machines
-            and MOVE_PRICE_RATIO_MAX * self.unit_price(m.machine_type) > lowest
+            and MAX_MOVE_PRICE_RATIO * self.price_per_core(m.machine_type) > lowest
             and all(
                 placement.priority == HIGHEST_PRIORITY and placement.need.accelerators <= 0
                 for placement in m.placements.values()
@@ -104,7 +110,7 @@
     ) -> _Move | None:
         """Return a move to a machine with the image, else one to where it must be pulled.
 
-        Replicas without any cheaper room are added to `replicas_without_room`.
+        Jobs of replicas without any cheaper room are added to `jobs_needing_cheaper_room`.
         """
         cluster = self.cluster
         _, free = cluster.schedulable_room()
@@ -120,8 +126,8 @@
                 return _Move(job, placement, source, target, MOVE_DOWNTIME_S)
             target = self._choose_target(job, placement, cheaper, free)
             if target is None:
-                max_unit_price = MOVE_PRICE_RATIO_MAX * self.unit_price(source.machine_type)
-                self.replicas_without_room.append((job, max_unit_price))
+                max_price_per_core = MAX_MOVE_PRICE_RATIO * self.price_per_core(source.machine_type)
+                self.jobs_needing_cheaper_room.append((job, max_price_per_core))
             elif pulling is None:
                 downtime_s = MOVE_DOWNTIME_S + cluster.slowest_image_pull_s(job)
                 pulling = _Move(job, placement, source, target, downtime_s)
@@ -133,18 +139,18 @@
         """Yield some movable replicas with their machine and the cheaper machines with room."""
         examined = 0
         for source in sources:
-            max_unit_price = MOVE_PRICE_RATIO_MAX * self.unit_price(source.machine_type)
+            max_price_per_core = MAX_MOVE_PRICE_RATIO * self.price_per_core(source.machine_type)
             cheaper = [
                 machine
                 for machine in with_room
-                if self.unit_price(machine.machine_type) < max_unit_price
+                if self.price_per_core(machine.machine_type) < max_price_per_core
                 and machine.id not in self.preemption.reservations
             ]
             for placement in list(source.placements.values()):
                 job = self.cluster.jobs.get(placement.task.job)
                 if examined >= MAX_REPLICAS_EXAMINED:
                     return
-                if job is not None and _may_move(job, placement, now):
+                if job is not None and _may_consolidate(job, placement, now):
                     examined += 1
                     yield job, placement, source, cheaper
 
@@ -166,18 +172,20 @@
             machine=move.source.id,
             reason="dear machine",
         )
-        self.move_not_before = Instant(now + move.downtime_s / self._max_replicas_down())
+        self.move_not_before = Instant(
+            now + move.downtime_s / self._allowed_average_replicas_down()
+        )
         self.preemption.reserve(move.job, move.target, now)
         self.cluster.stop(move.placement, 0.0)
 
-    def _max_replicas_down(self) -> float:
-        """Return how many replicas moves may keep down on average."""
+    def _allowed_average_replicas_down(self) -> float:
+        """Return how many replicas moves may keep down on average; less than 1 if there are few."""
         jobs = self.cluster.jobs.values()
         replicas = sum(len(job.placements) for job in jobs if job.service)
-        return max(MIN_REPLICAS_DOWN, MOVE_DOWNTIME_SHARE_MAX * replicas)
+        return max(MIN_ALLOWED_REPLICAS_DOWN, MAX_MOVE_DOWNTIME_FRACTION * replicas)
 
 
-def _may_move(job: Job, placement: Placement, now: Instant) -> bool:
+def _may_consolidate(job: Job, placement: Placement, now: Instant) -> bool:
     """Tell whether the replica has run for long enough and no replica of its job is missing."""
     return (
         job.service
--- a/umberward/scheduling/deadline_triage.py
+++ b/umberward/scheduling/deadline_triage.py
@@ -1,10 +1,10 @@
 """Selection of the jobs to delay when not all can meet their deadlines. No I/O.
 
-Under overload, serving jobs by latest start makes nearly all of them late: each waits for one that
-misses its deadline anyway. The Moore-Hodgson algorithm minimizes the number of late jobs: it adds
-jobs in order of their latest starts, and whenever one would start too late, it removes the longest
-added so far. Removed jobs are served after the rest, but a job that has waited for
-`SERVE_MISSED_WITHIN_S` is served first, whatever its size.
+Under overload, serving jobs by latest start makes nearly all of them late: each is queued behind a
+job that will miss its deadline anyway. The Moore-Hodgson algorithm minimizes the number of late
+jobs: it adds jobs in order of their latest starts, and whenever one would start too late, it
+removes the longest added so far. Removed jobs are served after the rest, but a job that has waited
+for `SERVE_MISSED_WITHIN_S` is served first, whatever its size.
 """
 
 from __future__ import annotations
@@ -18,12 +18,15 @@
 from umberward.scheduling.job_timing import SERVE_MISSED_WITHIN_S
 from umberward.scheduling.jobs import Job
 
-LATE_JOBS_INTERVAL_S = 0.4
-REMAINING_RUN_SHARE = 0.5  # running tasks are half done on average
+UPDATE_INTERVAL_S = 0.4
+REMAINING_RUN_FRACTION = 0.5  # running tasks are half done on average
 
 
 class DeadlineJob(NamedTuple):
-    """The latest start of a job's last task, and how long the job occupies the machines."""
+    """The latest start of a job's last task, and how long the job occupies the machines.
+
+    `start_by` is a wall-clock time; `duration_s` assumes that the job gets all usable machines.
+    """
 
     start_by: float
     duration_s: float
@@ -40,7 +43,8 @@
 def choose_late_jobs(jobs: Iterable[DeadlineJob], free_at: float) -> set[JobId]:
     """Return the fewest jobs to delay so that all others start in time.
 
-    `free_at`: when, in seconds, the machines have finished the work served before all of them.
+    `free_at`: wall-clock time at which the machines will have finished the work that is served
+    before these jobs.
     """
     chosen: list[tuple[float, JobId]] = []  # a heap, longest job first
     late: set[JobId] = set()
@@ -56,21 +60,21 @@
 
 
 class DeadlineTriage:
-    """Maintains the set of late jobs, which is recomputed a few times per second."""
+    """Maintains the set of jobs to delay, which is recomputed a few times per second."""
 
     def __init__(self, cluster: ClusterState, now: Instant) -> None:
         """Allow the first update at `now`, a time of the leader's monotonic clock."""
         self.cluster = cluster
         self.update_not_before = now
-        self.late_jobs: set[JobId] = set()
+        self.delayed_jobs: set[JobId] = set()
 
     def update(self, jobs: Iterable[Job], now: Instant) -> None:
-        """Recompute `late_jobs` from the startable jobs; call this before ordering them."""
+        """Recompute `delayed_jobs` from the startable jobs; call this before ordering them."""
         if now < self.update_not_before:
             return
-        self.update_not_before = Instant(now + LATE_JOBS_INTERVAL_S)
-        self.late_jobs = set()
-        wall = self.cluster.wall_clock()
+        self.update_not_before = Instant(now + UPDATE_INTERVAL_S)
+        self.delayed_jobs = set()
+        wall_now = self.cluster.wall_clock()
         by_kind: dict[_WorkKind, list[Job]] = {}
         for job in jobs:
             if job.spec.deadline_s is not None and not (job.gang or job.service or job.faulty):
@@ -78,30 +82,32 @@
                 by_kind.setdefault(kind, []).append(job)
         for kind, members in by_kind.items():
             if len(members) > 1:
-                self.late_jobs |= self._late_jobs_of(kind, members, wall)
+                self.delayed_jobs |= self._delayed_jobs_of(kind, members, wall_now)
 
-    def _late_jobs_of(self, kind: _WorkKind, members: list[Job], wall: WallTime) -> set[JobId]:
-        rate = self._service_rate(kind)
+    def _delayed_jobs_of(
+        self, kind: _WorkKind, members: list[Job], wall_now: WallTime
+    ) -> set[JobId]:
+        rate = self._usable_amount(kind)
         deadline_jobs = []
-        free_at: float = wall
+        free_at: float = wall_now
         for job in members:
-            task_s = self.cluster.expected_task_runtime(job)
+            task_s = self.cluster.expected_task_runtime_s(job)
             amount = job.need.accelerators if kind.accelerated else job.need.cores
             work = job.startable_count() * amount * task_s
             if rate <= 0:
                 continue
-            if wall - job.ready_at > SERVE_MISSED_WITHIN_S:
+            if wall_now - job.ready_at > SERVE_MISSED_WITHIN_S:
                 free_at += work / rate  # served first
                 continue
             # The last task starts before the job's work is done: others still run at that time.
-            start_by = self.cluster.serve_by(job, wall) + REMAINING_RUN_SHARE * task_s
+            start_by = self.cluster.serve_by(job, wall_now) + REMAINING_RUN_FRACTION * task_s
             deadline_jobs.append(DeadlineJob(start_by, work / rate, job.id))
         return choose_late_jobs(deadline_jobs, free_at)
 
-    def _service_rate(self, kind: _WorkKind) -> float:
+    def _usable_amount(self, kind: _WorkKind) -> float:
         """Return the cores, or accelerators, that such work uses or that are free for it."""
         total = 0.0
-        for machine in self.cluster.schedulable.machines.values():
+        for machine in self.cluster.schedulable_index.machines.values():
             machine_type = self.cluster.machine_types.get(machine.machine_type)
             load = machine.load_by_priority().get(kind)
             if load is not None:
--- a/umberward/scheduling/dependencies.py
+++ b/umberward/scheduling/dependencies.py
@@ -1,4 +1,6 @@
-"""Jobs that wait for dependencies, and the demand that they pass on to these. No I/O.
+"""Jobs that wait for dependencies, and what they require of these. No I/O.
+
+A dependency's demand is the priority and the time limit that its dependents require of it.
 
 `DependencyGraph` tells from the records read so far which jobs may start, which can never run
 because a dependency was cancelled, and for which this is not known yet. The leader and every
@@ -16,8 +18,8 @@
 from umberward.scheduling.cluster_state import ClusterState
 from umberward.scheduling.jobs import NO_DEMAND, DependentDemand, Job
 
-DEMAND_LEARNING_RATE = 0.1  # weight of one job in the moving average of its class
-# Demand is expected for a class if more than this share of its jobs had dependents.
+CLASS_DEMAND_WEIGHT = 0.1  # weight of one job in the moving average of its class
+# Demand is expected for a class if more than this fraction of its jobs had dependents.
 EXPECTED_DEMAND_SHARE = 0.5
 
 
@@ -54,7 +56,7 @@
         self.unresolved_dependency_ids.pop(job_id, None)
 
     def note_started(self, job_id: JobId) -> None:
-        """Note that, according to its record, the job no longer waits for others."""
+        """Note that, according to its record, the job no longer waits for dependencies."""
         self._remove(job_id)
 
     def note_ended(self, job_id: JobId, phase: str) -> list[JobId]:
@@ -127,14 +129,17 @@
 
 
 class WaitingJobs:
-    """The leader's waiting jobs; no other part counts them until they may start."""
+    """The leader's jobs that wait for dependencies.
+
+    They are not in `ClusterState.jobs`, so that placement and autoscaling ignore them.
+    """
 
     def __init__(self, cluster: ClusterState) -> None:
         """Keep the demand on live jobs in `cluster.demands`."""
         self.cluster = cluster
         self.jobs: dict[JobId, Job] = {}
         self.demands = cluster.demands
-        # By job class: the share of its jobs that had dependents, and the priority of the
+        # By job class: the fraction of its jobs that had dependents, and the priority of the
         # dependents. Some users submit the last job of a pipeline only after the others have
         # ended; such a pipeline should be served in time as well.
         self.class_demand: dict[str, tuple[float, int]] = {}
@@ -182,7 +187,7 @@
     def expected_precedence(self, job: Job) -> tuple[int, int]:
         """Return the job's precedence, including the demand that is expected for its class.
 
-        Expected demand alone preempts nothing: that requires a live job that depends on this one.
+        Expected demand affects only the order. To preempt, a job needs a live dependent.
         """
         share, priority = self.class_demand.get(job.spec.job_class, (0.0, job.priority))
         guaranteed, own_priority = job.precedence
@@ -191,13 +196,13 @@
         return (guaranteed, own_priority)
 
     def _learn_demand(self, job_id: JobId) -> None:
-        """Update the share of its class's jobs that had dependents, after a job has ended."""
+        """Update the fraction of its class's jobs that had dependents, after a job has ended."""
         job = self.cluster.jobs.get(job_id)
         if job is None or job.spec.job_class not in self.class_demand:
             return
         share, priority = self.class_demand[job.spec.job_class]
         had_demand = 1.0 if job_id in self.demands else 0.0
-        share += DEMAND_LEARNING_RATE * (had_demand - share)
+        share += CLASS_DEMAND_WEIGHT * (had_demand - share)
         self.class_demand[job.spec.job_class] = (share, priority)
 
     # ---- demand on dependencies ----------------------------------------------------------
@@ -210,7 +215,7 @@
             finish_by = min(finish_by, job.submitted_at + job.spec.deadline_s)
         return DependentDemand(
             min(priority, wire.PRIORITIES[job.spec.priority]),
-            finish_by - self.cluster.expected_duration(job),
+            finish_by - self.cluster.expected_duration_s(job),
         )
 
     def _propagate_demand(self, job_ids: list[JobId]) -> None:
--- a/umberward/scheduling/failure_attribution.py
+++ b/umberward/scheduling/failure_attribution.py
@@ -2,9 +2,9 @@
 
 A faulty machine fails every task, a faulty job fails on every machine, and the first failures of
 either look the same. So both are suspected at first: the machine gets no new tasks, and the job
-runs elsewhere. A job counts as faulty once it has failed on several machines and run well on none.
-It is cleared, even later, by one task that completes or runs much longer than the failed ones; its
-failures then count against the machines again, which are kept until that is decided.
+runs elsewhere. A job counts as faulty once it has failed on several machines and is not known to
+work. It is known to work, even later, once a task completes or runs much longer than the failed
+ones. Its failures, which are kept until then, count against the machines again.
 
 The failures of a graph's job are attributed per task instead, as its tasks have little in common
 (`Job.attributes_failures_per_task`).
@@ -21,16 +21,18 @@
 log = logger(__name__)
 
 QUARANTINE_AFTER_FAILURES = 2  # failures on one machine of jobs that are not faulty
-FAULTY_JOB_AFTER_MACHINES = 3  # a job that fails on so many machines counts as faulty
+FAULTY_JOB_AFTER_MACHINES = 3  # a job that fails on that many machines counts as faulty
 QUARANTINE_TIMEOUT_S = 15.0  # a machine still in quarantine after this time is faulty
 CHECK_INTERVAL_S = 0.5  # between checks of the suspected jobs
 
-# Exponential backoff: the pause before a faulty job is retried doubles with each retry.
-RETRY_PAUSE_FACTOR = 2.0
-RETRY_PAUSE_DOUBLINGS_MAX = 10
+# Exponential backoff: the pause before a faulty job is retried is 1 s at first, and grows by this
+# factor with each retry.
+RETRY_PAUSE_GROWTH_FACTOR = 2.0
+MAX_RETRY_PAUSE_DOUBLINGS = 10
 MAX_RETRY_PAUSE_S = 45.0
 
-# A task clears its job once it has run this multiple of the longest failed run, plus the margin.
+# A task shows that its job works once it has run this multiple of the longest failed run, plus the
+# margin.
 RAN_WELL_FACTOR = 2.0
 RAN_WELL_MARGIN_S = 1.0
 
@@ -39,10 +41,14 @@
     """Quarantines machines and delays jobs to which failures are attributed."""
 
     def __init__(self, cluster: ClusterState, now: Instant) -> None:
-        """Attribute the failures of `cluster`'s tasks; `now` is the leader's steady clock."""
+        """Attribute the failures of `cluster`'s tasks.
+
+        `now` is a time of the leader's monotonic clock.
+        """
         self.cluster = cluster
-        self.suspected: dict[JobId, Job] = {}  # jobs that have failed and not run well
-        self.undecided: dict[JobId, Job] = {}  # per-task jobs with failures not attributed yet
+        self.suspected: dict[JobId, Job] = {}  # jobs that have failed and are not known to work
+        # Jobs whose failures are attributed per task, with failures not attributed yet.
+        self.undecided: dict[JobId, Job] = {}
         self.check_not_before = now
 
     def task_failed(self, machine: Machine, job: Job, placement: Placement, now: Instant) -> None:
@@ -70,9 +76,10 @@
     def task_succeeded(
         self, machine: Machine, job: Job, placement: Placement | None, now: Instant
     ) -> None:
-        """Record a success, which clears the job.
+        """Record a success, after which the job is known to work.
 
-        It clears the machine as well if the task was placed after the last failure there.
+        It clears the failures of the machine as well if the task was placed after the last failure
+        there.
         """
         if placement is not None and placement.placed_at > machine.failed_at:
             machine.failures.clear()
@@ -112,7 +119,7 @@
                 machine.failures.pop(job.id, None)
 
     def restore_faulty_job(self, job: Job, retry_count: int, now: Instant) -> None:
-        """Restore a former leader's decision that the job is faulty, with its retry count."""
+        """Restore a previous leader's decision that the job is faulty, with its retry count."""
         job.faulty = True
         job.retry_count = retry_count
         self.suspected[job.id] = job
@@ -136,8 +143,8 @@
     ) -> None:
         """Count the failure of a task of a job whose failures are attributed per task.
 
-        A task that fails on every machine must not quarantine any, even if other tasks of its job
-        run well.
+        A task that fails on every machine must not quarantine any, even if other tasks
+        of its job work.
         """
         task_id = placement.task
         machine.failures[task_id] = machine.failures.get(task_id, 0) + 1
@@ -159,12 +166,12 @@
         """Delay a faulty job's retry; further failures during the delay count as the same retry."""
         if now < job.retry_not_before:
             return
-        doublings = min(job.retry_count, RETRY_PAUSE_DOUBLINGS_MAX)
-        job.retry_not_before = now + min(MAX_RETRY_PAUSE_S, RETRY_PAUSE_FACTOR**doublings)
+        doublings = min(job.retry_count, MAX_RETRY_PAUSE_DOUBLINGS)
+        job.retry_not_before = now + min(MAX_RETRY_PAUSE_S, RETRY_PAUSE_GROWTH_FACTOR**doublings)
         job.retry_count += 1
 
     def _clear_if_running_well(self, job: Job, now: Instant) -> None:
-        """Clear the job if one of its tasks has run much longer than the failed ones."""
+        """Record that the job works if a task of it has run much longer than the failed ones."""
         ran_well_s = RAN_WELL_FACTOR * job.longest_failed_run_s + RAN_WELL_MARGIN_S
         for placement in job.placements.values():
             if placement.running_since is not None and now - placement.running_since > ran_well_s:
@@ -172,7 +179,7 @@
                 return
 
     def _mark_known_to_work(self, job: Job, now: Instant) -> None:
-        """Record that the job runs well; its failures count against the machines from now on."""
+        """Record that the job works; its failures count against the machines from now on."""
         if job.known_to_work:
             return
         job.known_to_work = True
--- a/umberward/scheduling/gang_preemption.py
+++ b/umberward/scheduling/gang_preemption.py
@@ -1,4 +1,4 @@
-"""Preemption plans for whole gangs, as a gang cannot start with part of its room. Pure."""
+"""Preemption plans for whole gangs, as a gang cannot start with part of its room. No I/O."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     victims: list[Placement]
 
 
-def plan_gang(
+def plan_gang_preemption(
     cluster: ClusterState,
     job: Job,
     work: PreemptableWork,
@@ -61,13 +61,13 @@
 ) -> dict[ZoneName, list[GangStep]]:
     """Return the possible steps by zone, all under `ANY_ZONE` if the gang may span zones."""
     steps_by_zone: dict[ZoneName, list[GangStep]] = {}
-    rooms = work.preemptable_room(job)
+    preemptable_by_machine = work.preemptable_room(job)
     for machine in work.machines_of(cluster.suitable_offers(job)):
         if machine.id in reservations or machine.id in reserved_for_others:
             continue
         zone = machine.zone if job.spec.same_zone else ANY_ZONE
         steps = steps_by_zone.setdefault(zone, [])
-        step = _step(cluster, job, machine, work, rooms)
+        step = _step(cluster, job, machine, work, preemptable_by_machine)
         if step is not None:
             steps.append(step)
     return steps_by_zone
@@ -78,7 +78,7 @@
     job: Job,
     machine: Machine,
     work: PreemptableWork,
-    rooms: dict[MachineId, tuple[Machine, Resources]],
+    preemptable_by_machine: dict[MachineId, tuple[Machine, Resources]],
 ) -> GangStep | None:
     """Return a step for free room, else for one task by preemption; None: neither is possible."""
     free = work.free[machine.id]
@@ -86,7 +86,9 @@
     task_count = job.need.count_within(free)
     if task_count:
         return GangStep(ready_in_s, 0.0, machine.id, task_count, [])
-    if machine.id not in rooms or not job.need.fits(free.plus(rooms[machine.id][1])):
+    if machine.id not in preemptable_by_machine or not job.need.fits(
+        free.plus(preemptable_by_machine[machine.id][1])
+    ):
         return None
     plan = work.plan(machine, job, free)
     if plan is None:
--- a/umberward/scheduling/gang_reservation.py
+++ b/umberward/scheduling/gang_reservation.py
@@ -1,11 +1,11 @@
-"""Reservation of machines for gangs that have waited for long. No I/O.
-
-A gang starts only when enough machines are free at once, in one zone if it asks for that; a stream
-of smaller gangs would starve it. So after a part of the four minutes within which every job should
-begin, the machines of one zone that become free are reserved for the gang until they are enough.
-Work that it may preempt still uses them, and so does work that ends before the last machine is
-expected. Each zone has one such gang at a time, the longest waiting, to avoid a deadlock of two
-gangs that each hold half of what they need.
+"""Reservation of machines for gangs that have waited for a long time. No I/O.
+
+A gang starts only when enough machines are free at the same time, in one zone if it asks for that;
+a stream of smaller gangs would starve it. So after a part of the four minutes within which every
+job should begin, the machines of one zone that become free are reserved for the gang until there
+are enough of them. Work that the gang may preempt can still be placed there, and so can work that
+ends before the last machine is expected to become free. Each zone has one such gang at a time, the
+longest waiting, to avoid a deadlock of two gangs that each hold half of what they need.
 """
 
 from __future__ import annotations
@@ -24,13 +24,16 @@
 log = logger(__name__)
 
 RESERVE_AFTER_S = 0.35 * START_WITHIN_S  # waiting time after which machines are reserved
-ZONE_CHANGE_GAIN_S = 10.0  # a reservation changes its zone if the gang starts so much sooner
+ZONE_CHANGE_GAIN_S = 10.0  # a reservation changes its zone if the gang starts this much sooner
 MIN_REMAINING_RUN_S = 1.0  # assumed for a task that runs longer than estimated
 ANY_ZONE = ZoneName("")
 
 
 class GangSlot(NamedTuple):
-    """When a machine has room for the gang, and for how many tasks; sorted by the fields."""
+    """The time until a machine has room for the gang, and the number of tasks that fit.
+
+    Sorted by the fields.
+    """
 
     available_in_s: float
     image_missing: bool
@@ -47,12 +50,12 @@
 
 
 class GangReservations:
-    """Selects a zone for each gang that has waited for long, and reserves free machines there."""
+    """Selects a zone for each gang that has waited too long, and reserves free machines there."""
 
     def __init__(self, cluster: ClusterState) -> None:
         """Start without any reservation."""
         self.cluster = cluster
-        # By reserved machine: the gang, and when the gang's last machine is expected.
+        # By reserved machine: the gang, and when its last machine is expected to be free.
         self.reserved: dict[MachineId, tuple[Job, Instant]] = {}
         self.zone_of_job: dict[JobId, ZoneName] = {}
 
@@ -71,14 +74,14 @@
         self.zone_of_job = zone_of_job
 
     def _gangs_to_reserve_for(self, waiting: list[Job]) -> list[Job]:
-        """Return the gangs that have waited for long and could start, the longest waiting first."""
-        wall = self.cluster.wall_clock()
+        """Return the gangs that have waited too long and could start, the longest waiting first."""
+        wall_now = self.cluster.wall_clock()
         gangs = [
             job
             for job in waiting
             if job.gang
             and job.size > 1
-            and wall - job.ready_at > RESERVE_AFTER_S
+            and wall_now - job.ready_at > RESERVE_AFTER_S
             and not (job.placements or job.unlocated_tasks or job.faulty)
             and self.cluster.quota.tasks_within_limit(job.team, job.need) >= job.size
         ]
@@ -87,7 +90,7 @@
 
     def machines_reserved_for_others(self, job: Job) -> set[MachineId]:
         """Return the machines that the job may not use, as they are reserved for other gangs."""
-        duration_s = math.inf if job.service else self.cluster.expected_duration(job)
+        duration_s = math.inf if job.service else self.cluster.expected_duration_s(job)
         return {
             machine_id
             for machine_id, (owner, until) in self.reserved.items()
@@ -131,7 +134,7 @@
             zone = offer.zone if job.spec.same_zone else ANY_ZONE
             if zone in zones_in_use:
                 continue
-            for machine in self.cluster.schedulable.by_offer.get(offer, {}).values():
+            for machine in self.cluster.schedulable_index.by_offer.get(offer, {}).values():
                 slot = self._gang_slot(job, machine, free[machine.id], now)
                 if slot is not None:
                     slots_by_zone.setdefault(zone, []).append(slot)
@@ -201,4 +204,4 @@
         if owner.service:
             return math.inf
         ran_s = 0.0 if placement.running_since is None else now - placement.running_since
-        return max(MIN_REMAINING_RUN_S, self.cluster.expected_task_runtime(owner) - ran_s)
+        return max(MIN_REMAINING_RUN_S, self.cluster.expected_task_runtime_s(owner) - ran_s)
--- a/umberward/scheduling/headroom.py
+++ b/umberward/scheduling/headroom.py
@@ -1,10 +1,11 @@
 """Headroom: spare capacity that is kept free for accelerated work. No I/O.
 
 Accelerated machines are few, expensive and slow to boot, and a task needs nearly all of one. So as
-many as such work needed recently are kept free or run empty, and other work uses only what an
-accelerated task would leave on them; the headroom shrinks to zero when no such work arrives. Only
-work that should start soon after submission counts (`Job.needs_prompt_start`). Work with a deadline
-and no start objective can wait for a machine, and uses the headroom if it has a lower priority.
+many as such work needed recently are kept free or allowed to become empty, and other work uses only
+the resources that an accelerated task would not need; the headroom shrinks to zero when no such
+work arrives. Only work that should start soon after submission counts (`Job.needs_prompt_start`).
+Work with a deadline and no start objective can wait for a machine, and uses the headroom if it has
+a lower priority.
 """
 
 from __future__ import annotations
@@ -27,7 +28,9 @@
 from umberward.scheduling.machines import Machine
 
 PEAK_DECAY_S = 60.0  # time constant of the exponential decay of the peak to the current need
-BRIEF_TASK_SHARE = 0.3  # longest brief task, as a share of accelerated work's time to start
+# A task is brief if it takes at most this fraction of the time within which accelerated work should
+# start.
+BRIEF_TASK_FRACTION = 0.3
 HIGHEST_PRIORITY = min(PRIORITIES.values())
 
 # Penalties per core of other work on a machine, by how long that work is likely to stay.
@@ -53,11 +56,12 @@
     def __init__(self, machine_types: dict[MachineTypeName, MachineType], now: Instant) -> None:
         """Start without demand; `machine_types` is the cloud's list, which its owner updates."""
         self.machine_types = machine_types
-        self.largest_need = NO_RESOURCES  # of all accelerated tasks seen
-        # Of the latest accelerated job, whose constraints decide where such work may run.
+        self.largest_accelerator_need = NO_RESOURCES  # the one with the most accelerators
+        # Spec of the last accelerated job in the service order of the latest pass that had one; its
+        # constraints decide where such work may run.
         self.latest_accelerated_spec: JobSpec | None = None
         self.lowest_priority = 0  # of all accelerated work seen; a lower one is a larger number
-        self.running_count = 0  # accelerated tasks with a placement
+        self.placement_count = 0  # accelerated tasks with a placement
         self.waiting_count = 0  # accelerated tasks that wait for one
         self.peak = 0.0  # decaying maximum of running and waiting tasks together
         self.updated_at = now
@@ -66,13 +70,13 @@
     def placement_added(self, placement: Placement) -> None:
         """Count a placement of accelerated work; ignore others."""
         if placement.needs_prompt_start:
-            self.running_count += 1
-            self._update_largest_need(placement.need)
+            self.placement_count += 1
+            self._update_largest_accelerator_need(placement.need)
 
     def placement_released(self, placement: Placement) -> None:
         """Undo `placement_added`."""
         if placement.needs_prompt_start:
-            self.running_count -= 1
+            self.placement_count -= 1
 
     def update(self, waiting: Iterable[Job], now: Instant) -> None:
         """Count the accelerated tasks that wait, and update the decaying peak."""
@@ -82,29 +86,29 @@
                 self.waiting_count += job.startable_count()
                 self.lowest_priority = max(self.lowest_priority, job.priority)
                 self.latest_accelerated_spec = job.spec
-                self._update_largest_need(job.need)
-        tasks = self.running_count + self.waiting_count
+                self._update_largest_accelerator_need(job.need)
+        tasks = self.placement_count + self.waiting_count
         decayed = tasks + (self.peak - tasks) * math.exp((self.updated_at - now) / PEAK_DECAY_S)
         self.updated_at = now
         self.peak = max(decayed, float(tasks))
 
     def restore(self, spec: JobSpec, need: Resources, peak: float) -> None:
-        """Adopt the demand that the previous leader saw, unless this one has seen more."""
+        """Restore the demand that the previous leader recorded, unless this one has more."""
         self.peak = max(self.peak, peak)
         self.lowest_priority = max(self.lowest_priority, PRIORITIES[spec.priority])
         if self.latest_accelerated_spec is None:
             self.latest_accelerated_spec = spec
-        self._update_largest_need(need)
+        self._update_largest_accelerator_need(need)
 
-    def _update_largest_need(self, need: Resources) -> None:
-        if need.accelerators >= self.largest_need.accelerators:
-            self.largest_need = need
+    def _update_largest_accelerator_need(self, need: Resources) -> None:
+        if need.accelerators >= self.largest_accelerator_need.accelerators:
+            self.largest_accelerator_need = need
 
-    def spare_task_count(self) -> int:
-        """Return for how many further accelerated tasks to keep room free."""
-        if self.largest_need.accelerators <= 0:
+    def headroom_task_count(self) -> int:
+        """Return the number of further accelerated tasks to keep room free for."""
+        if self.largest_accelerator_need.accelerators <= 0:
             return 0
-        return max(0, round(self.peak) - self.running_count)
+        return max(0, round(self.peak) - self.placement_count)
 
     def could_run_accelerated(
         self,
@@ -118,7 +122,7 @@
             return False
         return (
             machine_type is not None
-            and self.largest_need.fits(machine_type.capacity)
+            and self.largest_accelerator_need.fits(machine_type.capacity)
             and (spec.machine_types is None or machine_type_name in spec.machine_types)
             and (spec.zone is None or zone == spec.zone)
             and (spec.spot or not spot)
@@ -131,10 +135,10 @@
     ) -> tuple[set[MachineId], set[MachineId]]:
         """Return the machines to keep free, and all that could run accelerated work.
 
-        If too few are free, those that will be free soonest are selected and run empty; otherwise a
-        succession of short tasks would starve accelerated work.
+        If too few are free, those that will be free soonest are selected and allowed to become
+        empty; otherwise a succession of short tasks would starve accelerated work.
         """
-        if self.largest_need.accelerators <= 0:
+        if self.largest_accelerator_need.accelerators <= 0:
             return set(), set()
         cores_by_zone = self._cores_by_zone(by_offer)
         candidates = []
@@ -144,11 +148,11 @@
             zone_cores = cores_by_zone.get(offer.zone, 0.0)
             for machine in machines.values():
                 room = free[machine.id].plus(self.preemptable_room(machine))
-                if room.accelerators >= self.largest_need.accelerators:
+                if room.accelerators >= self.largest_accelerator_need.accelerators:
                     candidates.append(self._candidate(machine, room, zone_cores))
         candidates.sort()
         machine_ids = [candidate.machine_id for candidate in candidates]
-        self.headroom_machines = set(machine_ids[: self.spare_task_count()])
+        self.headroom_machines = set(machine_ids[: self.headroom_task_count()])
         return set(self.headroom_machines), set(machine_ids)
 
     def _cores_by_zone(
@@ -174,7 +178,7 @@
             for (accelerated, priority), load in machine.load_by_priority().items()
         )
         return _Candidate(
-            not self.largest_need.fits(room),
+            not self.largest_accelerator_need.fits(room),
             machine.id not in self.headroom_machines,
             -zone_cores,
             weight,
@@ -200,18 +204,19 @@
         return room
 
     def headroom_limited_machines(
-        self, job: Job, headroom_machines: set[MachineId], task_s: float, start_within_s: float
+        self, job: Job, candidate_machines: set[MachineId], task_s: float, start_within_s: float
     ) -> set[MachineId]:
-        """Return those of `headroom_machines` on which the job must leave the headroom free.
+        """Return those of `candidate_machines` on which the job must leave the headroom free.
 
-        There are none for work of lower priority, which is preempted when they are needed, nor,
-        while no accelerated work waits, for tasks that end long before such work must start. So
-        scarce and expensive machines do not stand idle. `task_s`: the expected duration of a task;
-        `start_within_s`: the time within which accelerated work should start.
+        Work of lower priority is not limited, as it is preempted when the machines are needed.
+        While no accelerated work waits, brief tasks are not limited either, as they end long before
+        such work must start. So scarce and expensive machines do not stand idle. `task_s`: the
+        expected duration of a task; `start_within_s`: the time within which accelerated work should
+        start.
         """
         if job.need.accelerators > 0 or job.priority > self.lowest_priority:
             return set()
-        is_brief = 0 < task_s <= BRIEF_TASK_SHARE * start_within_s
+        is_brief = 0 < task_s <= BRIEF_TASK_FRACTION * start_within_s
         if is_brief and not job.service and not self.waiting_count:
             return set()
-        return headroom_machines
+        return candidate_machines
--- a/umberward/scheduling/heartbeat_forwarding.py
+++ b/umberward/scheduling/heartbeat_forwarding.py
@@ -16,13 +16,13 @@
 
 # A worker that returns from a redirect sooner was refused, or has another reason to ask again.
 MIN_RETURN_DELAY_S = 0.8
-# One that returns within this time had no response: with each controller in turn it waits 4 s for
-# a response, and 1 s before it turns to the next.
+# A worker that returns within this time had no response: with each controller in turn it waits 4 s
+# for a response (`reachability.WORKER_RESPONSE_TIMEOUT_S`), and 1 s before it turns to the next.
 MAX_RETURN_DELAY_S = 12.0
 DIRECT_RETRY_INTERVAL_S = 30.0  # after which a forwarded worker is redirected to the leader again
 MAX_REMEMBERED_WORKERS = 4096
 
-WorkerState = TypeVar("WorkerState")
+Value = TypeVar("Value")
 # Incarnation and sequence number of a heartbeat, which increase with each heartbeat of a worker. A
 # plain tuple for speed, as one is created for each heartbeat received.
 HeartbeatPosition = tuple[int, int]
@@ -31,9 +31,9 @@
 class DuplicateFilter:
     """Recognizes duplicate heartbeats, which the network may deliver at any time.
 
-    It stores the position of the latest heartbeat of the MAX_REMEMBERED_WORKERS workers heard last.
-    Duplicates from these workers are recognized; from any other worker, the first heartbeat to
-    arrive counts as new.
+    It stores the position of the latest heartbeat of each of the MAX_REMEMBERED_WORKERS workers
+    that sent a heartbeat last. Duplicates from these workers are recognized; from any other worker,
+    the first heartbeat to arrive counts as new.
     """
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
         return True
 
 
-class RedirectedWorker(NamedTuple):
+class WorkerRoute(NamedTuple):
     """A worker that was redirected to the leader, or whose heartbeats are forwarded to it."""
 
     leader: ControllerName
@@ -63,15 +63,18 @@
 class HeartbeatForwarding:
     """Decides for each heartbeat that reaches a controller other than the leader what to do.
 
-    All times are of this controller's steady clock.
+    All times are of this controller's monotonic clock.
     """
 
     def __init__(self) -> None:
         """Start without workers."""
-        self.redirected: OrderedDict[MachineId, RedirectedWorker] = OrderedDict()
+        self.redirected: OrderedDict[MachineId, WorkerRoute] = OrderedDict()
 
     def should_forward(self, machine_id: MachineId, leader: ControllerName, now: Instant) -> bool:
-        """Whether to forward this heartbeat to the leader; if not, redirect its worker."""
+        """Decide whether to forward this heartbeat to the leader, and record the decision.
+
+        If it is not forwarded, the worker is to be redirected.
+        """
         worker = self._next_state(self.redirected.pop(machine_id, None), leader, now)
         self.redirected[machine_id] = worker
         _drop_oldest(self.redirected)
@@ -79,14 +82,14 @@
 
     def forward_failed(self, machine_id: MachineId, leader: ControllerName, now: Instant) -> None:
         """Record that the leader could not be reached or did not accept the heartbeat."""
-        self.redirected[machine_id] = RedirectedWorker(leader, now)
+        self.redirected[machine_id] = WorkerRoute(leader, now)
 
     @staticmethod
     def _next_state(
-        previous: RedirectedWorker | None, leader: ControllerName, now: Instant
-    ) -> RedirectedWorker:
+        previous: WorkerRoute | None, leader: ControllerName, now: Instant
+    ) -> WorkerRoute:
         """Return the new state of a worker that sends a heartbeat, from its previous state."""
-        redirected = RedirectedWorker(leader, now)
+        redirected = WorkerRoute(leader, now)
         if previous is None or previous.leader != leader:
             return redirected
         if previous.forwarded_since is not None:
@@ -97,7 +100,7 @@
         return redirected
 
 
-def _drop_oldest(workers: OrderedDict[MachineId, WorkerState]) -> None:
+def _drop_oldest(workers: OrderedDict[MachineId, Value]) -> None:
     """Drop all but the MAX_REMEMBERED_WORKERS workers added last."""
     while len(workers) > MAX_REMEMBERED_WORKERS:
         workers.popitem(last=False)
--- a/umberward/scheduling/heartbeats.py
+++ b/umberward/scheduling/heartbeats.py
@@ -77,17 +77,18 @@
         self.duplicates_logged_at = cluster.started_at
 
     @property
-    def deferred_forgets(self) -> int:
-        """How often exited attempts stayed on a machine because a start might still arrive."""
-        return self.reconciliation.deferred_forgets
+    def deferred_forget_count(self) -> int:
+        """Number of times that forgetting had to be deferred on a machine."""
+        return self.reconciliation.deferred_forget_count
 
     def receive(
         self, header: wire.HeartbeatHeader, body: bytes, now: Instant
     ) -> list[TaskCommand] | None:
         """Process a periodic heartbeat.
 
-        `header` holds the fields of `body` that are cheap to decode; `now` is the leader's steady
-        clock. Return the commands for the response, or None if the leader must not answer.
+        `header` holds the fields of `body` that are cheap to decode; `now` is a time of the
+        leader's monotonic clock. Return the commands for the response, or None if the leader must
+        not answer.
         """
         if self._accept_unchanged(header, now):
             return []
@@ -101,13 +102,13 @@
         if not outcome.answerable:
             return None
         if not outcome.commands:
-            self._remember_unchanged(header)
+            self._store_settled_task_list(header)
         return outcome.commands
 
     def apply(
         self, heartbeat: Heartbeat, now: Instant, source: HeartbeatSource
     ) -> HeartbeatOutcome:
-        """Process a decoded heartbeat from either source; `now` is the leader's steady clock."""
+        """Process a decoded heartbeat from either source; `now` is monotonic time."""
         self.cluster.now = now
         if heartbeat.fencing_token > self.cluster.fencing_token:
             self._note_higher_token(FencingToken(heartbeat.fencing_token))
@@ -141,34 +142,37 @@
         machine = self.cluster.machines.get(MachineId(header.machine_id))
         if (
             machine is None
-            or machine.unchanged_heartbeat is None
+            or machine.settled_task_list is None
             or header.incarnation != machine.incarnation
             or header.sequence <= machine.sequence
             or header.fencing_token != self.cluster.fencing_token
             or header.preemption_notice_s is not None
             or machine.deletion_requested
-            or machine.probe_unanswered
+            or machine.silent
             or machine.lease_expired
-            or not machine.heartbeat_seen
-            or machine.suspected_since is not None
+            or not machine.confirmed_in_term
+            or machine.suspected_unreachable_since is not None
             or machine.no_heartbeats_since is not None
-            or machine.unchanged_heartbeat != bytes(header.tasks)
+            or machine.settled_task_list != bytes(header.tasks)
         ):
             return False
-        machine.last_heard_at = machine.heartbeat_at = machine.answered_at = (
+        machine.last_message_at = machine.heartbeat_at = machine.answered_at = (
             self.cluster.last_heartbeat_at
         ) = now
         machine.sequence = machine.answered_sequence = SequenceNumber(header.sequence)
         return True
 
-    def _remember_unchanged(self, header: wire.HeartbeatHeader) -> None:
-        """Store a heartbeat answered without commands: an identical next one needs none either."""
+    def _store_settled_task_list(self, header: wire.HeartbeatHeader) -> None:
+        """Store the encoded tasks of a heartbeat that needed no commands.
+
+        A next heartbeat with the same tasks needs none either.
+        """
         machine = self.cluster.machines.get(MachineId(header.machine_id))
         if (
             machine is not None
             and machine.reconciled
             and machine.block_number is not None
-            and machine.preempted_at is None
+            and machine.reclaim_at is None
             and not (
                 machine.exited_tasks
                 or machine.tasks_without_placement
@@ -179,9 +183,9 @@
                 for placement in machine.placements.values()
             )
         ):
-            machine.unchanged_heartbeat = bytes(header.tasks)
+            machine.settled_task_list = bytes(header.tasks)
 
-    # ---- identity --------------------------------------------------------------------------
+    # ---- token and registration ------------------------------------------------------------
 
     def _note_higher_token(self, fencing_token: FencingToken) -> None:
         """Record that a worker has seen a newer leader's token: this leader must not answer it."""
@@ -190,9 +194,10 @@
         )
 
     def _find_or_register(self, heartbeat: Heartbeat, now: Instant) -> Machine | None:
-        """Return the sender's machine, registering a new one; None if its type is not configured.
+        """Return the sender's machine, registering a new one; None if its type is unknown.
 
-        The resources of such a type are unknown, so its tasks could not be managed.
+        The resources of a type that the cloud's list does not contain are unknown, so the tasks on
+        such a machine could not be managed.
         """
         machine_id = MachineId(heartbeat.machine_id)
         machine = self.cluster.machines.get(machine_id)
@@ -219,7 +224,8 @@
 
         A session that the leader has declared over must not be renewed. Heartbeats of a machine
         that is being deleted are not applied, so none of its tasks is stopped by command: tasks
-        cancelled before the cloud deletes the machine must end with its lease.
+        cancelled before the cloud deletes the machine must end with its lease, which must therefore
+        not be renewed.
         """
         return heartbeat.incarnation >= machine.min_incarnation and not machine.deletion_requested
 
@@ -259,16 +265,18 @@
     ) -> None:
         """Apply what a newer heartbeat reports about the machine, except its tasks."""
         periodic = source is HeartbeatSource.PERIODIC
-        machine.unchanged_heartbeat = None
+        machine.settled_task_list = None
         machine.availability_changed()
         # The first periodic heartbeat that a new leader receives may be an old duplicate. The
-        # machine counts as seen once it has responded or sent a newer heartbeat.
-        machine.heartbeat_seen = machine.heartbeat_seen or not periodic or machine.sequence >= 0
-        machine.last_heard_at = self.cluster.last_heartbeat_at = now
-        if periodic and machine.probe_unanswered:
+        # machine is confirmed once it has responded or sent a newer heartbeat.
+        machine.confirmed_in_term = (
+            machine.confirmed_in_term or not periodic or machine.sequence >= 0
+        )
+        machine.last_message_at = self.cluster.last_heartbeat_at = now
+        if periodic and machine.silent:
             # After an unanswered probe, a heartbeat does not prove that the machine receives.
             self.reachability.heard_after_silence(machine, now)
-        machine.probe_unanswered = machine.lease_expired = False
+        machine.silent = machine.lease_expired = False
         machine.address = heartbeat.address
         if heartbeat.incarnation > machine.incarnation:
             self._begin_incarnation(machine, heartbeat, now, source)
@@ -289,7 +297,7 @@
     def _begin_incarnation(
         self, machine: Machine, heartbeat: Heartbeat, now: Instant, source: HeartbeatSource
     ) -> None:
-        """Begin a new session; the worker has killed and forgotten all tasks of the previous."""
+        """Begin a new session; the worker has killed and forgotten all earlier tasks."""
         periodic = source is HeartbeatSource.PERIODIC
         if machine.incarnation:
             self.cluster.release_all_placements(machine, "session over")
@@ -308,10 +316,10 @@
 
     def _apply_preemption_notice(self, machine: Machine, notice_s: float, now: Instant) -> None:
         """Record that the cloud deletes the spot machine in `notice_s` seconds."""
-        if machine.preempted_at is None:
+        if machine.reclaim_at is None:
             log.info("spot_preemption_notice", machine=machine.id, in_s=notice_s)
             self._checkpoint_before_preemption(machine, notice_s)
-        machine.preempted_at = Instant(now + notice_s)
+        machine.reclaim_at = Instant(now + notice_s)
 
     def _checkpoint_before_preemption(self, machine: Machine, notice_s: float) -> None:
         """Stop the tasks that can save a checkpoint in time; they resume on other machines.
@@ -334,7 +342,7 @@
         first to the outbox.
         """
         if heartbeat.fencing_token < self.cluster.term_token:
-            # The worker could still execute a delayed command of a former leader. An empty
+            # The worker could still execute a delayed command of a previous leader. An empty
             # command first raises the worker's token.
             self.cluster.outbox.append(
                 DirectCommand(
@@ -353,7 +361,7 @@
             self.cluster.outbox.append(Probe(machine.id, machine.address))
             return False
         machine.reconciled = True
-        # A former leader may have answered the worker until it saw this leader's token.
+        # A previous leader may have answered the worker until it saw this leader's token.
         machine.answered_at = now
         self.cluster.pass_wanted = True
         return True
--- a/umberward/scheduling/inflight_commands.py
+++ b/umberward/scheduling/inflight_commands.py
@@ -6,10 +6,10 @@
 being gone for good consults this record, and an attempt counts as gone only when its starts are
 *known* to be answered or void.
 
-An entry is added when a start is handed to the sender. It is removed only on a response, the
-certainty that nothing was sent, a higher token seen by the worker, or the end of the session (the
-end of the machine included); never on a timeout. There are at most as many entries as starts were
-sent in the session under the current token.
+An entry is added when a start is handed to the command sender. It is removed only on a response,
+the certainty that nothing was sent, a higher token seen by the worker, or the end of the session
+(the end of the machine included); never on a timeout. There are at most as many entries as starts
+were sent in the session under the current token.
 """
 
 from __future__ import annotations
@@ -27,7 +27,8 @@
     __slots__ = ("outstanding", "timed_out_token")
 
     def __init__(self) -> None:
-        self.outstanding = 0  # starts handed to the sender that are not answered or timed out yet
+        # Starts handed to the command sender that are not answered or timed out yet.
+        self.outstanding = 0
         # The highest token of a start that timed out; None: none did.
         self.timed_out_token: FencingToken | None = None
 
@@ -48,7 +49,7 @@
         return len(self._starts)
 
     def sent(self, task_id: TaskId, attempt: Attempt) -> None:
-        """Record that a start was handed to the sender."""
+        """Record that a start was handed to the command sender."""
         self._starts.setdefault((task_id, attempt), _AttemptStarts()).outstanding += 1
 
     def answered(self, task_id: TaskId, attempt: Attempt) -> None:
@@ -59,17 +60,22 @@
             self._remove_if_resolved((task_id, attempt), starts)
 
     def timed_out(
-        self, task_id: TaskId, attempt: Attempt, token: FencingToken, highest_seen: FencingToken
+        self,
+        task_id: TaskId,
+        attempt: Attempt,
+        token: FencingToken,
+        highest_token_seen: FencingToken,
     ) -> None:
         """Record that one of the starts had no response in time.
 
-        It was sent under `token`; `highest_seen` is the highest token that the worker has seen.
+        It was sent under `token`; `highest_token_seen` is the highest token that the worker has
+        seen.
         """
         starts = self._starts.get((task_id, attempt))
         if starts is None or not starts.outstanding:
             return
         starts.outstanding -= 1
-        if token >= highest_seen:
+        if token >= highest_token_seen:
             starts.timed_out_token = max(token, starts.timed_out_token or token)
         self._remove_if_resolved((task_id, attempt), starts)
 
--- a/umberward/scheduling/invariants.py
+++ b/umberward/scheduling/invariants.py
@@ -21,9 +21,9 @@
 class Invariant(StrEnum):
     """Conditions that must hold whatever fails; the values are logged."""
 
-    ONE_ATTEMPT_HELD = "one_attempt_held"  # at most one attempt of a task has a placement
+    ONE_ATTEMPT_HELD = "one_attempt_held"  # held: at most one attempt of a task has a placement
     STARTED_ALONE = "started_alone"  # no other attempt is on a machine or in flight
-    STARTED_WHILE_LIVE = "started_while_live"  # no task of a job known to have ended is started
+    STARTED_WHILE_LIVE = "started_while_live"  # a task is started only if its job is live
     FORGOTTEN_FOR_GOOD = "forgotten_for_good"  # no start of a forgotten attempt can arrive
 
 
--- a/umberward/scheduling/job_records.py
+++ b/umberward/scheduling/job_records.py
@@ -13,7 +13,8 @@
 
 log = logger(__name__)
 
-# Wall-clock time before any submission: such an end does not delay when dependents become ready.
+# An end time earlier than any submission, so that it does not postpone when dependents become
+# ready. Wall-clock time.
 ENDED_BEFORE_DEPENDENTS = 0.0
 
 
@@ -53,13 +54,13 @@
 def apply_unknown_job(
     scheduler: Scheduler, job_id: JobId, found: VersionedValue, now: Instant
 ) -> None:
-    """Apply the live record of a job that the scheduler did not know.
+    """Apply the live record of a job that is missing from the leader's state.
 
     `now` is the leader's monotonic time. No task of a job with a malformed record can start; its
     user sees the job as pending and can cancel it.
     """
     try:
-        scheduler.adopt_unknown_job(wire.convert(found.data, JobRecord), found.version, now)
+        scheduler.adopt_missing_job(wire.convert(found.data, JobRecord), found.version, now)
     except (wire.MalformedMessageError, ValueError) as error:
         log.error("record_malformed", job=job_id, error=error)  # noqa: TRY400 - no traceback
 
@@ -72,8 +73,8 @@
 ) -> None:
     """Apply the record of how a job has ended.
 
-    `default_ended_at` is the wall-clock time of the end if the record has none, which means that
-    no job depended on this one when the record was written.
+    `default_ended_at` is the wall-clock time of the end if the record has none. A record has none
+    if no job depended on this one when it was written.
     """
     try:
         final = wire.convert(data, FinalJobRecord)
--- a/umberward/scheduling/jobs.py
+++ b/umberward/scheduling/jobs.py
@@ -103,7 +103,7 @@
         self.done_below, self.done_bitmap = self.stored_progress
         self.progress_stored_at = 0.0  # monotonic time
         if self.gang and self.done_count:
-            # An earlier version stored only some tasks of a gang as done, see
+            # An earlier release of this program stored only some tasks of a gang as done, see
             # `tasks_completed_with`.
             self.done_below, self.done_bitmap = self.size, 0
         self.placements: dict[int, Placement] = {}
@@ -125,14 +125,15 @@
         self.started_replicas: set[int] = set()  # tasks that have run; used for services
         self.has_begun = False  # a task was reported as running
         self.known_to_work = False  # a task succeeded, or ran much longer than those that failed
-        self.preempted_at = 0.0
+        # Monotonic time at which room was last cleared or reserved for the job (`preemption`).
+        self.room_reserved_at = 0.0
 
     def _init_scheduling(self) -> None:
         """Initialize the state that the scheduling pass keeps about the job."""
         self.retry_not_before = 0.0  # monotonic time before which no task is placed
         self.failed_passes = 0
-        # Jobs of one placement class need the same kind of capacity: if one finds none, no other
-        # does.
+        # Jobs of one placement class need the same kind of capacity: if one finds no room, the
+        # others do not either.
         machine_types = self.spec.machine_types
         self.placement_class = (
             self.need,
@@ -181,7 +182,7 @@
 
     @property
     def preemption_key(self) -> PreemptionKey:
-        """What decides which other work may preempt the job's tasks, and which they may preempt."""
+        """The key that determines preemption of and by the job's tasks."""
         return PreemptionKey(self.need.accelerators > 0, self.priority, self.precedence)
 
     @property
@@ -190,8 +191,11 @@
         return self.failed_machines
 
     @property
-    def interchangeable(self) -> bool:
-        """Whether the placement class alone determines where the job's tasks may run."""
+    def placeable_by_class_alone(self) -> bool:
+        """Whether the placement class alone determines where the job's tasks may run.
+
+        If so, the job can be exchanged for any other such job of its class in a search for room.
+        """
         return not (
             self.avoided_machines
             or self.unlocated_tasks
@@ -243,7 +247,10 @@
 
     @property
     def end_unwritten(self) -> bool:
-        """Whether the job's end is still to be written to the state service."""
+        """Whether the job's end is still to be written to the state service.
+
+        A completed job is removed once its end is written.
+        """
         return self.complete
 
     @property
@@ -298,10 +305,10 @@
         self.unlocated_tasks.clear()
 
     def count_lost_tasks(self) -> int:
-        """Return how many tasks are neither done nor placed, queued, unlocated or never started.
+        """Return the number of unaccounted tasks.
 
-        There should be none. Only counts are used, so that the cost does not depend on the job's
-        size.
+        These are neither done nor placed, queued, unlocated or never started; there should be none.
+        Only counts are used, so that the cost does not depend on the job's size.
         """
         known = (
             self.done_count
@@ -311,8 +318,11 @@
         )
         return max(0, self.size - known - max(0, self.size - self.next_fresh_task))
 
-    def is_lost(self, index: int) -> bool:
-        """Return whether a task that was started is neither done, nor placed, nor queued."""
+    def is_unaccounted(self, index: int) -> bool:
+        """Return whether a task that was started is neither done nor placed nor queued.
+
+        Unlike `count_lost_tasks`, this does not test whether it is unlocated.
+        """
         position = bisect.bisect_left(self.requeued_tasks, index)
         queued = self._requeued_at(position, index)
         return not (queued or index in self.placements or self.is_done(index))
@@ -375,8 +385,8 @@
         self.stored_progress = CompletedTasks.from_record(record)
         self.progress_stored_at = now
 
-    def adopt_record(self, record: StoredProgressRecord, version: Version) -> None:
-        """Continue from the stored record after a write with an unknown outcome."""
+    def replace_stored_record(self, record: StoredProgressRecord, version: Version) -> None:
+        """Replace what is known of the stored record, after a write with an unknown outcome."""
         self.version = version
         self.placed_below = max(self.placed_below, record.placed_below)
         self.stored_progress = CompletedTasks.from_record(record)
--- a/umberward/scheduling/lease_bounds.py
+++ b/umberward/scheduling/lease_bounds.py
@@ -10,9 +10,11 @@
 from umberward.core.settings import WorkerTimes
 from umberward.core.types import Instant
 
-CLOCK_DRIFT_FACTOR = 1.001  # allows for twice the drift between two steady clocks
+CLOCK_DRIFT_FACTOR = 1.001  # allows for twice the drift between two monotonic clocks
 LEASE_MARGIN_S = 0.5  # safety margin in each bound
-START_MAX_READ_AGE_S = 3.0  # several times the duration of a read, and as long as a common lease
+# Age of the latest read of the jobs up to which tasks may be started: several times the duration of
+# a read, and as long as a typical lease.
+MAX_JOBS_READ_AGE_TO_START_S = 3.0
 
 
 class LeaseBounds:
@@ -35,11 +37,12 @@
     Attributes:
         renewal_window_s: how long after `jobs_read_at` responses may renew sessions; 0 if the
             settings leave no time for renewals without the state service.
-        lease_s: how long after a response was ready the session that it renews is over.
-        delegated_lease_s: how long after a machine was delegated its session is over; the delegate
-            answers for at most `renewal_window_s`.
-        takeover_s: how long after a term began each session that a former leader renewed is over;
-            that leader's last lease renewal was granted before the term.
+        lease_s: time from when a response is ready until the session that it renews is certain to
+            be over; not the setting `lease_s`, from which it differs by clock drift and a margin.
+        delegated_lease_s: time from the delegation of a machine until its session is certain to be
+            over; the delegate answers for at most `renewal_window_s`.
+        takeover_s: time from the start of a term until all sessions renewed by previous leaders are
+            certain to be over; their last lease renewals were granted before the term.
     """
 
     def __init__(self, workers: WorkerTimes) -> None:
@@ -57,7 +60,7 @@
         """Whether a heartbeat may be answered, which renews its worker's session.
 
         To be called when the response is sent, by the controller that answers, with times of its
-        own steady clock. `jobs_read_at` is None if the leader has read no jobs in this term: it
+        own monotonic clock. `jobs_read_at` is None if the leader has read no jobs in this term: it
         knows of no cancellations and must not answer.
         """
         return jobs_read_at is not None and now < (
@@ -68,7 +71,7 @@
         """Whether a leader may start a task; to be called when the start is sent.
 
         A cancellation unknown to the leader was confirmed after `jobs_read_at`. So a start of a
-        cancelled task is sent less than START_MAX_READ_AGE_S after the cancellation, however late
-        the leader learns of it.
+        cancelled task is sent less than MAX_JOBS_READ_AGE_TO_START_S after the cancellation,
+        however late the leader learns of it.
         """
-        return jobs_read_at is not None and now < jobs_read_at + START_MAX_READ_AGE_S
+        return jobs_read_at is not None and now < jobs_read_at + MAX_JOBS_READ_AGE_TO_START_S
--- a/umberward/scheduling/lease_delegation.py
+++ b/umberward/scheduling/lease_delegation.py
@@ -36,9 +36,10 @@
 ):
     """The leader's response to a controller that requests the delegation of its zone's machines.
 
-    `fencing_token` is the leader's; the controller returns `serial` with its next request;
-    `jobs_read_age_s` is how many seconds ago the leader knew of all cancellations; `machine_ids`
-    are the machines whose heartbeats the controller may answer.
+    `fencing_token` is the leader's; `serial` is the delegation's sequence number, which the
+    controller returns with its next request; `jobs_read_age_s` is how many seconds ago the leader
+    knew of all cancellations; `machine_ids` are the machines whose heartbeats the controller may
+    answer.
     """
 
     fencing_token: int
@@ -77,30 +78,30 @@
         # Derived from the term's token, so that no two leaders issue the same number.
         self._last_sequence = term_token << DELEGATION_SEQUENCE_BITS
         self._issued: dict[ControllerName, _IssuedDelegation] = {}
-        self._acknowledged: dict[ControllerName, int] = {}
+        self._acknowledged_sequences: dict[ControllerName, int] = {}
         self._unused: dict[ControllerName, _UnusedPeriod] = {}
 
     def issue(
-        self, delegate: ControllerName, acknowledged: int, now: Instant, *, unused: bool
+        self, delegate: ControllerName, last_sequence: int, now: Instant, *, unused: bool
     ) -> int:
         """Return the number of the response to a delegate's request.
 
-        `acknowledged` is the number of the last response that the delegate received (0: none), and
+        `last_sequence` is the number of the last response that the delegate received (0: none), and
         `unused` means that it has renewed no session since it requested that one. This proves
         non-use only until the leader issued that response, as the delegate's new request may have
         been in transit for any time.
         """
         issued = self._issued.get(delegate, _IssuedDelegation(0, now))
-        if not unused or not acknowledged:
+        if not unused or not last_sequence:
             self._unused.pop(delegate, None)
-        elif acknowledged == issued.sequence:
+        elif last_sequence == issued.sequence:
             previous_period = self._unused.get(delegate)
             since = issued.at if previous_period is None else previous_period.since
             self._unused[delegate] = _UnusedPeriod(since, issued.at)
-        elif acknowledged != self._acknowledged.get(delegate):
+        elif last_sequence != self._acknowledged_sequences.get(delegate):
             # Otherwise the last response was lost, and nothing new is known.
             self._unused.pop(delegate, None)
-        self._acknowledged[delegate] = acknowledged
+        self._acknowledged_sequences[delegate] = last_sequence
         self._last_sequence += 1
         self._issued[delegate] = _IssuedDelegation(self._last_sequence, now)
         return self._last_sequence
@@ -111,7 +112,7 @@
         """Whether a worker's session is certain to be over.
 
         The leader last answered the worker at `answered_at` and last delegated it at
-        `delegated_at` (None: never), both times of the leader's steady clock.
+        `delegated_at` (None: never), both times of the leader's monotonic clock.
         """
         if now - answered_at <= self.bounds.lease_s:
             return False
@@ -134,29 +135,29 @@
 
 
 class Delegate:
-    """The delegate's side: the delegation in force, and for how long it may be used.
+    """The delegate's side: the current delegation, and for how long it may be used.
 
-    All times are of this controller's steady clock.
+    All times are of this controller's monotonic clock.
     """
 
     def __init__(self, workers: WorkerTimes) -> None:
         """Start without a delegation."""
         self.bounds = LeaseBounds(workers)
-        self.serial = 0  # of the last delegation accepted
+        self.serial = 0  # sequence number of the current delegation
         self.fencing_token = FencingToken(0)  # that of the leader that issued it
         self.machine_ids: frozenset[str] = frozenset()  # whose heartbeats may be answered
         self.jobs_read_at = Instant(0.0)  # the leader knew of all cancellations up to then
-        self.requested_at = Instant(0.0)  # when the delegation in force was requested
+        self.requested_at = Instant(0.0)  # when the current delegation was requested
         self.leader_responded_at = Instant(0.0)  # when the leader last responded
         self.last_used_at = Instant(-1.0)  # when a delegation was last used
 
     @property
     def unused(self) -> bool:
-        """Whether no session was renewed since the delegation in force was requested."""
+        """Whether no session was renewed since the current delegation was requested."""
         return self.last_used_at < self.requested_at
 
     def accept(self, delegation: Delegation, requested_at: Instant, now: Instant) -> None:
-        """Put a delegation into force.
+        """Make a delegation the current one.
 
         `requested_at` is when this controller sent the request. The leader issued the delegation
         later, so durations counted from the request are on the safe side.
--- a/umberward/scheduling/machine_blocks.py
+++ b/umberward/scheduling/machine_blocks.py
@@ -1,6 +1,6 @@
 """Grouping of machines into blocks, which the state service stores as one record each. No I/O.
 
-A new leader learns from the stored blocks which machines may run tasks of its predecessors. As a
+A new leader learns from the stored blocks which machines may run tasks of previous leaders. As a
 record holds the machines of a whole block, changes of the fleet need few writes.
 """
 
@@ -39,13 +39,12 @@
             MIN_MACHINES_PER_BLOCK,
             min(MAX_MACHINES_PER_BLOCK, cluster.max_value_bytes // VALUE_BYTES_PER_MACHINE),
         )
-        self.machines_moving_out: dict[
-            int, set[MachineId]
-        ] = {}  # by number of the block they leave
+        # By number of the block that the machines leave.
+        self.machines_moving_out: dict[int, set[MachineId]] = {}
         self._cluster = cluster
         self._blocks: dict[int, MachineBlock] = {}
-        self._changed_numbers: set[int] = set()
-        self._pending_numbers: dict[MachineId, int] = {}  # assigned blocks not stored yet
+        self._changed_blocks: set[int] = set()
+        self._unstored_block_by_machine: dict[MachineId, int] = {}  # assigned blocks not stored yet
 
     def __contains__(self, number: int) -> bool:
         """Whether there is a block of this number."""
@@ -54,7 +53,7 @@
     @property
     def changed(self) -> bool:
         """Whether any block differs from its stored record."""
-        return bool(self._changed_numbers)
+        return bool(self._changed_blocks)
 
     def load(self, number: int, version: Version, machines: Iterable[Machine]) -> None:
         """Add a block that a new leader has read from the state service."""
@@ -67,25 +66,28 @@
             else:
                 # The machine had moved to another block, but the previous leader's term ended
                 # before it wrote the block that the machine left.
-                self._changed_numbers.add(number)
+                self._changed_blocks.add(number)
         self._blocks[number] = MachineBlock(version, machine_ids)
 
     def assign(self, machine: Machine) -> None:
-        """Assign a machine to the first block with room, unless it is already assigned."""
-        if machine.id in self._pending_numbers:
+        """Assign a machine to the first block with room.
+
+        Do nothing if it already has an assignment that is not stored yet.
+        """
+        if machine.id in self._unstored_block_by_machine:
             return
         number = 0
         while not self._accepts_machine(number):
             number += 1
         self._blocks[number].machine_ids.add(machine.id)
-        self._pending_numbers[machine.id] = number
-        self._changed_numbers.add(number)
+        self._unstored_block_by_machine[machine.id] = number
+        self._changed_blocks.add(number)
 
     def remove(self, machine: Machine) -> None:
         """Remove a machine that no longer exists from its blocks."""
         if machine.block_number is not None:
             self._remove_from_block(machine.id, machine.block_number)
-        pending_number = self._pending_numbers.pop(machine.id, None)
+        pending_number = self._unstored_block_by_machine.pop(machine.id, None)
         if pending_number is not None:
             # A block that still lists the machine would count as changed after every write.
             self._remove_from_block(machine.id, pending_number)
@@ -111,16 +113,16 @@
     def changed_blocks_in_write_order(self) -> list[int]:
         """The numbers of the blocks to write; blocks that machines leave come last."""
         return sorted(
-            self._changed_numbers,
+            self._changed_blocks,
             key=lambda number: (number in self.machines_moving_out, number),
         )
 
     def destination_blocks(self, number: int) -> set[int]:
         """The blocks that machines of this one move to, which must be stored no later than it."""
         return {
-            self._pending_numbers[machine_id]
+            self._unstored_block_by_machine[machine_id]
             for machine_id in self.machines_moving_out.get(number, ())
-            if machine_id in self._pending_numbers
+            if machine_id in self._unstored_block_by_machine
         }
 
     def version(self, number: int) -> Version:
@@ -150,10 +152,10 @@
         """Record that the state service has stored the block with these machines."""
         machine_ids = self._blocks[number].machine_ids
         if stored_ids == machine_ids:
-            self._changed_numbers.discard(number)
+            self._changed_blocks.discard(number)
             self.machines_moving_out.pop(number, None)
         for machine_id in stored_ids & machine_ids:
-            self._pending_numbers.pop(machine_id, None)
+            self._unstored_block_by_machine.pop(machine_id, None)
             machine = self._cluster.machines.get(machine_id)
             if machine is not None:
                 machine.block_number = number
@@ -167,5 +169,5 @@
         )
 
     def _remove_from_block(self, machine_id: MachineId, number: int) -> None:
-        self._changed_numbers.add(number)
+        self._changed_blocks.add(number)
         self._blocks[number].machine_ids.discard(machine_id)
--- a/umberward/scheduling/machine_checks.py
+++ b/umberward/scheduling/machine_checks.py
@@ -1,6 +1,6 @@
 """Timed checks of each machine: silence, missing heartbeats and expired sessions. No I/O.
 
-All times are of the leader's steady clock.
+All times are of the leader's monotonic clock.
 """
 
 from __future__ import annotations
@@ -34,9 +34,9 @@
 
     def tick(self, now: Instant) -> None:
         """Schedule a check of new machines, and run all checks that are due."""
-        for machine in self.cluster.unscheduled_checks:
+        for machine in self.cluster.machines_without_check:
             heapq.heappush(self._schedule, (now, machine.id))
-        self.cluster.unscheduled_checks.clear()
+        self.cluster.machines_without_check.clear()
         self._run_due_checks(now)
 
     def _run_due_checks(self, now: Instant) -> None:
@@ -64,20 +64,20 @@
 
     def _check_silence(self, machine: Machine, now: Instant) -> Instant:
         """Probe a machine that has been silent for longer than the heartbeat timeout."""
-        timeout_s = self.cluster.heartbeat_timeout()
+        timeout_s = self.cluster.heartbeat_timeout_s()
         if machine.deletion_requested:
             return Instant(now + timeout_s)
-        if not machine.probe_inflight and now - machine.last_heard_at > timeout_s:
+        if not machine.probe_inflight and now - machine.last_message_at > timeout_s:
             self.reachability.send_probe(machine)
         if machine.probe_inflight:
             return Instant(now + RECHECK_INTERVAL_S)
-        return Instant(min(now, machine.last_heard_at) + timeout_s)
+        return Instant(min(now, machine.last_message_at) + timeout_s)
 
     def _check_heartbeats(self, machine: Machine, now: Instant) -> Instant:
         """Report a machine that answers but has sent no periodic heartbeat for too long."""
         if machine.no_heartbeats_since is not None:
             return NO_CHECK_DUE
-        if machine.probe_unanswered or machine.deletion_requested:
+        if machine.silent or machine.deletion_requested:
             return NO_CHECK_DUE
         if now - machine.heartbeat_at > self.reachability.heartbeats_missing_after_s:
             self.reachability.heartbeats_missing(machine, now)
@@ -85,15 +85,15 @@
         return Instant(machine.heartbeat_at + self.reachability.heartbeats_missing_after_s)
 
     def _check_session(self, machine: Machine, now: Instant) -> Instant:
-        """End the machine's session, or a former leader's, once it is certain to be over."""
+        """End the machine's session, or a previous leader's, once it is certain to be over."""
         if machine.reconciled:
             return self._check_lease(machine, now)
-        if machine.predecessor_tasks_ended:
+        if machine.previous_tasks_ended:
             return NO_CHECK_DUE
         takeover_s = self.delegator.bounds.takeover_s
         if now - self.cluster.started_at > takeover_s:
-            # No former leader can have renewed its session for so long.
-            machine.predecessor_tasks_ended = True
+            # Any session that a previous leader renewed is over by now.
+            machine.previous_tasks_ended = True
             return NO_CHECK_DUE
         return Instant(self.cluster.started_at + takeover_s)
 
@@ -115,4 +115,4 @@
         machine.lease_expired = True
         machine.availability_changed()
         # A late heartbeat of the expired session must not be accepted without decoding it.
-        machine.unchanged_heartbeat = None
+        machine.settled_task_list = None
--- a/umberward/scheduling/machine_selection.py
+++ b/umberward/scheduling/machine_selection.py
@@ -35,8 +35,9 @@
 ) -> list[MachineId]:
     """Return a machine for each of up to `count` tasks, in the order of assignment.
 
-    `ending`: a placement of the job that is about to end. `preferred`: the machines on which room
-    is reserved for the job; without them a moved replica would return to where its image is.
+    `ending`: a placement of the job that is about to end and is not counted. `preferred`: the
+    machines on which room is reserved for the job; without them a moved replica would return to
+    where its image is.
     """
     cluster.room_searches += 1
     spec = job.spec
@@ -76,7 +77,7 @@
     Machines on which the job's tasks have failed are returned only if there are no others.
     """
     machines, free, restricted = candidates
-    need, headroom_need = job.need, cluster.headroom.largest_need
+    need, headroom_need = job.need, cluster.headroom.largest_accelerator_need
     image = ImageName(job.spec.image)
     suitable = cluster.suitable_offers(job)
     avoided = job.avoided_machines
@@ -125,24 +126,31 @@
 ) -> tuple[float, ...]:
     """Return the machine's sort key for the job, smallest first.
 
-    The last criterion is best fit: the most allocated machine first. More significant are a cached
-    image (first for replicas and gangs, whose start waits for it), spot machines (for work that may
-    use them, as other work may not), and the absence of accelerators.
+    The criteria, most significant first:
+
+    - Replicas and gangs: a cached image, as their start waits for it; few accelerators; best fit.
+    - Accelerated work: spot machines; headroom machines; allocated accelerators; a cached image;
+      best fit.
+    - Other work: machines outside the headroom; spot machines; few accelerators; a cached image;
+      best fit.
+
+    Best fit means the most allocated cores first. Spot machines come first for work that may use
+    them, as other work may not.
     """
     image_missing = 0.0 if image in machine.images else 1.0
     not_spot = 0.0 if machine.spot else 1.0
     accelerators = cluster.machine_types[machine.machine_type].accelerators
     if job.service or job.gang:
         return (image_missing, accelerators, -machine.allocated.cores)
-    kept_open = float(machine.id in cluster.headroom_machines)
+    is_headroom_machine = float(machine.id in cluster.headroom_machines)
     if job.need.accelerators > 0:
         # Fill expensive machines one by one, headroom machines first as they are kept anyway, so
         # that the others become empty and can be returned.
         return (
             not_spot,
-            1.0 - kept_open,
+            1.0 - is_headroom_machine,
             -machine.allocated.accelerators,
             image_missing,
             -machine.allocated.cores,
         )
-    return (kept_open, not_spot, accelerators, image_missing, -machine.allocated.cores)
+    return (is_headroom_machine, not_spot, accelerators, image_missing, -machine.allocated.cores)
--- a/umberward/scheduling/machines.py
+++ b/umberward/scheduling/machines.py
@@ -24,7 +24,9 @@
 from umberward.scheduling.inflight_commands import InflightStarts
 from umberward.scheduling.jobs import Placement, PreemptionKey
 
-UNREACHABLE_AFTER_PROBES = 2  # unanswered probes, while messages of the machine still arrive
+# A suspected machine whose messages still arrive counts as unreachable after this many unanswered
+# probes.
+UNREACHABLE_AFTER_PROBES = 2
 
 
 @dataclass(eq=False, repr=False, slots=True)
@@ -51,50 +53,55 @@
 
     # ---- session and lease (`heartbeats`, `failure_detector`) ----
     incarnation: Incarnation = field(init=False, default=Incarnation(0))
-    incarnation_since: Instant = field(init=False)  # first observed then
-    # Heartbeats of earlier incarnations are outdated: their sessions count as ended.
+    incarnation_since: Instant = field(init=False)  # when the leader first observed `incarnation`
+    # Lowest valid incarnation; the sessions of earlier ones count as ended.
     min_incarnation: Incarnation = field(init=False, default=Incarnation(0))
     # The latest heartbeat of the session that was applied, and the latest that was answered.
     sequence: SequenceNumber = field(init=False, default=SequenceNumber(-1))
     answered_sequence: SequenceNumber = field(init=False, default=SequenceNumber(-1))
-    # Arrival of the last answered heartbeat, the latest start of its lease. None: no lease.
+    # Latest possible start of its lease: when a heartbeat was last answered, a session was first
+    # observed or the machine was reconciled. None: no lease.
     answered_at: Instant | None = field(init=False, default=None)
     # When another controller was last allowed to answer its heartbeats (`lease_delegation`).
     delegated_at: Instant | None = field(init=False, default=None)
     token_seen: FencingToken = field(init=False, default=FencingToken(0))
-    # False while its only heartbeat may be an old duplicate of a machine that was deleted long ago.
+    # False while its only heartbeat may be an old duplicate of a machine that was deleted so long
+    # ago that the leader no longer knows it. `confirmed_in_term` guards against old duplicates of
+    # machines that exist.
     existence_confirmed: bool = field(init=False, default=True)
-    reconciled: bool = field(init=False, default=False)  # its tasks are known under this token
+    reconciled: bool = field(init=False, default=False)  # its tasks are known in this term
     # All tasks that it ran for a previous leader have certainly ended.
-    predecessor_tasks_ended: bool = field(init=False, default=False)
+    previous_tasks_ended: bool = field(init=False, default=False)
     # Its lease has expired and no message of it has arrived since.
     lease_expired: bool = field(init=False, default=False)
 
     # ---- heartbeats (`heartbeats`) ----
-    heartbeat_seen: bool = field(init=False, default=False)  # in this leader's term
+    # A response or a second heartbeat has arrived in this leader's term.
+    confirmed_in_term: bool = field(init=False, default=False)
     heartbeat_at: Instant = field(init=False)  # arrival of its latest periodic heartbeat
-    last_heard_at: Instant = field(init=False)  # arrival of its latest heartbeat or response
+    last_message_at: Instant = field(init=False)  # arrival of its latest heartbeat or response
     # The encoded tasks of the latest heartbeat if they required no commands (see
     # `HeartbeatHandler.receive`).
-    unchanged_heartbeat: bytes | None = field(init=False, default=None)
+    settled_task_list: bytes | None = field(init=False, default=None)
 
     # ---- reachability (`reachability`, `command_results`) ----
-    # Since when it possibly receives nothing from the leader, and the unanswered probes since then.
-    suspected_since: Instant | None = field(init=False, default=None)
+    # Time from which it is suspected to receive nothing from the leader (None: not suspected), and
+    # the number of unanswered probes since then.
+    suspected_unreachable_since: Instant | None = field(init=False, default=None)
     unanswered_probes: int = field(init=False, default=0)
     probed_at: Instant = field(init=False)  # when it was last probed on suspicion
     probe_not_before: Instant = field(init=False)  # when it may be probed on suspicion again
-    # Since when it answers probes and commands but sends no heartbeat.
+    # Time from which it answers probes and commands but sends no heartbeat.
     no_heartbeats_since: Instant | None = field(init=False, default=None)
     probe_inflight: bool = field(init=False, default=False)  # a probe is in flight
-    # Neither a heartbeat nor an answer to a probe has arrived.
-    probe_unanswered: bool = field(init=False, default=False)
+    # It has sent no message within the heartbeat timeout and has not answered a probe.
+    silent: bool = field(init=False, default=False)
 
     # ---- tasks and resources (`cluster_state`, `reconciliation`) ----
     placements: dict[TaskId, Placement] = field(init=False, default_factory=dict)
     inflight_starts: InflightStarts = field(init=False, default_factory=InflightStarts)
     exited_tasks: set[TaskId] = field(init=False, default_factory=set)  # exited but still listed
-    # Since when an exited attempt has stayed listed because a start of it may still arrive.
+    # Time from which an exited attempt has stayed listed because a start of it may still arrive.
     forget_deferred_since: Instant | None = field(init=False, default=None)
     # Tasks listed as running without a placement; they are to be stopped.
     tasks_without_placement: set[TaskId] = field(init=False, default_factory=set)
@@ -113,8 +120,9 @@
     quarantined_since: Instant | None = field(init=False, default=None)
 
     # ---- deletion (`autoscaler`) ----
-    preempted_at: Instant | None = field(init=False, default=None)  # when the cloud reclaims it
-    deletion_requested: bool = field(init=False, default=False)  # from the cloud
+    reclaim_at: Instant | None = field(init=False, default=None)  # when the cloud will reclaim it
+    # It gets no new tasks and is to be deleted, or was deleted, by the cloud.
+    deletion_requested: bool = field(init=False, default=False)
 
     # Cached sums over the placements, needed in each pass; None: to be recomputed.
     _free: tuple[MachineType, Resources] | None = field(init=False, default=None)
@@ -126,7 +134,7 @@
         self.offer = MachineOffer(self.machine_type, self.zone, self.spot)
         self.incarnation_since = self.known_since
         self.heartbeat_at = self.known_since
-        self.last_heard_at = self.known_since
+        self.last_message_at = self.known_since
         self.probed_at = self.known_since
         self.probe_not_before = self.known_since
         self.idle_since = self.known_since
@@ -134,18 +142,18 @@
     # ---- changes -----------------------------------------------------------------------------
 
     def availability_changed(self) -> None:
-        """Note that the machine or its resources may have become schedulable or unschedulable."""
+        """Record that the machine or its resources may have become schedulable or unschedulable."""
         self.changed_machines[self.id] = None
 
-    def placements_changed(self) -> None:
-        """Note that a task was added, released or is being stopped."""
+    def mark_placements_changed(self) -> None:
+        """Record that a task was added, released or is being stopped."""
         self.availability_changed()
-        self.unchanged_heartbeat = None
+        self.settled_task_list = None
         self._free = None
-        self.precedence_changed()
+        self.clear_cached_sums()
 
-    def precedence_changed(self) -> None:
-        """Note that the work which may preempt a task here has changed."""
+    def clear_cached_sums(self) -> None:
+        """Clear the sums by preemption key and priority, as placements or their keys changed."""
         self._preemptable = None
         self._load = None
 
@@ -169,11 +177,11 @@
         return (
             self.reconciled
             and self.block_number is not None
-            and self.preempted_at is None
+            and self.reclaim_at is None
             and not (
                 self.quarantined
                 or self.deletion_requested
-                or self.probe_unanswered
+                or self.silent
                 or self.lease_expired
                 or self.tasks_without_placement
             )
@@ -184,7 +192,8 @@
     def unreachable(self) -> bool:
         """Whether it seems to receive nothing from the leader, even if its messages arrive."""
         return (
-            self.suspected_since is not None and self.unanswered_probes >= UNREACHABLE_AFTER_PROBES
+            self.suspected_unreachable_since is not None
+            and self.unanswered_probes >= UNREACHABLE_AFTER_PROBES
         )
 
     @property
--- a/umberward/scheduling/objectives.py
+++ b/umberward/scheduling/objectives.py
@@ -1,6 +1,6 @@
 """Service-level objectives by job class. No I/O.
 
-The deploy file lists them (docs/operators), each with a kind, a job class, and a time or a factor.
+The settings list them (docs/operators), each with a kind, a job class, and a time or a factor.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from umberward.core.settings import Objective
 
-# Kinds of objectives in the deploy file.
+# Kinds of objectives in the settings.
 START_KIND = "wait"
 FINISH_KIND = "finished"
 DEADLINE_KIND = "deadline"
@@ -41,7 +41,7 @@
 
 @dataclass
 class Objectives:
-    """The parsed objectives of a deploy file."""
+    """The parsed objectives of the settings."""
 
     strictest: dict[str, StrictestObjectives] = field(default_factory=dict)
     by_class: dict[str, ClassObjectives] = field(default_factory=dict)
@@ -49,7 +49,7 @@
 
 
 def parse_objectives(objectives: Iterable[Objective]) -> Objectives:
-    """Group the objectives of the deploy file by job class."""
+    """Group the objectives of the settings by job class."""
     parsed = Objectives()
     for objective in objectives:
         if objective.kind == GUARANTEE_KIND and objective.within_s:
@@ -57,9 +57,9 @@
         if objective.job_class is not None:
             _add_class_objective(parsed.by_class, objective.job_class, objective)
             if objective.within_s:
-                aim = parsed.strictest.get(objective.job_class, NO_STRICTEST_OBJECTIVES)
-                parsed.strictest[objective.job_class] = _stricter_aim(
-                    aim, objective.kind, objective.within_s
+                strictest = parsed.strictest.get(objective.job_class, NO_STRICTEST_OBJECTIVES)
+                parsed.strictest[objective.job_class] = _stricter_objectives(
+                    strictest, objective.kind, objective.within_s
                 )
     return parsed
 
@@ -67,18 +67,24 @@
 def _add_class_objective(
     by_class: dict[str, ClassObjectives], job_class: str, objective: Objective
 ) -> None:
-    found = by_class.setdefault(job_class, ClassObjectives([], [], []))
+    class_objectives = by_class.setdefault(job_class, ClassObjectives([], [], []))
     if objective.kind == DEADLINE_KIND:
-        found.deadline_factors.append(objective.times or 1.0)
+        class_objectives.deadline_factors.append(objective.times or 1.0)
     elif objective.within_s and objective.kind == START_KIND:
-        found.start_within_s.append(objective.within_s)
+        class_objectives.start_within_s.append(objective.within_s)
     elif objective.within_s and objective.kind == FINISH_KIND:
-        found.finish_within_s.append(objective.within_s)
+        class_objectives.finish_within_s.append(objective.within_s)
 
 
-def _stricter_aim(aim: StrictestObjectives, kind: str, within_s: float) -> StrictestObjectives:
+def _stricter_objectives(
+    strictest: StrictestObjectives, kind: str, within_s: float
+) -> StrictestObjectives:
     if kind == START_KIND:
-        return aim._replace(start_within_s=min(aim.start_within_s or within_s, within_s))
+        return strictest._replace(
+            start_within_s=min(strictest.start_within_s or within_s, within_s)
+        )
     if kind == FINISH_KIND:
-        return aim._replace(finish_within_s=min(aim.finish_within_s or within_s, within_s))
-    return aim
+        return strictest._replace(
+            finish_within_s=min(strictest.finish_within_s or within_s, within_s)
+        )
+    return strictest
--- a/umberward/scheduling/offer_selection.py
+++ b/umberward/scheduling/offer_selection.py
@@ -1,4 +1,4 @@
-"""Selection of the cheapest offer for a job that the cloud is likely to have. Pure.
+"""Selection of the cheapest offer for a job, among those that the cloud probably has. No I/O.
 
 Prices are hourly prices from the cloud's list.
 """
@@ -15,12 +15,13 @@
 from umberward.scheduling.scheduler import Scheduler
 from umberward.scheduling.spot_policy import AffordableMachines
 
-# Machines up to this multiple of the lowest price are requested at once, more expensive ones after
-# this share of the time in which the job should start.
-PRICE_RATIO_MAX = 3.0
-AFFORDABLE_WAIT_SHARE = 0.3
+# Machines up to this multiple of the lowest price are requested immediately.
+MAX_PRICE_RATIO = 3.0
+# More expensive machines are requested after this fraction of the time in which the job should
+# start.
+AFFORDABLE_WAIT_FRACTION = 0.3
 # Factor on spot prices: the cloud may take a spot machine back, and lost work must be repeated.
-SPOT_LOSS_RATIO = 1.25
+SPOT_PRICE_FACTOR = 1.25
 
 NO_PAUSE = (Instant(0.0), 0.0)
 
@@ -44,17 +45,17 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        affordable: Mapping[JobId, AffordableMachines],
+        affordable_by_job: Mapping[JobId, AffordableMachines],
         no_capacity_until: Mapping[MachineOffer, tuple[Instant, float]],
         now: Instant,
     ) -> None:
-        """`affordable`: the jobs that wait for affordable machines, with these.
+        """`affordable_by_job`: the jobs that wait for affordable machines, with these.
 
         `no_capacity_until`: by refused offer, the time of the leader's monotonic clock before which
         it is not requested again, and the pause in seconds.
         """
         self.scheduler = scheduler
-        self.affordable = affordable
+        self.affordable_by_job = affordable_by_job
         self.no_capacity_until = no_capacity_until
         self.now = now
         self.requested: dict[MachineOffer, int] = {}  # machine counts, in order of first request
@@ -107,12 +108,12 @@
         """Return the highest hourly price per task that the job's urgency justifies."""
         scheduler = self.scheduler
         waited_s = scheduler.wall_clock() - job.ready_at
-        price_limited_s = AFFORDABLE_WAIT_SHARE * (scheduler.start_by(job) - job.ready_at)
+        price_limited_s = AFFORDABLE_WAIT_FRACTION * (scheduler.start_by(job) - job.ready_at)
         max_price = math.inf
         if waited_s <= price_limited_s:
-            max_price = PRICE_RATIO_MAX * self._lowest_on_demand_price(job)
-        if job.id in self.affordable:
-            max_price = min(max_price, self.affordable[job.id].max_task_price)
+            max_price = MAX_PRICE_RATIO * self._lowest_on_demand_price(job)
+        if job.id in self.affordable_by_job:
+            max_price = min(max_price, self.affordable_by_job[job.id].max_task_price)
         return max_price
 
     def _lowest_on_demand_price(self, job: Job) -> float:
@@ -139,4 +140,4 @@
         return machine_type.hourly_price
     if machine_type.spot_price is None:
         return None
-    return machine_type.spot_price * SPOT_LOSS_RATIO
+    return machine_type.spot_price * SPOT_PRICE_FACTOR
--- a/umberward/scheduling/placement_pass.py
+++ b/umberward/scheduling/placement_pass.py
@@ -42,14 +42,18 @@
 
 
 class SearchKind(NamedTuple):
-    """The properties that decide whether a search finds room: equal for jobs of one kind."""
+    """The properties that decide whether a search finds room.
+
+    If a job that is `placeable_by_class_alone` finds no room, no other job of its kind does.
+    """
 
     placement_class: Hashable
     long_running: bool
-    has_restricted: bool
+    has_restricted_machines: bool
     has_reserved_for_others: bool
     any_price: bool
-    widening: int = 0  # 1: also machines that could run accelerated work; 2: headroom machines too
+    # 1: also machines that could run accelerated work; 2: headroom machines too.
+    search_scope: int = 0
 
 
 @dataclass
@@ -62,9 +66,11 @@
     with_room_ids: set[MachineId]
     unlocated_usage: dict[TeamName, Resources]
     headroom_machines: set[MachineId]  # kept free for accelerated work
-    headroom_candidates: set[MachineId]  # all machines that could run accelerated work
+    accelerated_capable_machines: set[MachineId]  # all machines that could run accelerated work
     preemptable: PreemptableWork | None  # None: this pass does not preempt
-    affordable: dict[JobId, AffordableMachines]  # for the jobs that wait for affordable machines
+    affordable_by_job: dict[
+        JobId, AffordableMachines
+    ]  # for the jobs that wait for affordable machines
     # Kinds of jobs that found no room; not searched again, as thousands of tasks may wait.
     kinds_without_room: set[SearchKind] = field(default_factory=set)
 
@@ -80,12 +86,12 @@
     restricted: set[MachineId]  # machines on which the job must leave the headroom free
     kind: SearchKind
     chosen: list[MachineId] = field(default_factory=list)
-    clearing: int = 0  # tasks whose room is being cleared by preemption
+    clearing_count: int = 0  # tasks whose room is being cleared by preemption
 
     @property
-    def missing(self) -> int:
+    def missing_count(self) -> int:
         """The number of tasks that have no machine and no room being cleared."""
-        return self.count - len(self.chosen) - self.clearing
+        return self.count - len(self.chosen) - self.clearing_count
 
 
 class PlacementPass:
@@ -94,14 +100,14 @@
     def __init__(
         self,
         cluster: ClusterState,
-        job_order: ServiceOrder,
+        service_order: ServiceOrder,
         unlocated_tasks: UnlocatedTasks,
         preemption: Preemption,
         consolidation: Consolidation,
     ) -> None:
-        """Store the collaborators; gang reservations and replica moves belong to the pass alone."""
+        """Start without gang reservations; these and replica moves belong to the pass alone."""
         self.cluster = cluster
-        self.job_order = job_order
+        self.service_order = service_order
         self.unlocated_tasks = unlocated_tasks
         self.preemption = preemption
         self.consolidation = consolidation
@@ -110,7 +116,7 @@
         self.attempt_count = 0  # attempt numbers issued in this term
 
     def run(self, now: Instant) -> None:
-        """Place every job that has room; `now` is the leader's monotonic clock."""
+        """Place every job that has room; `now` is a time of the leader's monotonic clock."""
         cluster = self.cluster
         cluster.pass_wanted = False
         if not cluster.loaded:
@@ -131,7 +137,7 @@
             return
         if state.preemptable is not None:
             self.replica_moves.move_replicas(
-                state.headroom_machines, state.headroom_candidates, state.preemptable
+                state.headroom_machines, state.accelerated_capable_machines, state.preemptable
             )
         self.consolidation.consolidate(state.headroom_machines, state.schedulable_machines, now)
 
@@ -141,11 +147,11 @@
         schedulable_machines, free = cluster.schedulable_room()
         unlocated_usage = self.unlocated_tasks.usage_by_team()
         if cluster.precedences_outdated:
-            self.job_order.update_precedences()
-        waiting = self.job_order.jobs_in_order(now)
+            self.service_order.update_precedences()
+        waiting = self.service_order.jobs_in_service_order(now)
         cluster.headroom.update((job for job in waiting if not job.faulty), now)
         self.preemption.reservations.subtract(free, now)
-        by_offer = cluster.schedulable.by_offer
+        by_offer = cluster.schedulable_index.by_offer
         headroom_machines, candidates = cluster.headroom.select_machines(by_offer, free)
         cluster.headroom_machines = headroom_machines
         self.gang_reservations.update(waiting, free, now)
@@ -158,17 +164,20 @@
             with_room_ids={machine.id for machine in with_room},
             unlocated_usage=unlocated_usage,
             headroom_machines=headroom_machines,
-            headroom_candidates=candidates,
+            accelerated_capable_machines=candidates,
             preemptable=(
                 PreemptableWork(cluster, schedulable_machines, free, now)
-                if self.preemption.start_search_if_due(waiting, now)
+                if self.preemption.claim_search_if_due(waiting, now)
                 else None
             ),
-            affordable=jobs_limited_to_affordable(cluster, waiting, machine_counts),
+            affordable_by_job=jobs_limited_to_affordable(cluster, waiting, machine_counts),
         )
 
     def place_job(self, job: Job, state: PassState, now: Instant) -> None:
-        """Place as many startable tasks of the job as have room; a gang whole or not at all."""
+        """Place as many startable tasks of the job as have room.
+
+        A gang is placed completely or not at all.
+        """
         count = self._count_to_place(job, state)
         if not count:
             return
@@ -179,12 +188,12 @@
             search.chosen = []
         all_placed = len(search.chosen) == count
         used = reserved if all_placed else reserved.intersection(search.chosen)
-        self.preemption.reservations.return_unused(used, reserved, state.free)
+        self.preemption.reservations.finish_grant(used, reserved, state.free)
         self._place_tasks(job, search.chosen, state.free, now)
         if job.need.accelerators > 0 and search.chosen:
             cluster = self.cluster
-            state.headroom_machines, state.headroom_candidates = cluster.headroom.select_machines(
-                cluster.schedulable.by_offer, state.free
+            state.headroom_machines, state.accelerated_capable_machines = (
+                cluster.headroom.select_machines(cluster.schedulable_index.by_offer, state.free)
             )
             cluster.headroom_machines = state.headroom_machines
 
@@ -219,14 +228,14 @@
             machines = [m for m in machines if m.id not in reserved_for_others]
         # Replicas run indefinitely: they use accelerated machines only as a last resort.
         long_running = job.service and job.need.accelerators <= 0
-        candidates = state.headroom_candidates if long_running else state.headroom_machines
+        candidates = state.accelerated_capable_machines if long_running else state.headroom_machines
         restricted = self.cluster.headroom_limited_machines(job, candidates) - reserved
         kind = SearchKind(
             job.placement_class,
             long_running,
             bool(restricted),
             bool(reserved_for_others),
-            job.id not in state.affordable,
+            job.id not in state.affordable_by_job,
         )
         return JobSearch(job, count, reserved, machines, restricted, kind)
 
@@ -236,28 +245,28 @@
         room = self._usable_room(search, state)
         if search.kind.long_running:
             self._count_room_being_cleared(search, state)
-        if search.clearing < search.count:
+        if search.clearing_count < search.count:
             self._choose_machines(search, search.kind, room, search.restricted, state)
-        if search.missing > 0 and preemptable is not None:
-            search.clearing += self.preemption.preempt(
-                job, search.missing, preemptable, search.reserved
+        if search.missing_count > 0 and preemptable is not None:
+            search.clearing_count += self.preemption.preempt(
+                job, search.missing_count, preemptable, search.reserved
             )
         if search.kind.long_running:
-            widened = (state.headroom_machines - search.reserved, set[MachineId]())
-            for widening, restricted in enumerate(widened, start=1):
-                if search.missing > 0:
-                    kind = search.kind._replace(widening=widening)
+            restrictions_by_scope = (state.headroom_machines - search.reserved, set[MachineId]())
+            for search_scope, restricted in enumerate(restrictions_by_scope, start=1):
+                if search.missing_count > 0:
+                    kind = search.kind._replace(search_scope=search_scope)
                     self._choose_machines(search, kind, state.free, restricted, state)
 
     def _usable_room(self, search: JobSearch, state: PassState) -> dict[MachineId, Resources]:
         """Return the room that the job may use on each machine; less on unaffordable machines."""
-        affordable = state.affordable.get(search.job.id)
+        affordable = state.affordable_by_job.get(search.job.id)
         if affordable is None:
             return state.free
         machine_types = self.cluster.machine_types
         return {
             machine.id: state.free[machine.id]
-            if machine.id in state.headroom_machines and affordable.may_use_leftovers
+            if machine.id in state.headroom_machines and affordable.may_use_remaining_room
             else affordable.usable_room(
                 machine, state.free[machine.id], machine_types[machine.machine_type]
             )
@@ -267,18 +276,18 @@
     def _count_room_being_cleared(self, search: JobSearch, state: PassState) -> None:
         """Count the replicas whose room is being cleared: it is free soon, so they wait for it."""
         job, free = search.job, state.free
-        search.clearing = sum(
+        search.clearing_count = sum(
             1
             for machine_id in search.reserved
             if machine_id in free and not job.need.fits(free[machine_id])
         )
         if state.preemptable is not None and self.preemption.needs_cached_image(job):
-            search.clearing += self.preemption.preempt_where_image_cached(
+            search.clearing_count += self.preemption.preempt_where_image_cached(
                 job,
-                search.count - search.clearing,
+                search.count - search.clearing_count,
                 search.machines,
                 state.preemptable,
-                state.headroom_candidates,
+                state.accelerated_capable_machines,
             )
 
     def _choose_machines(
@@ -296,11 +305,11 @@
         search.chosen = choose_machines(
             self.cluster,
             job,
-            search.count - search.clearing,
+            search.count - search.clearing_count,
             CandidateMachines(search.machines, room, restricted),
             preferred=search.reserved,
         )
-        if not search.chosen and not search.reserved and job.interchangeable:
+        if not search.chosen and not search.reserved and job.placeable_by_class_alone:
             state.kinds_without_room.add(kind)
 
     def _place_tasks(
--- a/umberward/scheduling/placements.py
+++ b/umberward/scheduling/placements.py
@@ -27,7 +27,7 @@
 
     @property
     def preemption_key(self) -> PreemptionKey:
-        """What decides which other work may preempt the job's tasks."""
+        """The key that determines preemption of and by the job's tasks."""
 
 
 class Placement:
@@ -52,10 +52,10 @@
         "running_since",
         "checkpoint_interval_s",
         "stop_grace_s",
-        "stopped_at",
+        "stop_requested_at",
         "intent_stored",
-        "adopted_from_predecessor",
-        "image_fetched",
+        "adopted_from_previous_leader",
+        "image_pulled",
         "needs_prompt_start",
     )
 
@@ -68,7 +68,7 @@
         job: PlacedJob,
         placed_at: Instant,
     ) -> None:
-        """Create a placement decided at `placed_at` whose intent is neither stored nor sent."""
+        """Create a placement decided at `placed_at` without a stored intent or a sent start."""
         self.task = task
         self.attempt = attempt
         self.machine = machine
@@ -78,17 +78,18 @@
         self.preemption_key = job.preemption_key
         self.placed_at = placed_at
         self.intent_stored = False  # its placement intent is committed, so the start may be sent
-        self.adopted_from_predecessor = False  # started by a previous leader
-        self.image_fetched = False  # its worker had to fetch the image
-        self.sent = False  # its start command is sent
+        self.adopted_from_previous_leader = False  # started by a previous leader
+        self.image_pulled = False  # its worker had to pull the image
+        self.sent = False  # its start command is queued for sending
         self.seen_on_worker = False  # listed in a heartbeat of its worker
-        self.start_sent_sequence = -1  # last heartbeat that was answered with the start
+        # Sequence number of the last heartbeat whose response carried the start.
+        self.start_sent_sequence = -1
         self.phase = ""  # as last reported by its worker; empty: not reported yet
         self.running_since: Instant | None = None
         self.checkpoint_interval_s = job.spec.checkpoint_interval_s
         # Seconds to save a checkpoint; None: the task is not being stopped.
         self.stop_grace_s: float | None = None
-        self.stopped_at = placed_at
+        self.stop_requested_at = placed_at  # valid only if the task is being stopped
         self.needs_prompt_start = job.needs_prompt_start
 
     @property
--- a/umberward/scheduling/preemptable_work.py
+++ b/umberward/scheduling/preemptable_work.py
@@ -1,4 +1,4 @@
-"""An index of the running work by who may preempt it, for one scheduling pass. No I/O."""
+"""Index of running tasks by preemption key, for one scheduling pass. No I/O."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class PreemptableWork:
-    """The running work by who may preempt it.
+    """The tasks that each preemption key may preempt.
 
-    Most searches end at once, as no running work has a lower precedence. For the others the
+    Most searches end immediately, as no running work has a lower precedence. For the others the
     machines are examined once per preemption key, using sums that each machine caches until its
     tasks change.
     """
@@ -87,6 +87,6 @@
 
     def machines_of(self, offers: set[MachineOffer]) -> Iterator[Machine]:
         """Yield the schedulable machines of these offers, which may be a small part of all."""
-        for offer, machines in self.cluster.schedulable.by_offer.items():
+        for offer, machines in self.cluster.schedulable_index.by_offer.items():
             if offer in offers:
                 yield from machines.values()
--- a/umberward/scheduling/preemption.py
+++ b/umberward/scheduling/preemption.py
@@ -10,7 +10,7 @@
 from umberward.core.log import logger
 from umberward.core.types import ImageName, Instant, MachineId, ZoneName
 from umberward.scheduling.cluster_state import ClusterState
-from umberward.scheduling.gang_preemption import plan_gang
+from umberward.scheduling.gang_preemption import plan_gang_preemption
 from umberward.scheduling.jobs import Job, Placement
 from umberward.scheduling.machine_selection import (
     CandidateMachines,
@@ -25,9 +25,9 @@
 
 log = logger(__name__)
 
-PREEMPT_INTERVAL_S = 0.1  # between searches, as each one examines all running tasks
+SEARCH_INTERVAL_S = 0.1  # between searches, as each one examines all running tasks
 MAX_MACHINES_CLEARED_PER_PASS = 16  # for one job
-PREEMPT_PAUSE_S = 1.5  # between preemptions for one job: by then its last victims are gone
+JOB_PREEMPTION_PAUSE_S = 1.5  # between preemptions for one job: by then its last victims are gone
 
 
 class _MachinePlan(NamedTuple):
@@ -48,18 +48,19 @@
         self.reservations = RoomReservations(cluster)
         # Machines that the job being placed may not use: they are reserved for other gangs.
         self.machines_reserved_for_others: set[MachineId] = set()
-        self.preempt_not_before = now
+        self.search_not_before = now
 
-    def start_search_if_due(self, waiting: list[Job], now: Instant) -> bool:
+    def claim_search_if_due(self, waiting: list[Job], now: Instant) -> bool:
         """Tell whether to search in this pass; if so, delay the next search by the interval.
 
-        Replicas that need a cached image to start in time cause a search before that.
+        Replicas that need a cached image to start in time cause a search even before the interval
+        has passed.
         """
-        if now < self.preempt_not_before and not any(
+        if now < self.search_not_before and not any(
             job.service and self.needs_cached_image(job) for job in waiting
         ):
             return False
-        self.preempt_not_before = Instant(now + PREEMPT_INTERVAL_S)
+        self.search_not_before = Instant(now + SEARCH_INTERVAL_S)
         return True
 
     def preempt(
@@ -87,23 +88,23 @@
             job.priority,
             frozenset(self.machines_reserved_for_others),
         )
-        if job.interchangeable and kind in work.kinds_without_victims:
+        if job.placeable_by_class_alone and kind in work.kinds_without_victims:
             return 0
         zones = [placement.zone for placement in job.placements.values() if placement is not ending]
         plans = self._machine_plans(job, work, excluded, zones, image_cached_only=image_cached_only)
         cleared = self._clear_machines(job, count, plans, zones, work.now)
-        if not cleared and job.interchangeable and not image_cached_only:
+        if not cleared and job.placeable_by_class_alone and not image_cached_only:
             work.kinds_without_victims.add(kind)
         return cleared
 
     def _may_preempt_now(self, job: Job, now: Instant) -> bool:
-        if now - job.preempted_at < PREEMPT_PAUSE_S or job.faulty:
+        if now - job.room_reserved_at < JOB_PREEMPTION_PAUSE_S or job.faulty:
             return False
         if job.service or job.gang:
             return True
         # Arrays wait first: tasks end all the time, and the next free room goes to this job.
         waited_s = self.cluster.wall_clock() - job.ready_at
-        return waited_s >= self.cluster.preemption_delay(job)
+        return waited_s >= self.cluster.preemption_delay_s(job)
 
     def _machine_plans(
         self,
@@ -152,7 +153,7 @@
                 continue
             zones.append(zone)
             cleared += 1
-            self._preempt_and_reserve(job, plan.machine_id, 1, plan.victims, now)
+            self._reserve_and_stop(job, plan.machine_id, 1, plan.victims, now)
         return cleared
 
     def _preempt_for_gang(self, job: Job, work: PreemptableWork) -> int:
@@ -168,7 +169,7 @@
         )
         if kind in work.kinds_without_victims:
             return 0
-        steps = plan_gang(
+        steps = plan_gang_preemption(
             self.cluster, job, work, self.reservations, self.machines_reserved_for_others
         )
         if not steps:
@@ -177,11 +178,11 @@
         missing_tasks = job.size
         for step in steps:
             task_count = min(step.task_count, missing_tasks)
-            self._preempt_and_reserve(job, step.machine_id, task_count, step.victims, work.now)
+            self._reserve_and_stop(job, step.machine_id, task_count, step.victims, work.now)
             missing_tasks -= step.task_count
         return job.size
 
-    def _preempt_and_reserve(
+    def _reserve_and_stop(
         self,
         job: Job,
         machine_id: MachineId,
@@ -189,9 +190,12 @@
         victims: list[Placement],
         now: Instant,
     ) -> None:
-        """Stop the victims and reserve room for `task_count` of the job's tasks."""
+        """Stop the victims and reserve room for `task_count` of the job's tasks.
+
+        There may be no victims; the pause until the next preemption for the job starts anyway.
+        """
         self.reservations.add(job, machine_id, task_count, now)
-        job.preempted_at = now
+        job.room_reserved_at = now
         for victim in victims:
             owner = self.cluster.jobs.get(victim.task.job)
             grace_s = 0.0
@@ -207,9 +211,9 @@
 
     def reserve(self, job: Job, machine_id: MachineId, now: Instant) -> None:
         """Reserve free room for one of the job's tasks that is about to move there."""
-        self._preempt_and_reserve(job, machine_id, 1, [], now)
+        self._reserve_and_stop(job, machine_id, 1, [], now)
 
-    # ---- replicas that need their image --------------------------------------------------
+    # ---- replicas that need a machine with their image cached ----------------------------
 
     def needs_cached_image(self, job: Job) -> bool:
         """Tell whether the job can still start in time, but not if it had to pull its image."""
@@ -232,8 +236,8 @@
         """Clear room for replicas on machines that cache their image, if too little is free."""
         image = ImageName(job.spec.image)
         near = [machine for machine in machines if image in machine.images]
-        free = CandidateMachines(near, work.free, excluded)
-        missing_tasks = count - len(choose_machines(self.cluster, job, count, free))
+        candidates = CandidateMachines(near, work.free, excluded)
+        missing_tasks = count - len(choose_machines(self.cluster, job, count, candidates))
         if missing_tasks <= 0:
             return 0
         return self.preempt(job, missing_tasks, work, excluded, image_cached_only=True)
--- a/umberward/scheduling/preemption_key.py
+++ b/umberward/scheduling/preemption_key.py
@@ -9,7 +9,8 @@
     """The properties of a job that decide which work may preempt which.
 
     `accelerated`: whether its tasks use accelerators. `precedence`: its place in the service order,
-    smallest first: 0 for work within its team's guarantee, 1 beyond it, then the priority.
+    smallest first: 0 for work of the highest priority or within its team's guarantee, else 1; then
+    the priority.
     """
 
     accelerated: bool
--- a/umberward/scheduling/quota.py
+++ b/umberward/scheduling/quota.py
@@ -23,11 +23,11 @@
         self.used: dict[TeamName, Resources] = {}
         self.has_any_limit = any(self.has_limit(team) for team in self.teams)
 
-    def reserve(self, team: TeamName, need: Resources) -> None:
+    def add_usage(self, team: TeamName, need: Resources) -> None:
         """Add a task's resources to the team's usage."""
         self.used[team] = self.used.get(team, NO_RESOURCES).plus(need)
 
-    def release(self, team: TeamName, need: Resources) -> None:
+    def remove_usage(self, team: TeamName, need: Resources) -> None:
         """Subtract a task's resources from the team's usage."""
         self.used[team] = self.used.get(team, NO_RESOURCES).minus(need)
 
@@ -38,14 +38,14 @@
 
         `unlocated_usage` is what unlocated tasks of a previous leader may use in addition.
         """
-        limits = self.teams.get(team)
-        if limits is None:
+        team_quota = self.teams.get(team)
+        if team_quota is None:
             return 0
         used = self.used.get(team, NO_RESOURCES).plus(unlocated_usage)
         admitted = UNLIMITED_TASKS
         for limit, used_amount, needed_per_task in (
-            (limits.cpus_max, used.cores, need.cores),
-            (limits.gpus_max, used.accelerators, need.accelerators),
+            (team_quota.cpus_max, used.cores, need.cores),
+            (team_quota.gpus_max, used.accelerators, need.accelerators),
         ):
             if limit > 0 and needed_per_task > 0:
                 admitted = min(
@@ -54,28 +54,28 @@
         return max(admitted, 0)
 
     def exceeds_limit(self, team: TeamName, need: Resources, task_count: int) -> bool:
-        """Whether so many tasks could never run at once; raise KeyError for an unknown team."""
-        limits = self.teams[team]
-        exceeds_cores = 0 < limits.cpus_max < need.cores * task_count - ROUNDING_TOLERANCE
+        """Whether that many tasks could never run together; raise KeyError for an unknown team."""
+        team_quota = self.teams[team]
+        exceeds_cores = 0 < team_quota.cpus_max < need.cores * task_count - ROUNDING_TOLERANCE
         accelerators = need.accelerators * task_count
-        return exceeds_cores or 0 < limits.gpus_max < accelerators - ROUNDING_TOLERANCE
+        return exceeds_cores or 0 < team_quota.gpus_max < accelerators - ROUNDING_TOLERANCE
 
     def has_limit(self, team: TeamName) -> bool:
         """Whether the team has any limit."""
-        limits = self.teams.get(team)
-        return limits is not None and (limits.cpus_max > 0 or limits.gpus_max > 0)
+        team_quota = self.teams.get(team)
+        return team_quota is not None and (team_quota.cpus_max > 0 or team_quota.gpus_max > 0)
 
     def has_guarantee(self, team: TeamName) -> bool:
         """Whether the team has any guarantee."""
-        limits = self.teams.get(team)
-        return limits is not None and (limits.cpus > 0 or limits.gpus > 0)
+        team_quota = self.teams.get(team)
+        return team_quota is not None and (team_quota.cpus > 0 or team_quota.gpus > 0)
 
     def fits_guarantee(self, team: TeamName, total: Resources) -> bool:
         """Whether resources of this total are within the team's guarantee."""
         if not self.has_guarantee(team):
             return False
-        limits = self.teams[team]
+        team_quota = self.teams[team]
         return (
-            total.cores <= limits.cpus + ROUNDING_TOLERANCE
-            and total.accelerators <= limits.gpus + ROUNDING_TOLERANCE
+            total.cores <= team_quota.cpus + ROUNDING_TOLERANCE
+            and total.accelerators <= team_quota.gpus + ROUNDING_TOLERANCE
         )
--- a/umberward/scheduling/reachability.py
+++ b/umberward/scheduling/reachability.py
@@ -1,11 +1,12 @@
 """Detection of machines that are reachable in one direction only. No I/O.
 
-If a machine's heartbeats arrive but it receives nothing, its sessions end with their leases, and
-it would be given work again and again. Proof that a worker receives is a response to a probe or
-command, the leader's fencing token, a task that the leader started, or a session older than its
-lease. Without such proof the machine is suspected and probed; a healthy one answers within
-milliseconds. One that does not answer gets no new work, is probed at longer intervals, and is
-deleted once keeping it has cost as much as a new machine. Its tasks start elsewhere only under the
+If a machine's heartbeats arrive but it receives nothing from the leader, its sessions end with
+their leases, and it would be given work again and again. Proof that a worker receives the leader's
+messages is a response to a probe or command, the leader's fencing token, a task that the leader
+started, or a session older than its lease. Without such proof the machine is suspected and probed;
+a healthy one answers within milliseconds. One that does not answer gets no new work, is probed at
+longer intervals, and is deleted once keeping it has cost as much as booting a replacement: after
+the boot time of one, but not before a lease has passed. Its tasks start elsewhere only under the
 usual conditions (docs/design.md, "Safety").
 
 Conversely, a machine may execute commands and answer probes while its heartbeats reach no
@@ -29,7 +30,8 @@
 PROBE_INTERVAL_S = 1.0
 UNREACHABLE_PROBE_INTERVAL_S = 5.0
 WORKER_RESPONSE_TIMEOUT_S = 4.0  # a worker drops later responses to its heartbeats (PROTOCOL)
-# Up to this many machines, or this fraction of all, may be unreachable independently at once.
+# Up to this many machines, or this fraction of all, may be unreachable independently at the same
+# time.
 MAX_INDEPENDENT_UNREACHABLE = 3
 MAX_INDEPENDENT_UNREACHABLE_FRACTION = 0.1
 # After this fraction of its lease without a heartbeat, a task started on a machine would be lost.
@@ -46,10 +48,11 @@
         self.lease_s = LeaseBounds(cluster.worker_times).lease_s
         self.suspected: dict[MachineId, Machine] = {}
         self.without_heartbeats: dict[MachineId, Machine] = {}
-        # Long enough for a worker whose controller has failed to find the next one, and for most
-        # of a session that is not renewed to pass.
+        # Long enough for a worker to find another controller after its own has failed, and for most
+        # of an unrenewed session to pass.
         self.heartbeats_missing_after_s = max(
-            cluster.heartbeat_timeout(), NO_HEARTBEAT_LEASE_FRACTION * cluster.worker_times.lease_s
+            cluster.heartbeat_timeout_s(),
+            NO_HEARTBEAT_LEASE_FRACTION * cluster.worker_times.lease_s,
         )
 
     # ---- whether a machine receives what is sent to it ---------------------------------------
@@ -62,8 +65,8 @@
         With `mark_unreachable`, the machine counts as unreachable and gets no new work until it
         answers. Otherwise it does so once it has left UNREACHABLE_AFTER_PROBES probes unanswered.
         """
-        if machine.suspected_since is None:
-            machine.suspected_since = now
+        if machine.suspected_unreachable_since is None:
+            machine.suspected_unreachable_since = now
             machine.unanswered_probes = 0
             self.suspected[machine.id] = machine
         if mark_unreachable and not machine.unreachable:
@@ -77,7 +80,7 @@
         The time for which it was silent does not show for how long it has received nothing, so
         the suspicion starts now.
         """
-        machine.suspected_since = None
+        machine.suspected_unreachable_since = None
         machine.probe_not_before = now
         self.suspect_unreachable(machine, now, mark_unreachable=True)
 
@@ -87,17 +90,17 @@
         A previous session that was answered recently should have lasted, so the latest response
         seems not to have reached the worker.
         """
-        session_lasts_s = self.cluster.worker_times.lease_s - WORKER_RESPONSE_TIMEOUT_S
-        if machine.answered_at is not None and now - machine.answered_at < session_lasts_s:
+        min_answered_session_s = self.cluster.worker_times.lease_s - WORKER_RESPONSE_TIMEOUT_S
+        if machine.answered_at is not None and now - machine.answered_at < min_answered_session_s:
             self.suspect_unreachable(machine, now, mark_unreachable=True)
         machine.incarnation_since = now
 
     def newer_heartbeat_received(self, machine: Machine, now: Instant) -> None:
-        """Handle a newer heartbeat, which alone does not prove that the machine receives."""
-        if machine.suspected_since is None:
+        """Handle a newer heartbeat, which alone is no proof that the machine receives messages."""
+        if machine.suspected_unreachable_since is None:
             return
         # A session older than its lease must have received an answer within that time.
-        if now - max(machine.incarnation_since, machine.suspected_since) > self.lease_s:
+        if now - max(machine.incarnation_since, machine.suspected_unreachable_since) > self.lease_s:
             self.confirm_reachable(machine, now)
         else:
             machine.probe_not_before = min(
@@ -108,23 +111,23 @@
 
     def confirm_reachable(self, machine: Machine, now: Instant) -> None:
         """Record proof that the machine has received something from the leader."""
-        if machine.suspected_since is None:
+        if machine.suspected_unreachable_since is None:
             return
         if machine.unreachable:
             log.info(
                 "machine_reachable",
                 machine=machine.id,
-                after_s=round(now - machine.suspected_since, 1),
+                after_s=round(now - machine.suspected_unreachable_since, 1),
             )
             machine.availability_changed()
             self.cluster.pass_wanted = True
-        machine.suspected_since = None
+        machine.suspected_unreachable_since = None
         machine.unanswered_probes = 0
         self.suspected.pop(machine.id, None)
 
     def count_unanswered_probe(self, machine: Machine) -> None:
         """Count an unanswered probe of a suspected machine."""
-        if machine.suspected_since is None:
+        if machine.suspected_unreachable_since is None:
             return
         machine.unanswered_probes += 1
         if machine.unanswered_probes == UNREACHABLE_AFTER_PROBES:
@@ -165,7 +168,7 @@
         for machine in list(self.suspected.values()):
             if machine.id not in self.cluster.machines:
                 del self.suspected[machine.id]
-            elif not machine.probe_unanswered:
+            elif not machine.silent:
                 self._probe_if_due(machine, now)
 
     def send_probe(self, machine: Machine) -> None:
@@ -173,31 +176,36 @@
         machine.probe_inflight = True
         self.cluster.outbox.append(Probe(machine.id, machine.address))
 
-    def partially_reachable(self) -> list[Machine]:
+    def partially_reachable_machines(self) -> list[Machine]:
         """The machines that are up but reachable in one direction only."""
         machines = {**self.suspected, **self.without_heartbeats}
-        return [m for m in machines.values() if m.partially_reachable and not m.probe_unanswered]
+        return [m for m in machines.values() if m.partially_reachable and not m.silent]
 
     def many_unreachable(self) -> bool:
         """Whether more machines are partially reachable than independent failures explain.
 
         They are expected to recover, so no replacements are requested.
         """
-        return len(self.partially_reachable()) > self._max_independent_unreachable()
+        return len(self.partially_reachable_machines()) > self._max_independent_unreachable()
 
     def unreachable_machines_to_delete(self, now: Instant) -> list[Machine]:
-        """The partially reachable machines to delete now.
+        """The partially reachable machines to drain now.
 
-        A machine is kept while that costs no more than booting a replacement. If many are partially
-        reachable at once they are kept longer, and deleted a few at a time.
+        A machine is kept while that costs no more than booting a replacement: for its boot time,
+        but at least for a lease. If many are partially reachable at the same time they are kept
+        longer, and drained a few at a time.
         """
         retention_factor = MANY_UNREACHABLE_RETENTION_FACTOR if self.many_unreachable() else 1.0
         max_deletions = self._max_independent_unreachable()
         machines: list[Machine] = []
-        for machine in self.partially_reachable():
+        for machine in self.partially_reachable_machines():
             if machine.deletion_requested:
                 continue
-            since = machine.suspected_since if machine.unreachable else machine.no_heartbeats_since
+            since = (
+                machine.suspected_unreachable_since
+                if machine.unreachable
+                else machine.no_heartbeats_since
+            )
             if since is not None and now - since > self._retention_s(machine) * retention_factor:
                 machines.append(machine)
             if len(machines) >= max_deletions:
@@ -227,7 +235,7 @@
         self.send_probe(machine)
 
     def _stop_waiting_gangs(self, machine: Machine) -> None:
-        """Stop gangs of which a task started on the machine was not seen there.
+        """Stop each gang with a task on the machine that the machine has never listed.
 
         Their other tasks would wait for it and hold their resources for nothing.
         """
--- a/umberward/scheduling/reconciliation.py
+++ b/umberward/scheduling/reconciliation.py
@@ -36,7 +36,7 @@
     periodic: bool  # a periodic heartbeat, whose response carries `commands`
     commands: list[TaskCommand] = field(default_factory=list)
     listed_tasks: set[TaskId] = field(default_factory=set)
-    forget_blocked: bool = False  # a start of an exited attempt may arrive: it must stay listed
+    must_defer_forget: bool = False  # a start of an exited attempt may arrive: it must stay listed
 
     def add_command(self, verb: str, status: TaskStatus, grace_s: float | None = None) -> None:
         """Add a command about a listed attempt to the response."""
@@ -58,7 +58,7 @@
         self.reachability = reachability
         self.progress = TaskProgress(cluster, failure_attribution, writer)
         self.adoption = TaskAdoption(cluster)
-        self.deferred_forgets = 0  # how often a machine had to start keeping exited attempts
+        self.deferred_forget_count = 0  # times that forgetting had to be deferred
 
     def reconcile(
         self, machine: Machine, heartbeat: Heartbeat, now: Instant, *, periodic: bool
@@ -78,7 +78,7 @@
         for task_id, placement in list(machine.placements.items()):
             if task_id not in context.listed_tasks and placement.sent:
                 self._reconcile_unlisted(context, task_id, placement)
-        self._request_rotation_if_forget_blocked(context)
+        self._request_rotation_if_forget_deferred(context)
         return context.commands
 
     def _reconcile_listed(
@@ -104,7 +104,7 @@
         machine, attempt = context.machine, Attempt(status.attempt)
         machine.exited_tasks.add(task_id)
         self.progress.task_exited(machine, task_id, status, placement, context.now)
-        context.forget_blocked |= machine.inflight_starts.timed_out_start_valid_under(
+        context.must_defer_forget |= machine.inflight_starts.timed_out_start_valid_under(
             task_id, attempt, self.cluster.fencing_token
         )
         if (
@@ -152,13 +152,17 @@
             if context.periodic:
                 self._repeat_start(context, placement)
         elif not may_arrive:
+            # No direct start is in flight, and a heartbeat newer than the last one whose response
+            # carried the start does not list the task.
             if context.periodic and context.heartbeat.sequence > placement.start_sent_sequence:
                 self.cluster.release(machine, placement)
         elif machine.inflight_starts.timed_out_start_valid_under(
             task_id, placement.attempt, self.cluster.fencing_token
         ):
             # An unanswered start may be executed at any time; only a higher token prevents that.
-            self.cluster.token_rotation.note_unwanted_start(placement.stopped_at, context.now)
+            self.cluster.token_rotation.note_unwanted_start(
+                placement.stop_requested_at, context.now
+            )
 
     def _repeat_start(self, context: _ReconciliationContext, placement: Placement) -> None:
         """Send the start again with the response, if the invariants allow it."""
@@ -171,15 +175,15 @@
             placement.start_sent_sequence = sequence
             context.commands.append(TaskCommand(START, str(placement.task), placement.attempt))
 
-    def _request_rotation_if_forget_blocked(self, context: _ReconciliationContext) -> None:
-        """Request a token rotation if exited attempts could not be forgotten for long."""
+    def _request_rotation_if_forget_deferred(self, context: _ReconciliationContext) -> None:
+        """Request a token rotation if exited attempts could not be forgotten for a long time."""
         machine = context.machine
-        if not context.forget_blocked:
+        if not context.must_defer_forget:
             machine.forget_deferred_since = None
             return
         if machine.forget_deferred_since is None:
             machine.forget_deferred_since = context.now
-            self.deferred_forgets += 1
+            self.deferred_forget_count += 1
             rate_limited_log.info(
                 "forget_deferred",
                 machine=machine.id,
--- a/umberward/scheduling/replica_moves.py
+++ b/umberward/scheduling/replica_moves.py
@@ -12,14 +12,15 @@
 from umberward.scheduling.machine_selection import CandidateMachines, choose_machines
 from umberward.scheduling.machines import Machine
 from umberward.scheduling.preemptable_work import PreemptableWork
-from umberward.scheduling.preemption import PREEMPT_PAUSE_S, Preemption
+from umberward.scheduling.preemption import JOB_PREEMPTION_PAUSE_S, Preemption
 from umberward.scheduling.schedulable_machines import machines_with_room
 
 log = logger(__name__)
 
 MOVE_INTERVAL_S = 1.0
-MAX_REPLICAS_EXAMINED = 8  # per interval, so that few replicas are down at once
-MIN_REPLICA_RUN_S = 35.0  # a start counts for the user if the replica then runs for 30 s
+MAX_REPLICAS_EXAMINED = 8  # per interval, so that few replicas are down together
+# A start counts towards the user's objective if the replica then runs for 30 s; 5 s are a margin.
+MIN_REPLICA_RUN_S = 35.0
 
 
 class ReplicaMoves:
@@ -32,13 +33,17 @@
         self.move_not_before = now
 
     def move_replicas(
-        self, headroom_machines: set[MachineId], candidates: set[MachineId], work: PreemptableWork
+        self,
+        headroom_machines: set[MachineId],
+        accelerated_capable_machines: set[MachineId],
+        work: PreemptableWork,
     ) -> None:
         """Make room on the headroom machines that have too little for accelerated work.
 
-        `candidates`: all machines that could run such work; replicas do not move there. A replica
-        is stopped only if there is room on another machine with its image, so that its downtime is
-        short, and not when it has just started, as the start would not count for its user.
+        `accelerated_capable_machines`: all machines that could run such work; replicas do not move
+        there. A replica is stopped only if there is room on another machine with its image, so that
+        its downtime is short, and not when it has just started, as the start would not count
+        towards the user's objective.
         """
         now = work.now
         if now < self.move_not_before:
@@ -59,11 +64,11 @@
                 if (
                     examined >= MAX_REPLICAS_EXAMINED
                     or job is None
-                    or not _may_move(job, placement, now)
+                    or not _may_make_way(job, placement, now)
                 ):
                     continue
                 examined += 1
-                if self._make_room(job, placement, with_room, candidates, work):
+                if self._make_room(job, placement, with_room, accelerated_capable_machines, work):
                     log.info("replica_moved", task=placement.task, machine=machine.id)
                     self.cluster.stop(placement, 0.0)
 
@@ -71,7 +76,7 @@
         self, headroom_machines: set[MachineId], work: PreemptableWork
     ) -> list[Machine]:
         """Return the headroom machines without room for an accelerated task, emptiest first."""
-        need = self.cluster.headroom.largest_need
+        need = self.cluster.headroom.largest_accelerator_need
         blocked = [
             machine
             for machine in work.schedulable_machines
@@ -85,12 +90,14 @@
         job: Job,
         placement: Placement,
         with_room: list[Machine],
-        candidates: set[MachineId],
+        accelerated_capable_machines: set[MachineId],
         work: PreemptableWork,
     ) -> bool:
         """Reserve or clear room on a machine with the replica's image; False: there is none."""
         image = ImageName(job.spec.image)
-        machines = [m for m in with_room if m.id not in candidates and image in m.images]
+        machines = [
+            m for m in with_room if m.id not in accelerated_capable_machines and image in m.images
+        ]
         chosen = [
             machine_id
             for machine_id in choose_machines(
@@ -100,7 +107,7 @@
         ]
         if not chosen:
             cleared = self.preemption.preempt(
-                job, 1, work, candidates, image_cached_only=True, ending=placement
+                job, 1, work, accelerated_capable_machines, image_cached_only=True, ending=placement
             )
             return cleared > 0
         target = chosen[0]
@@ -109,7 +116,7 @@
         return True
 
 
-def _may_move(job: Job, placement: Placement, now: Instant) -> bool:
+def _may_make_way(job: Job, placement: Placement, now: Instant) -> bool:
     """Tell whether the replica has run for long enough and its job has no other change pending."""
     return (
         job.service
@@ -117,5 +124,5 @@
         and placement.stop_grace_s is None
         and placement.running_since is not None
         and now - placement.running_since >= MIN_REPLICA_RUN_S
-        and now - job.preempted_at >= PREEMPT_PAUSE_S
+        and now - job.room_reserved_at >= JOB_PREEMPTION_PAUSE_S
     )
--- a/umberward/scheduling/room_reservation.py
+++ b/umberward/scheduling/room_reservation.py
@@ -37,7 +37,7 @@
         self.by_machine[machine_id] = Reservation(job.id, room, Instant(now + RESERVATION_S))
 
     def subtract(self, free: dict[MachineId, Resources], now: Instant) -> None:
-        """Subtract reserved room from `free`, or the victims would be placed there again.
+        """Subtract reserved room from `free`, so that the victims are not placed there again.
 
         Expired reservations and those of jobs that have ended are dropped.
         """
@@ -50,7 +50,7 @@
     def grant(self, job: Job, free: dict[MachineId, Resources]) -> set[MachineId]:
         """Add the job's reserved room to `free`; return the machines.
 
-        The room counts as free for this job, or it would clear the machines again.
+        The room counts as free for this job, so that it does not clear the machines again.
         """
         granted = {
             machine_id
@@ -62,7 +62,7 @@
                 free[machine_id] = free[machine_id].plus(self.by_machine[machine_id].room)
         return granted
 
-    def return_unused(
+    def finish_grant(
         self, used: set[MachineId], granted: set[MachineId], free: dict[MachineId, Resources]
     ) -> None:
         """Drop the used reservations, and subtract the unused ones from `free` again."""
--- a/umberward/scheduling/scale_out.py
+++ b/umberward/scheduling/scale_out.py
@@ -1,4 +1,4 @@
-"""How many machines of which offers to request for waiting work. Pure.
+"""Number of machines to request of each offer for waiting work. No I/O.
 
 A simulation first places the work on existing and booting machines; machines are requested for the
 rest.
@@ -46,7 +46,8 @@
 
     def request_for_jobs(self, waiting: list[tuple[Job, int]]) -> None:
         """Request machines for the waiting jobs and their numbers of tasks, in this order."""
-        # By placement class, how many machines were searched: the room on these only shrinks.
+        # By placement class: the number of machines already searched. They need no second search,
+        # as their room only shrinks.
         search_positions: dict[Hashable, int] = {}
         for job, task_count in waiting:
             if job.gang and job.spec.same_zone and task_count > 1:
@@ -130,11 +131,11 @@
         found = []
         for zone in self._all_zones():
             machines = machines_by_zone.get(zone, [])
-            room = sum(
+            fitting_tasks = sum(
                 need.count_within(machine.room(prompt=job.needs_prompt_start))
                 for machine in machines
             )
-            missing = task_count - room
+            missing = task_count - fitting_tasks
             choice = self.offers.cheapest(job, missing, zone) if missing > 0 else None
             if missing <= 0 or choice is not None:
                 found.append(_GangZone(max(0, missing), zone, machines, choice))
@@ -157,11 +158,11 @@
         )
         if start_within_s is None:
             return
-        missing = round(headroom.spare_task_count() * rent_spare)
+        missing = round(headroom.headroom_task_count() * rent_spare)
         missing -= sum(
             1
             for machine in self.machines
-            if headroom.largest_need.fits(machine.room(prompt=True))
+            if headroom.largest_accelerator_need.fits(machine.room(prompt=True))
             and headroom.could_run_accelerated(*machine.offer)
         )
         offer = self._cheapest_for_headroom(start_within_s)
@@ -176,7 +177,7 @@
         best: tuple[float, MachineOffer] | None = None
         for machine_type in self.scheduler.machine_types.values():
             if (
-                not headroom.largest_need.fits(machine_type.capacity)
+                not headroom.largest_accelerator_need.fits(machine_type.capacity)
                 or headroom.latest_accelerated_spec is None
             ):
                 continue
@@ -192,30 +193,32 @@
 
     def request_for_consolidation(self) -> None:
         """Request machines for replicas that should leave an expensive machine and have no room."""
-        for job, max_unit_price in self.scheduler.consolidation.replicas_without_room:
-            if self._has_cheaper_room(job, max_unit_price):
+        for job, max_price_per_core in self.scheduler.consolidation.jobs_needing_cheaper_room:
+            if self._has_cheaper_room(job, max_price_per_core):
                 continue  # such a machine exists, boots or is being requested
-            for _, offer in sorted(self._cheaper_offers(job, max_unit_price)):
+            for _, offer in sorted(self._cheaper_offers(job, max_price_per_core)):
                 if self.offers.is_available(offer) and self.scheduler.admits_offer(job, *offer):
                     self._add_machines(job, OfferChoice(offer, 1), 1, 1)
                     break
 
-    def _has_cheaper_room(self, job: Job, max_unit_price: float) -> bool:
-        unit_price = self.scheduler.consolidation.unit_price
+    def _has_cheaper_room(self, job: Job, max_price_per_core: float) -> bool:
+        price_per_core = self.scheduler.consolidation.price_per_core
         return any(
-            unit_price(machine.offer.type) < max_unit_price
+            price_per_core(machine.offer.type) < max_price_per_core
             and job.need.fits(machine.free)
             and self.scheduler.admits_offer(job, *machine.offer)
             for machine in self.machines
         )
 
-    def _cheaper_offers(self, job: Job, max_unit_price: float) -> list[tuple[float, MachineOffer]]:
+    def _cheaper_offers(
+        self, job: Job, max_price_per_core: float
+    ) -> list[tuple[float, MachineOffer]]:
         """Return the on-demand offers with a lower price per core, with that price."""
-        unit_price = self.scheduler.consolidation.unit_price
+        price_per_core = self.scheduler.consolidation.price_per_core
         found = []
         for machine_type in self.scheduler.machine_types.values():
-            price = unit_price(MachineTypeName(machine_type.name))
-            if price < max_unit_price and job.need.fits(machine_type.capacity):
+            price = price_per_core(MachineTypeName(machine_type.name))
+            if price < max_price_per_core and job.need.fits(machine_type.capacity):
                 found += [(price, offer) for offer in _on_demand_offers(machine_type)]
         return found
 
--- a/umberward/scheduling/scheduler.py
+++ b/umberward/scheduling/scheduler.py
@@ -1,6 +1,6 @@
 """The scheduling state of a cluster and all decisions about it. No I/O.
 
-The leader's event loop passes in heartbeats, command results and records, and takes out commands,
+The leader loop passes in heartbeats, command results and records, and takes out commands,
 probes and transactions. A `Placement` means that a task may be on a machine. It exists from before
 the start is sent until one of these is known (docs/design.md, "Safety"): a newer heartbeat under
 this leader's fencing token does not list it and no start is in flight; the worker's incarnation has
@@ -51,13 +51,14 @@
 
 log = logger(__name__)
 
-UNKNOWN_JOB_GRACE_S = 15.0  # a live job that stays unknown here for longer is adopted
-# The oldest beyond this number are dropped: none of their heartbeats is in flight any more.
+UNKNOWN_JOB_GRACE_S = 15.0  # a live job that is missing here for longer is added
+# Number of deleted machines to remember; heartbeats of older ones are assumed to be no longer in
+# flight.
 MAX_DELETED_MACHINES_KEPT = 5000
 
 
 class Scheduler(ClusterState):
-    """The cluster state and all parts that decide about it; the leader's loop calls its methods.
+    """The cluster state and all parts that decide about it; the leader loop calls its methods.
 
     Each part reads and changes the `ClusterState` without depending on other parts' internals.
     """
@@ -81,10 +82,10 @@
         self.consolidation = Consolidation(self, self.preemption, now)
         self.failure_attribution = FailureAttribution(self, now)
         self.waiting_jobs = WaitingJobs(self)
-        self.job_order = ServiceOrder(self, self.waiting_jobs, self.deadline_triage)
+        self.service_order = ServiceOrder(self, self.waiting_jobs, self.deadline_triage)
         self.unlocated_tasks = UnlocatedTasks(self, self.delegator)
         self.placement_pass = PlacementPass(
-            self, self.job_order, self.unlocated_tasks, self.preemption, self.consolidation
+            self, self.service_order, self.unlocated_tasks, self.preemption, self.consolidation
         )
         self.writer = StateWriter(self, self.waiting_jobs, platform.cluster.state.strictest(), now)
         self.reachability = Reachability(self)
@@ -95,10 +96,11 @@
         self.command_results = CommandResults(self, self.reachability, self.heartbeats)
         # Jobs with a live record that are not known here, with the time when that was first seen.
         self.unknown_since: dict[JobId, Instant] = {}
-        # Recently ended jobs, with the time: a listing that was read earlier may still show them.
+        # Jobs that ended within UNKNOWN_JOB_GRACE_S, with the time: a listing that was read earlier
+        # may still show them.
         self.recently_ended: dict[JobId, Instant] = {}
 
-    # ---- events of the leader's loop, passed on to the responsible part --------------------
+    # ---- events of the leader loop, passed on to the responsible part ----------------------
 
     def receive_heartbeat(
         self, header: wire.HeartbeatHeader, body: bytes, now: Instant
@@ -132,7 +134,10 @@
         return machine is None or not self.has_unwanted_start(machine)
 
     def discount_process_pause(self, now: Instant) -> None:
-        """Detect a pause of this process. Call before any other event is handled."""
+        """Detect a pause of this process and do not count it as silence of the machines.
+
+        Call before any other event is handled.
+        """
         self.failure_detector.discount_process_pause(now)
 
     def tick(self, now: Instant) -> None:
@@ -148,7 +153,7 @@
         return self.failure_detector.is_isolated(now)
 
     def no_heartbeat_this_term(self, now: Instant) -> bool:
-        """Tell whether no loaded machine has sent anything, although each should have by now."""
+        """Tell whether no machine has sent a message in this term, although each should have."""
         return self.failure_detector.no_heartbeat_this_term(now)
 
     def delegate(
@@ -197,7 +202,7 @@
                 MachineId(name), address, MachineTypeName(machine_type), ZoneName(zone), spot, now
             )
             machines.append(machine)
-            if not machine.heartbeat_seen and not machine.probe_inflight:
+            if not machine.confirmed_in_term and not machine.probe_inflight:
                 self._probe(machine)
         self.writer.load_block(number, version, machines)
 
@@ -210,7 +215,7 @@
                 # the next heartbeat they may run there and must not start elsewhere.
                 machine.reconciled = False
                 machine.availability_changed()
-                machine.unchanged_heartbeat = None
+                machine.settled_task_list = None
                 self._probe(machine)
         self.pass_wanted = True
         log.info(
@@ -248,7 +253,7 @@
         self.jobs[job.id] = self.jobs_to_place[job.id] = job
         if job.complete:
             self.writer.note_completions(job)  # all tasks are done, its end is not written
-        job.needs_prompt_start = self.requires_prompt_start(job)
+        job.needs_prompt_start = self.is_prompt_accelerated(job)
         if not job.placed_below:
             log.info(
                 "job_ready",
@@ -261,7 +266,7 @@
         self.pass_wanted = True
 
     def apply_job_end(self, job_id: JobId, final: wire.FinalJobRecord, ended_at: float) -> None:
-        """Admit the dependents of a job; call only after its end was read or committed.
+        """Apply a job's end: admit its dependents. Call only after the end was read or committed.
 
         `ended_at` is a wall-clock time in seconds.
         """
@@ -270,7 +275,10 @@
             self.admit_job(job)
 
     def remove_job(self, job_id: JobId) -> None:
-        """Stop a job whose live record was deleted: it is done, or a controller cancelled it."""
+        """Remove a job whose live record was deleted, and stop its tasks.
+
+        The job is done, or a controller cancelled it.
+        """
         self.waiting_jobs.job_removed(job_id)
         self.recently_ended[job_id] = self.now
         job = self.jobs.pop(job_id, None)
@@ -313,8 +321,8 @@
                 found.append(job_id)
         return found
 
-    def adopt_unknown_job(self, record: JobRecord, version: Version, now: Instant) -> None:
-        """Add a live job that this leader had lost, together with its existing placements."""
+    def adopt_missing_job(self, record: JobRecord, version: Version, now: Instant) -> None:
+        """Add a live job that is missing from the leader's state, with its existing placements."""
         job_id = JobId(record.spec.job_id)
         if self.unknown_since.pop(job_id, None) is None or job_id in self.recently_ended:
             return
@@ -325,18 +333,18 @@
             return
         for machine in self.machines.values():
             for task, placement in machine.placements.items():
-                if task.job == job_id:  # started before the job was lost
+                if task.job == job_id:  # started before the job went missing
                     job.placements[task.number] = placement
                     job.locate_task(task.number)
         if job.unlocated_tasks:
             self.unlocated_tasks.schedule_requeue(job, now)
 
     def run_maintenance(self, now: Instant) -> None:
-        """Requeue lost tasks and drop records of ended jobs. Call every few seconds."""
+        """Requeue unaccounted tasks and drop records of ended jobs. Call every few seconds."""
         self.unlocated_tasks.requeue_overdue(now)
         self._forget_recently_ended(now)
         if self.reconciliation_completed:
-            self.unlocated_tasks.forget_cancelled_jobs()
+            self.unlocated_tasks.drop_cancelled_jobs()
             self.unlocated_tasks.recover_lost_tasks(now)
 
     def _forget_recently_ended(self, now: Instant) -> None:
@@ -376,11 +384,11 @@
 
     def jobs_in_service_order(self, now: Instant) -> list[Job]:
         """Return the jobs with tasks to place, in service order."""
-        return self.job_order.jobs_in_order(now)
+        return self.service_order.jobs_in_service_order(now)
 
     def jobs_without_room(self, now: Instant) -> list[tuple[Job, int]]:
         """Return the jobs that wait for machines, with their task counts, in service order."""
-        return self.job_order.jobs_without_room(now)
+        return self.service_order.jobs_without_room(now)
 
     # ---- summaries for the log -----------------------------------------------------------
 
@@ -390,4 +398,4 @@
 
     def inflight_summary(self) -> dict[str, int]:
         """Return the number of starts that may still reach a worker, as log fields."""
-        return summaries.inflight_summary(self, self.heartbeats.deferred_forgets)
+        return summaries.inflight_summary(self, self.heartbeats.deferred_forget_count)
--- a/umberward/scheduling/service_order.py
+++ b/umberward/scheduling/service_order.py
@@ -3,7 +3,7 @@
 A job's precedence is `(0, priority)` if it has the highest priority or is within its team's
 guarantee, and `(1, priority)` otherwise; the smaller precedence is served first. Jobs of equal
 precedence are served by the latest start that meets their next objective
-(`ClusterState.serve_by`).
+(`JobTiming.serve_by`).
 """
 
 from __future__ import annotations
@@ -25,12 +25,17 @@
 from umberward.scheduling.headroom import HIGHEST_PRIORITY
 from umberward.scheduling.jobs import Job
 
-GUARANTEED = 0  # first part of a precedence; served before work that is not guaranteed
+# First part of a precedence: work of the highest priority or within its team's guarantee, which is
+# served before all other work.
+GUARANTEED = 0
 NOT_GUARANTEED = 1
 
 
 class _ServiceRank(NamedTuple):
-    """Sort key of a waiting job, smallest first; `position` makes the sort stable."""
+    """Sort key of a waiting job, smallest first; `position` makes the sort stable.
+
+    `late`: the job is chosen to be delayed (`DeadlineTriage`).
+    """
 
     faulty: bool
     precedence: tuple[int, int]
@@ -59,13 +64,13 @@
         self.waiting_jobs = waiting_jobs
         self.deadline_triage = deadline_triage
 
-    def jobs_in_order(self, now: Instant) -> list[Job]:
+    def jobs_in_service_order(self, now: Instant) -> list[Job]:
         """Return the jobs with tasks to place, in service order.
 
         Jobs without a startable task are removed from `ClusterState.jobs_to_place`.
         """
         cluster = self.cluster
-        wall = cluster.wall_clock()
+        wall_now = cluster.wall_clock()
         cluster.jobs_examined += len(cluster.jobs_to_place)
         startable: list[Job] = []
         for job in list(cluster.jobs_to_place.values()):
@@ -74,14 +79,14 @@
             elif job.retry_not_before <= now:
                 startable.append(job)
         self.deadline_triage.update(startable, now)
-        late_jobs = self.deadline_triage.late_jobs
+        delayed_jobs = self.deadline_triage.delayed_jobs
         ranked = [
             (
                 _ServiceRank(
                     job.faulty,
                     self.waiting_jobs.expected_precedence(job),
-                    job.id in late_jobs,
-                    cluster.serve_by(job, wall),
+                    job.id in delayed_jobs,
+                    cluster.serve_by(job, wall_now),
                     position,
                 ),
                 job,
@@ -97,7 +102,7 @@
         Tasks beyond the team's quota and faulty jobs are left out, as more machines would not help.
         """
         jobs_and_counts = []
-        for job in self.jobs_in_order(now):
+        for job in self.jobs_in_service_order(now):
             quota = self.cluster.quota.tasks_within_limit(job.team, job.need)
             count = min(job.startable_count(), quota)
             if job.gang and (job.placements or count < job.size):
@@ -110,8 +115,9 @@
         """Set the precedence of every live job.
 
         A job is guaranteed if it fits its team's guarantee together with the team's earlier
-        unfinished jobs. A job only ever becomes guaranteed, never the reverse, and only work of a
-        strictly lower precedence is preempted: so two jobs never preempt each other in turn.
+        unfinished jobs. Work of the highest priority always has the precedence of guaranteed work.
+        A job may become guaranteed but never loses the guarantee, and only work of a strictly lower
+        precedence is preempted: so two jobs never preempt each other in turn.
 
         A team's jobs are ordered by when they became ready, so that a job that waited for its
         dependencies takes nothing from running jobs. The priority is the highest among the job and
--- a/umberward/scheduling/simulated_machines.py
+++ b/umberward/scheduling/simulated_machines.py
@@ -1,4 +1,4 @@
-"""Existing and booting machines, as simulated by the autoscaler. Pure.
+"""Existing and booting machines, as simulated by the autoscaler. No I/O.
 
 The autoscaler fills them with waiting tasks to find how many more machines to request. The
 simulation places nothing.
@@ -14,12 +14,12 @@
 from umberward.scheduling.scheduler import Scheduler
 
 # A machine that boots for longer than this multiple of `boot_s` plus the margin is not counted on.
-LATE_BOOT_RATIO = 2.5
+LATE_BOOT_FACTOR = 2.5
 LATE_BOOT_MARGIN_S = 5.0
 
 
 class PendingMachine:
-    """A requested machine that has not reported yet."""
+    """A requested machine that has not sent a heartbeat yet."""
 
     def __init__(self, offer: MachineOffer, requested_at: Instant) -> None:
         """`requested_at` is a time of this leader's monotonic clock."""
@@ -50,14 +50,14 @@
 ) -> list[SimulatedMachine]:
     """Return the existing machines without those too full for any waiting task.
 
-    In a full cluster those are nearly all. If many machines are unreachable, they count as empty:
+    In a full cluster nearly all are omitted. If many machines are unreachable, they count as empty:
     the fault is likely in the network, and they come back.
     """
     jobs = [job for job, _ in waiting] + [
-        job for job, _ in scheduler.consolidation.replicas_without_room
+        job for job, _ in scheduler.consolidation.jobs_needing_cheaper_room
     ]
     headroom = scheduler.headroom
-    least = smallest_need(jobs, headroom.largest_need)
+    least = smallest_need(jobs, headroom.largest_accelerator_need)
     for_accelerated = {offer: headroom.could_run_accelerated(*offer) for offer in scheduler.offers}
     simulated = []
     usable, free_by_machine = scheduler.schedulable_room()
@@ -69,7 +69,7 @@
         if least is not None and least.fits(free.plus(preemptable)):
             simulated.append(SimulatedMachine(machine.offer, free, preemptable))
     if scheduler.reachability.many_unreachable():
-        for machine in scheduler.reachability.partially_reachable():
+        for machine in scheduler.reachability.partially_reachable_machines():
             machine_type = scheduler.machine_types.get(machine.machine_type)
             if machine_type is not None:
                 simulated.append(SimulatedMachine(machine.offer, machine_type.capacity))
@@ -85,6 +85,9 @@
         machine_type = scheduler.machine_types.get(machine.offer.type)
         if machine_type is None:
             continue
-        if now - machine.requested_at <= LATE_BOOT_RATIO * machine_type.boot_s + LATE_BOOT_MARGIN_S:
+        if (
+            now - machine.requested_at
+            <= LATE_BOOT_FACTOR * machine_type.boot_s + LATE_BOOT_MARGIN_S
+        ):
             simulated.append(SimulatedMachine(machine.offer, machine_type.capacity))
     return simulated
--- a/umberward/scheduling/state_transaction.py
+++ b/umberward/scheduling/state_transaction.py
@@ -14,7 +14,9 @@
 from umberward.scheduling.jobs import Job
 from umberward.scheduling.stored_progress import StoredProgressRecord
 
-MAX_COUNTED_BYTES = 48 * 1024  # below the service's limit of 64 KiB per request
+# Below the service's limit of 64 KiB per request. Only the last write of each addition is counted:
+# neither a final record nor, if it has companions, a live record is.
+MAX_COUNTED_BYTES = 48 * 1024
 FINAL_RECORD_CHANGES = 2  # the final record is put and the live record is deleted
 
 
@@ -77,13 +79,13 @@
         """The numbers of the blocks that this transaction writes."""
         return {block.number for block in self._blocks}
 
-    def has_changes_left(self, change_count: int) -> bool:
+    def allows_changes(self, change_count: int) -> bool:
         """Return whether `change_count` more changes stay within the limit on changes."""
         return len(self._writes) + change_count <= self._max_changes
 
     def has_room(self, change_count: int) -> bool:
         """Return whether more changes stay within the limits on changes and on size."""
-        return self.has_changes_left(change_count) and self._counted_bytes <= MAX_COUNTED_BYTES
+        return self.allows_changes(change_count) and self._counted_bytes <= MAX_COUNTED_BYTES
 
     def add_block(self, number: int, version: Version, record: wire.BlockRecord) -> None:
         """Write a machine block if its stored version is still `version`."""
