--- a/umberward/scheduling/state_writer.py
+++ b/umberward/scheduling/state_writer.py
@@ -1,7 +1,7 @@
 """The leader's writes to the state service, their timing and the effects of a commit. No I/O.
 
 The service's write limit is the scarcest resource of the controllers. Placement intents (the
-write-ahead records of first starts) and the ends of jobs are written at once, completions of
+write-ahead records of first starts) and the ends of jobs are written immediately, completions of
 unfinished jobs every few seconds, and a machine block when its machines change.
 """
 
@@ -31,7 +31,7 @@
 
 log = logger(__name__)
 
-PROGRESS_WRITE_SHARE = 0.2  # share of the write limit for completions of unfinished jobs
+PROGRESS_WRITE_FRACTION = 0.2  # fraction of the write limit for completions of unfinished jobs
 PROGRESS_WRITE_INTERVAL_S = 4.0  # minimum between two writes of one unfinished job's completions
 MIN_PROGRESS_PAUSE_S = 0.25  # minimum between transactions with completions of unfinished jobs
 INTENT_GROWTH_FACTOR = 2  # minimum ratio of a new bound of stored intents to the last one
@@ -39,7 +39,7 @@
 
 
 class _PendingJobs(NamedTuple):
-    """Jobs whose records are to be written at once."""
+    """Jobs whose records are to be written immediately."""
 
     ended: list[Job]
     with_intents: list[Job]  # by priority, the most urgent first
@@ -56,7 +56,7 @@
         self.waiting_jobs = waiting_jobs
         self.max_changes = limits.txn_ops  # in one transaction
         self.max_value_bytes = cluster.max_value_bytes  # largest stored value, in bytes
-        self.progress_write_rate = PROGRESS_WRITE_SHARE * limits.write_rps  # writes per second
+        self.progress_write_rate = PROGRESS_WRITE_FRACTION * limits.write_rps  # writes per second
         self.machine_blocks = MachineBlocks(cluster)
         self.jobs_with_progress: set[JobId] = set()  # unfinished, with completions to store
         self.jobs_to_write = cluster.jobs_to_write
@@ -109,7 +109,7 @@
         return builder.build()
 
     def _pending_jobs(self) -> _PendingJobs:
-        """Return the jobs of `jobs_to_write` that still have something to write at once.
+        """Return the jobs of `jobs_to_write` that still have something to write immediately.
 
         All others are removed from `jobs_to_write`.
         """
@@ -131,7 +131,7 @@
 
     def _add_changed_blocks(self, builder: TransactionBuilder) -> None:
         for number in self.machine_blocks.changed_blocks_in_write_order():
-            if not builder.has_changes_left(1):
+            if not builder.allows_changes(1):
                 return
             record = self.machine_blocks.build_record(number)
             if wire.json_size(record) > self.max_value_bytes:
@@ -140,8 +140,9 @@
                 builder.add_block(number, self.machine_blocks.version(number), record)
 
     def _jobs_in_write_order(self, pending: _PendingJobs) -> list[Job]:
-        """Return the jobs whose records are to be written at once, the most urgent first."""
-        # A replica of a service should run at once; the end of a job can be stored slightly later.
+        """Return the jobs whose records are to be written immediately, the most urgent first."""
+        # A replica of a service should run immediately; the end of a job can be stored slightly
+        # later.
         services = [job for job in pending.with_intents if job.service]
         others = [job for job in pending.with_intents if not job.service]
         # Every controller reports a job as cancelled as soon as a dependency is cancelled, so these
@@ -231,7 +232,7 @@
     def transaction_committed(
         self, transaction: Transaction, version: Version, now: Instant
     ) -> list[FinalRecordWrite]:
-        """Apply a commit at the revision `version`.
+        """Apply a commit; `version` is the new version of all keys that it wrote.
 
         Return the jobs that it has ended, with their final records.
         """
@@ -248,7 +249,7 @@
         return [final for final in transaction.final_records if not final.job.ended]
 
     def send_stored_starts(self, job: Job) -> None:
-        """Send the start commands of all placements whose intent is now stored."""
+        """Queue the start commands of all placements whose intent is now stored."""
         for index, placement in list(job.placements.items()):
             if index < job.placed_below and not placement.intent_stored:
                 placement.intent_stored = True
@@ -290,8 +291,11 @@
     def _reconcile_graph_key(
         self, key: Key, found: transactions.VersionedValue | None
     ) -> list[JobId]:
-        """As `reconcile_key`, for a graph's job arrays: their records and conditions."""
-        deleted = []
+        """Apply the value of a key of a graph's job arrays: a record or one of the conditions.
+
+        Return the jobs of which a condition no longer holds.
+        """
+        jobs_to_remove = []
         for job in self.cluster.jobs.values():
             if job.record_key == key:
                 if found is not None:
@@ -300,13 +304,13 @@
                 key == condition_key and (found is None or found.version != version)
                 for condition_key, version in job.conditions
             ):
-                deleted.append(job.id)
-        return deleted
+                jobs_to_remove.append(job.id)
+        return jobs_to_remove
 
     def _adopt_stored_record(self, job: Job, found: transactions.VersionedValue) -> None:
-        """Continue from the job's record in the state service."""
+        """Replace what is known of the job's stored record by its record in the state service."""
         try:
-            job.adopt_record(job.parse_record(found.data), found.version)
+            job.replace_stored_record(job.parse_record(found.data), found.version)
         except (wire.MalformedMessageError, ValueError) as error:
             # The leader must not overwrite a record that it cannot read, whoever wrote it, and the
             # writes of other jobs must not fail together with those of this one.
@@ -320,8 +324,8 @@
 def _next_placed_below(job: Job) -> int:
     """Return the bound to store, below which tasks may be placed once it is committed.
 
-    Most jobs place many tasks at once, so storing intents ahead of placements keeps the number of
-    writes of an array small.
+    Most jobs place many tasks at the same time, so storing intents ahead of placements keeps the
+    number of writes of an array small.
     """
     bound = max([job.placed_below, *(index + 1 for index in job.placements)])
     if bound > job.placed_below:
--- a/umberward/scheduling/summaries.py
+++ b/umberward/scheduling/summaries.py
@@ -87,13 +87,13 @@
     ]
 
 
-def inflight_summary(cluster: ClusterState, deferred_forgets: int) -> dict[str, int]:
-    """Count the starts that may still reach a worker, and their effects in this term."""
+def inflight_summary(cluster: ClusterState, deferred_forget_count: int) -> dict[str, int]:
+    """Count the starts that may still reach a worker, and related events of this term."""
     inflight_counts = [len(machine.inflight_starts) for machine in cluster.machines.values()]
     return {
         "may_arrive": sum(inflight_counts),
         "machines": sum(1 for count in inflight_counts if count),
-        "forgets_put_off": deferred_forgets,
+        "forgets_put_off": deferred_forget_count,
         "token_raises": cluster.token_rotation.count,
         "violations": sum(cluster.invariants.violations.values()),
     }
--- a/umberward/scheduling/task_adoption.py
+++ b/umberward/scheduling/task_adoption.py
@@ -19,7 +19,7 @@
     def adopt(
         self, machine: Machine, task_id: TaskId, status: TaskStatus, now: Instant
     ) -> Placement | None:
-        """Place a listed task on its machine; return None if it must be stopped instead."""
+        """Record a placement for a listed task; return None if the task must be stopped instead."""
         job = self.cluster.jobs.get(task_id.job)
         if job is None:
             return self._adopt_cancelled(machine, task_id, status, now)
@@ -35,7 +35,7 @@
     def _adopt_cancelled(
         self, machine: Machine, task_id: TaskId, status: TaskStatus, now: Instant
     ) -> Placement | None:
-        """Place a task of a cancelled job, to be stopped at once.
+        """Record a placement for a task of a cancelled job, to be stopped immediately.
 
         It occupies resources and counts towards its team's quota until it ends. Return None if the
         job's record is not known, as the task's resources are then unknown too.
@@ -72,7 +72,7 @@
         placement.intent_stored = True
         placement.sent = True
         placement.seen_on_worker = True
-        placement.adopted_from_predecessor = True
+        placement.adopted_from_previous_leader = True
         return placement
 
     def _add(self, machine: Machine, job: Job, placement: Placement) -> None:
--- a/umberward/scheduling/task_progress.py
+++ b/umberward/scheduling/task_progress.py
@@ -17,7 +17,7 @@
 FAILED_CAUSE = "error"  # the task itself failed (PROTOCOL, "POST /hello")
 REFUSED_START_CAUSES = ("no_room", "in_use", "no_such")  # the worker did not start the task
 WORKER_REFUSAL_PAUSE_S = 0.5  # pause of a job after a worker refused one of its starts
-RUNTIME_RATIO_MIN, RUNTIME_RATIO_MAX = 0.1, 10.0  # of the actual to the expected run time
+MIN_RUNTIME_RATIO, MAX_RUNTIME_RATIO = 0.1, 10.0  # of the actual to the estimated run time
 RUNTIME_RATIO_WEIGHT = 0.05  # weight of the latest task in its class's moving average
 
 
@@ -66,7 +66,7 @@
         if placement.phase == phase:
             return
         placement.phase = phase
-        placement.image_fetched |= phase == wire.PULLING_IMAGE
+        placement.image_pulled |= phase == wire.PULLING_IMAGE
         job = self.cluster.jobs.get(placement.task.job)
         if job is None:
             return
@@ -109,12 +109,12 @@
         if job.has_begun:
             return
         job.has_begun = True
-        if not placement.adopted_from_predecessor:
+        if not placement.adopted_from_previous_leader:
             waited_s = round(self.cluster.wall_clock() - job.ready_at, 1)
             log.info("job_began", job=job.id, waited_s=waited_s)
 
     def _log_late_replica(self, job: Job, placement: Placement, now: Instant) -> None:
-        """Log a replica that missed its class's start objective, with what operators can act on.
+        """Log a replica that missed its class's start objective, and what may have delayed it.
 
         Only the first start of each replica counts, and only under the leader that placed it.
         """
@@ -126,7 +126,7 @@
         waited_s = self.cluster.wall_clock() - job.ready_at
         if start_within_s is None or waited_s <= start_within_s:
             return
-        if placement.adopted_from_predecessor or not first_start:
+        if placement.adopted_from_previous_leader or not first_start:
             return
         log.info(
             "replica_started_late",
@@ -134,15 +134,15 @@
             jobclass=job.spec.job_class,
             waited_s=round(waited_s, 1),
             since_placed_s=round(now - placement.placed_at, 1),
-            image_fetched=placement.image_fetched,
+            image_fetched=placement.image_pulled,
         )
 
     def _record_runtime(self, job: Job, runtime_s: float) -> None:
-        """Update the moving average of actual to expected run time of the job's class."""
+        """Update the moving average of actual to estimated run time of the job's class."""
         expected_s = job.spec.expected_runtime_s
         if expected_s <= 0:
             return
-        ratio = min(max(runtime_s / expected_s, RUNTIME_RATIO_MIN), RUNTIME_RATIO_MAX)
+        ratio = min(max(runtime_s / expected_s, MIN_RUNTIME_RATIO), MAX_RUNTIME_RATIO)
         ratios = self.cluster.runtime_ratios
         average = ratios.get(job.spec.job_class, ratio)
         ratios[job.spec.job_class] = average + RUNTIME_RATIO_WEIGHT * (ratio - average)
--- a/umberward/scheduling/token_rotation.py
+++ b/umberward/scheduling/token_rotation.py
@@ -10,7 +10,7 @@
 
 from umberward.core.types import Instant
 
-# For each reason: its age at which a rotation is requested, and the minimum time since the last
+# For each reason: the age from which it causes a rotation, and the minimum time since the last
 # rotation.
 #
 # A start that is no longer wanted but may still be executed would waste resources.
--- a/umberward/scheduling/unlocated_tasks.py
+++ b/umberward/scheduling/unlocated_tasks.py
@@ -25,10 +25,10 @@
     """Tracks how long unlocated tasks may still run on machines, and what they may use."""
 
     def __init__(self, cluster: ClusterState, delegator: Delegator) -> None:
-        """Initialize; the bounds of `delegator` say when all former worker sessions are over."""
+        """Take from `delegator` the bound on sessions that previous leaders renewed."""
         self.cluster = cluster
         self.delegator = delegator
-        # Until when a job's tasks may run somewhere although all machines have reported.
+        # By job: the time after which its unlocated tasks certainly no longer run anywhere.
         self.locate_deadlines: dict[JobId, Instant] = {}
 
     def schedule_requeue(self, job: Job, now: Instant) -> None:
@@ -51,14 +51,14 @@
                     cluster.jobs_to_place[job_id] = job
                     cluster.pass_wanted = True
 
-    def forget_cancelled_jobs(self) -> None:
+    def drop_cancelled_jobs(self) -> None:
         """Drop cancelled jobs whose tasks are on no machine, once reconciliation is complete."""
         cancelled = self.cluster.cancelled_jobs
         for job_id in [job_id for job_id in cancelled if job_id not in self.locate_deadlines]:
             del cancelled[job_id]
 
     def recover_lost_tasks(self, now: Instant) -> None:
-        """Treat tasks that are neither queued nor on a machine as unlocated, so that they run."""
+        """Treat unaccounted tasks (`Job.count_lost_tasks`) as unlocated, so that they run."""
         for job in self.cluster.jobs.values():
             if job.id in self.locate_deadlines:
                 continue
@@ -68,7 +68,7 @@
                 job.unlocated_tasks.update(
                     index
                     for index in range(job.done_below, job.next_fresh_task)
-                    if job.is_lost(index)
+                    if job.is_unaccounted(index)
                 )
             if job.unlocated_tasks:
                 self.schedule_requeue(job, now)
@@ -86,7 +86,8 @@
                 usage[job.team] = team_usage.plus(job.need, len(job.unlocated_tasks))
         if cluster.reconciliation_completed or not (usage or cluster.cancellations_unread):
             return usage
-        # They can only run on machines not heard under this token, within their capacity.
+        # They can only run on machines that are not reconciled in this term and may still run tasks
+        # of a previous leader, within their capacity.
         capacity = self._unreconciled_capacity()
         if cluster.cancellations_unread:
             return {team: capacity for team in cluster.quota.teams if cluster.quota.has_limit(team)}
@@ -107,7 +108,7 @@
         """Return the capacity of the machines that may run unknown tasks of a previous leader."""
         capacity = NO_RESOURCES
         for machine in self.cluster.machines.values():
-            if not (machine.reconciled or machine.predecessor_tasks_ended):
+            if not (machine.reconciled or machine.previous_tasks_ended):
                 machine_type = self.cluster.machine_types.get(machine.machine_type)
                 capacity = (
                     UNLIMITED_RESOURCES
--- a/umberward/scheduling/victim_selection.py
+++ b/umberward/scheduling/victim_selection.py
@@ -1,4 +1,4 @@
-"""Selection of the tasks to preempt on one machine. Pure."""
+"""Selection of the tasks to preempt on one machine. No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class VictimCost(NamedTuple):
-    """The cost of a preemption, smaller is better: low priority first, then little lost work."""
+    """The cost of a preemption, smaller is better.
+
+    Ordered by the priority of the most important victim (the lower the better), then by lost work.
+    """
 
     negated_priority: float  # of the most important victim, whose priority is the smallest number
     lost_work: float  # core-seconds that must be repeated
