--- a/umberward/scheduling/objectives.py
+++ b/umberward/scheduling/objectives.py
@@ -1,6 +1,6 @@
 """Service-level objectives by job class. No I/O.
 
-The deploy file lists them (docs/operators), each with a kind, a job class, and a time or a factor.
+The settings list them (docs/operators), each with a kind, a job class, and a time or a factor.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from umberward.core.settings import Objective
 
-# Kinds of objectives in the deploy file.
+# Kinds of objectives in the settings.
 START_KIND = "wait"
 FINISH_KIND = "finished"
 DEADLINE_KIND = "deadline"
@@ -41,7 +41,7 @@
 
 @dataclass
 class Objectives:
-    """The parsed objectives of a deploy file."""
+    """The parsed objectives of the settings."""
 
     strictest: dict[str, StrictestObjectives] = field(default_factory=dict)
     by_class: dict[str, ClassObjectives] = field(default_factory=dict)
@@ -49,7 +49,7 @@
 
 
 def parse_objectives(objectives: Iterable[Objective]) -> Objectives:
-    """Group the objectives of the deploy file by job class."""
+    """Group the objectives of the settings by job class."""
     parsed = Objectives()
     for objective in objectives:
         if objective.kind == GUARANTEE_KIND and objective.within_s:
@@ -67,13 +67,13 @@
 def _add_class_objective(
     by_class: dict[str, ClassObjectives], job_class: str, objective: Objective
 ) -> None:
-    found = by_class.setdefault(job_class, ClassObjectives([], [], []))
+    class_objectives = by_class.setdefault(job_class, ClassObjectives([], [], []))
     if objective.kind == DEADLINE_KIND:
-        found.deadline_factors.append(objective.times or 1.0)
+        class_objectives.deadline_factors.append(objective.times or 1.0)
     elif objective.within_s and objective.kind == START_KIND:
-        found.start_within_s.append(objective.within_s)
+        class_objectives.start_within_s.append(objective.within_s)
     elif objective.within_s and objective.kind == FINISH_KIND:
-        found.finish_within_s.append(objective.within_s)
+        class_objectives.finish_within_s.append(objective.within_s)
 
 
 def _stricter_objectives(
