--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -35,7 +35,7 @@
     reachability,
 )
 from umberward.scheduling.consolidation import Consolidation
-from umberward.scheduling.dependencies import NO_DEMAND, DependencyGraph, WaitingJobs
+from umberward.scheduling.dependencies import NO_DEMAND, BlockedJobs, DependencyGraph
 from umberward.scheduling.failure_attribution import FailureAttribution
 from umberward.scheduling.failure_detector import FailureDetector
 from umberward.scheduling.gang_reservation import GangReservations
@@ -85,14 +85,14 @@
 
 def loan_age(patch: pytest.MonkeyPatch) -> None:
     """A delegation counts from when it was sent, not from when the leader last read the jobs."""
-    original = Scheduler.delegate
+    original = Scheduler.issue_delegation
 
-    def delegate(self: Scheduler, *args: Any) -> Any:
+    def issue_delegation(self: Scheduler, *args: Any) -> Any:
         delegation = original(self, *args)
         delegation.jobs_read_age_s = 0.0
         return delegation
 
-    patch.setattr(Scheduler, "delegate", delegate)
+    patch.setattr(Scheduler, "issue_delegation", issue_delegation)
 
 
 def loan_unused(patch: pytest.MonkeyPatch) -> None:
@@ -142,7 +142,7 @@
 
     def init(self: Scheduler, *args: Any) -> None:
         original(self, *args)
-        self.term_token = 0  # type: ignore[assignment]
+        self.initial_token = 0  # type: ignore[assignment]
 
     patch.setattr(Scheduler, "__init__", init)
 
@@ -346,7 +346,7 @@
 
 def graph_machines_cleared(patch: pytest.MonkeyPatch) -> None:
     """Failures of a task that fails on every machine count against the machines."""
-    patch.setattr(GraphJob, "failure_ignored_for_machines", lambda *_: False)
+    patch.setattr(GraphJob, "failures_blamed_on_job", lambda *_: False)
     patch.setattr(failure_attribution, "QUARANTINE_AFTER_FAILURES", 1)
 
 
@@ -366,10 +366,10 @@
 def needs_first(patch: pytest.MonkeyPatch) -> None:
     """Jobs do not wait for the jobs that they depend on."""
 
-    def add(self: WaitingJobs, job: Job, needs: Any) -> None:
+    def add(self: BlockedJobs, job: Job, needs: Any) -> None:
         self.cluster.admit_job(job)
 
-    patch.setattr(WaitingJobs, "add", add)
+    patch.setattr(BlockedJobs, "add", add)
 
 
 def commit_first(patch: pytest.MonkeyPatch) -> None:
@@ -397,8 +397,8 @@
 
 def claims(patch: pytest.MonkeyPatch) -> None:
     """Dependent jobs have no influence on the order of service."""
-    patch.setattr(WaitingJobs, "demand_on", lambda *_: NO_DEMAND)
-    patch.setattr(dependencies, "EXPECTED_DEMAND_SHARE", 2.0)
+    patch.setattr(BlockedJobs, "demand_on", lambda *_: NO_DEMAND)
+    patch.setattr(dependencies, "EXPECTED_DEMAND_FRACTION", 2.0)
 
 
 def part_in_order(patch: pytest.MonkeyPatch) -> None:
@@ -419,7 +419,7 @@
 
 def habits(patch: pytest.MonkeyPatch) -> None:
     """Job classes whose jobs usually have dependents get no preference."""
-    patch.setattr(dependencies, "EXPECTED_DEMAND_SHARE", 2.0)
+    patch.setattr(dependencies, "EXPECTED_DEMAND_FRACTION", 2.0)
 
 
 def fits(patch: pytest.MonkeyPatch) -> None:
@@ -439,16 +439,21 @@
 
 
 def _keep_answered_at(patch: pytest.MonkeyPatch, when: Callable[..., bool]) -> None:
-    """A heartbeat leaves `answered_at`, from which the worker's lease is counted, unchanged if it
-    was known and if `when` holds for the machine before and after and the heartbeat."""
+    """A heartbeat leaves `lease_started_at`, from which the worker's lease is counted, unchanged if
+    it was known and if `when` holds for the machine before and after and the heartbeat."""
     original = HeartbeatHandler.apply
 
     def report(self: HeartbeatHandler, report: Any, now: Any, hello: bool) -> Any:
         machine = self.cluster.machines.get(report.machine_id)
         before = None if machine is None else copy.copy(machine)
         orders = original(self, report, now, hello)
-        if machine and before and before.answered_at is not None and when(before, machine, report):
-            machine.answered_at = before.answered_at
+        if (
+            machine
+            and before
+            and before.lease_started_at is not None
+            and when(before, machine, report)
+        ):
+            machine.lease_started_at = before.lease_started_at
         return orders
 
     patch.setattr(HeartbeatHandler, "apply", report)
@@ -499,7 +504,7 @@
 
 def mended(patch: pytest.MonkeyPatch) -> None:
     """Tasks that the leader has lost track of are not found."""
-    patch.setattr(Job, "count_lost_tasks", lambda _: 0)
+    patch.setattr(Job, "count_unaccounted_tasks", lambda _: 0)
 
 
 def pass_alone(patch: pytest.MonkeyPatch) -> None:
@@ -553,22 +558,22 @@
 
 def given_up(patch: pytest.MonkeyPatch) -> None:
     """Machines that receive nothing are never returned."""
-    patch.setattr(Reachability, "unreachable_machines_to_delete", lambda *_: [])
+    patch.setattr(Reachability, "partially_reachable_machines_to_drain", lambda *_: [])
 
 
 def returned_anew(patch: pytest.MonkeyPatch) -> None:
     """A machine that is heard again after a long silence counts as unreachable at once."""
 
-    def heard_after_silence(self: Reachability, machine: Machine, now: Any) -> None:
+    def suspect_after_silence(self: Reachability, machine: Machine, now: Any) -> None:
         self.suspect_unreachable(machine, now, mark_unreachable=True)
 
-    patch.setattr(Reachability, "heard_after_silence", heard_after_silence)
+    patch.setattr(Reachability, "suspect_after_silence", suspect_after_silence)
     patch.setattr(reachability, "REPORTING_MACHINE_PROBE_INTERVAL_S", 1e9)
 
 
 def many_unheard(patch: pytest.MonkeyPatch) -> None:
     """Unreachable machines are replaced however many there are at once."""
-    patch.setattr(Reachability, "many_unreachable", lambda _: False)
+    patch.setattr(Reachability, "many_partially_reachable", lambda _: False)
 
 
 def half_gangs(patch: pytest.MonkeyPatch) -> None:
@@ -581,7 +586,7 @@
     original = HeartbeatHandler._count_duplicate
 
     def count_duplicate(self: HeartbeatHandler, machine: Machine, report: Any, now: Any) -> None:
-        machine.answered_at = now
+        machine.lease_started_at = now
         original(self, machine, report, now)
 
     patch.setattr(HeartbeatHandler, "_count_duplicate", count_duplicate)
@@ -610,20 +615,20 @@
 def knows_cancellations(patch: pytest.MonkeyPatch) -> None:
     """A successful lease renewal counts as proof that the leader knows of all cancellations."""
 
-    def may_answer(self: LeaseBounds, known: Any, held: Any, now: Any) -> bool:
+    def may_answer_heartbeat(self: LeaseBounds, known: Any, held: Any, now: Any) -> bool:
         return known is not None and now < held + self.renewal_window_s
 
-    patch.setattr(LeaseBounds, "may_answer", may_answer)
+    patch.setattr(LeaseBounds, "may_answer_heartbeat", may_answer_heartbeat)
 
 
 def fresh_knows_nothing(patch: pytest.MonkeyPatch) -> None:
     """A leader that has read no jobs may renew sessions."""
-    original = LeaderElection.may_answer
+    original = LeaderElection.may_answer_heartbeat
 
-    def may_answer(self: LeaderElection, known: Any) -> bool:
-        return original(self, self.renewed_at if known is None else known)
+    def may_answer_heartbeat(self: LeaderElection, known: Any) -> bool:
+        return original(self, self.renewal_sent_at if known is None else known)
 
-    patch.setattr(LeaderElection, "may_answer", may_answer)
+    patch.setattr(LeaderElection, "may_answer_heartbeat", may_answer_heartbeat)
 
 
 def tending_ends(patch: pytest.MonkeyPatch) -> None:
@@ -720,7 +725,7 @@
         machine = self.cluster.machines.get(report.machine_id)
         if machine is not None and machine.reconciled and machine.block_number is None:
             machine.block_number = -1
-            machine.availability_changed()
+            machine.mark_availability_changed()
         return orders
 
     patch.setattr(HeartbeatHandler, "apply", report)
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -17,7 +17,7 @@
 from umberward.clients import state_client
 from umberward.control.job_api import JobApi
 from umberward.control.job_state_cache import JobStateCache
-from umberward.core.settings import OperatorSettings, validate
+from umberward.core.settings import OperatorSettings, settings_from_toml
 from umberward.core.types import (
     ControllerName,
     FencingToken,
@@ -48,7 +48,7 @@
 )
 from umberward.scheduling import job_records
 from umberward.scheduling.autoscaler import Autoscaler
-from umberward.scheduling.cluster_state import DirectCommand, Probe
+from umberward.scheduling.cluster_state import CommandMessage, Probe
 from umberward.scheduling.command_queue import CommandQueue
 from umberward.scheduling.lease_bounds import LeaseBounds
 from umberward.scheduling.lease_delegation import Delegate
@@ -178,7 +178,7 @@
         except statecore.InvalidRequestError as error:
             record_message("applied", conditions, writes, "refused")
             self.refused.append(str(error))
-            raise state_client.ValueTooLargeError("400") from None
+            raise state_client.TransactionRejectedError("400") from None
         record_message("applied", conditions, writes, self.revision)
         self.on_applied()
 
@@ -199,7 +199,7 @@
 class HeldCommand:
     """A direct command in flight. Its sender waits until `gives_up_at`; None: it has given up."""
 
-    def __init__(self, command: DirectCommand, sender: Scheduler, gives_up_at: float) -> None:
+    def __init__(self, command: CommandMessage, sender: Scheduler, gives_up_at: float) -> None:
         self.command = command
         self.sender = sender
         self.gives_up_at: float | None = gives_up_at
@@ -264,7 +264,7 @@
     def __init__(
         self, raw: dict[str, Any] | None = None, operator: OperatorSettings | None = None
     ) -> None:
-        self.settings = validate(raw or raw_settings(), operator or OperatorSettings())
+        self.settings = settings_from_toml(raw or raw_settings(), operator or OperatorSettings())
         super().__init__(self.settings.platform.cluster, MACHINE_TYPES.values())
         self.now = 100.0
         self.store = SimulatedStore()
@@ -537,7 +537,7 @@
                 )
                 self._resolve_dependencies(scheduler)
                 self.seen_revision = self.store.revision
-                scheduler.jobs_read_at = now
+                scheduler.jobs_read_requested_at = now
             if self.store.mode != "down":
                 self._delegate(scheduler, now)
             self._time_out_commands(scheduler, now)
@@ -553,8 +553,8 @@
             self._send_outbox(scheduler)
             self._sweep(scheduler, now)
             if self.cloud_up and self.autoscaler is not None:
-                for machine in self.autoscaler.unreachable_machines_to_return(now):
-                    machine.deletion_requested = True
+                for machine in self.autoscaler.partially_reachable_machines_to_drain(now):
+                    machine.draining = True
                 gone = [id for id in self.autoscaler.machines_to_delete(now) if id in self.workers]
                 for id in gone:
                     record_message("machine deleted", id, self.now)
@@ -564,7 +564,7 @@
     def _delegate(self, scheduler: Scheduler, now: Instant) -> None:
         for name, (zone, delegate) in self.delegates.items():
             if zone not in self.cut_off_zones and now - delegate.requested_at >= 1.0:
-                delegation = scheduler.delegate(
+                delegation = scheduler.issue_delegation(
                     ControllerName(name), delegate.serial, delegate.unused, now
                 )
                 if delegation is not None:
@@ -577,25 +577,25 @@
         self.next_sweep_at = now + live_job_sweeper.SWEEP_INTERVAL_S
         entries = self.store.core.entries(LIVE_JOBS_PREFIX, "").entries
         for id in scheduler.find_unknown_jobs(entries, now):
-            job_records.apply_unknown_job(
+            job_records.apply_missing_job(
                 scheduler, id, self.store.keys[Key(LIVE_JOBS_PREFIX + id)], now
             )
         scheduler.run_maintenance(now)
 
     def _resolve_dependencies(self, scheduler: Scheduler) -> None:
-        for id in list(scheduler.waiting_jobs.graph.unresolved_dependency_ids):
+        for id in list(scheduler.blocked_jobs.graph.unresolved_dependency_ids):
             found = self.store.keys.get(Key(FINAL_JOBS_PREFIX + id))
             if found is not None:
                 job_records.apply_final_record(scheduler, id, found.data)
 
     def _write_state(self, scheduler: Scheduler) -> None:
         for _ in range(5):
-            batch = scheduler.writer.next_transaction(Instant(self.now))
+            batch = scheduler.state_writer.next_transaction(Instant(self.now))
             if batch is None or self.store.mode == "down":
                 return
             try:
                 revision = curio.run(self.store.commit, batch.conditions, batch.writes)
-            except state_client.ValueTooLargeError:
+            except state_client.TransactionRejectedError:
                 return
             except (state_client.CompareAndSwapError, state_client.UnknownOutcomeError):
                 for key, _ in batch.conditions:
@@ -617,9 +617,9 @@
                     record_message("probe", item.machine, silent, self.now)
                     scheduler.probe_completed(item, None if silent else worker.report(), now)
                     continue
-                self._send(scheduler, self.commands.submit(item), now)
+                self._send(scheduler, self.commands.add_and_take_next(item), now)
 
-    def _send(self, scheduler: Scheduler, command: DirectCommand | None, now: Instant) -> None:
+    def _send(self, scheduler: Scheduler, command: CommandMessage | None, now: Instant) -> None:
         """Send a command. As in a real leader, each machine has only one in flight."""
         while command is not None:
             record_message(
@@ -642,7 +642,7 @@
             unreachable = worker is None or worker.dead or worker.cut
             report = None if unreachable else self._execute(worker, command)  # type: ignore[arg-type]
             scheduler.command_completed(command, report, False, now)
-            command = self.commands.complete_and_take_next(command.machine)
+            command = self.commands.finish_and_take_next(command.machine)
 
     def _time_out_commands(self, scheduler: Scheduler, now: Instant) -> None:
         """Time out the commands that were not answered in time."""
@@ -661,7 +661,7 @@
                 scheduler.command_completed(held_command.command, None, True, now)
                 self._send(
                     scheduler,
-                    self.commands.complete_and_take_next(held_command.command.machine),
+                    self.commands.finish_and_take_next(held_command.command.machine),
                     now,
                 )
         self.lost_commands = [
@@ -681,7 +681,7 @@
                 now = Instant(self.now)
                 held_command.sender.command_completed(held_command.command, report, False, now)
                 self._send(
-                    held_command.sender, self.commands.complete_and_take_next(worker.host), now
+                    held_command.sender, self.commands.finish_and_take_next(worker.host), now
                 )  # type: ignore[arg-type]
 
     def delete(self, name: str) -> None:
@@ -689,7 +689,7 @@
         if self.scheduler is not None:
             self.scheduler.remove_machines([name], Instant(self.now))  # type: ignore[list-item]
         if self.autoscaler is not None:
-            self.autoscaler.machines_deleted([name])  # type: ignore[list-item]
+            self.autoscaler.forget_machines([name])  # type: ignore[list-item]
 
     # ---- workers -----------------------------------------------------------------------
 
@@ -710,7 +710,7 @@
             # Only another controller of its zone can answer.
             for zone, delegate in self.delegates.values():
                 if zone == worker.zone and zone in self.cut_off_zones:
-                    answered = delegate.may_answer(
+                    answered = delegate.claim_answer(
                         MachineId(worker.host), worker.fencing_token, Instant(self.now)
                     )
                     worker.lease_renewed_at = sent if answered else worker.lease_renewed_at
@@ -759,7 +759,7 @@
             record_message("copied report", body, orders, self.now)
             self._send_outbox(self.scheduler)
 
-    def _execute(self, worker: Worker, command: DirectCommand) -> Heartbeat:
+    def _execute(self, worker: Worker, command: CommandMessage) -> Heartbeat:
         worker.handle_direct_commands(command.fencing_token, command.incarnation, command.commands)
         report = worker.report()
         record_message(
--- a/tests/simulated_controllers.py
+++ b/tests/simulated_controllers.py
@@ -22,7 +22,7 @@
 
 from umberward.control import controller as controller_module
 from umberward.control.controller import Controller
-from umberward.core.settings import OperatorSettings, validate
+from umberward.core.settings import OperatorSettings, settings_from_toml
 from umberward.core.tasks import TaskScope
 from umberward.core.types import Key, MachineTypeName
 from umberward.local import servers
@@ -91,7 +91,9 @@
         raw["cluster"]["machine_limits"]["sockets"] = 400
         self.raw = raw
         self.operator = OperatorSettings(**{"idle_seconds": 86400.0, **(operator or {})})
-        super().__init__(validate(raw, OperatorSettings()).platform.cluster, MACHINE_TYPES.values())
+        super().__init__(
+            settings_from_toml(raw, OperatorSettings()).platform.cluster, MACHINE_TYPES.values()
+        )
         self.clock = Clock()
         self.rng = random.Random(seed)
         self.network = Network(self.clock, self.rng)
@@ -223,7 +225,7 @@
             ],
         }
         self.network.client_owner = name
-        node = Controller(validate(raw, self.operator), self.clock)
+        node = Controller(settings_from_toml(raw, self.operator), self.clock)
         node.rng.seed(self.rng.getrandbits(32))
         elected = node.election.on_elected
 
--- a/tests/test_inflight_commands.py
+++ b/tests/test_inflight_commands.py
@@ -127,13 +127,13 @@
     now, later = Instant(cluster.now), Instant(cluster.now + 1000.0)
 
     def delegated() -> bool:
-        delegation = scheduler.delegate(ControllerName("n1"), 0, False, now)
+        delegation = scheduler.issue_delegation(ControllerName("n1"), 0, False, now)
         return delegation is not None and "m1" in delegation.machine_ids
 
-    assert delegated() and machine in autoscaler.machines_to_return(later)
+    assert delegated() and machine in autoscaler.machines_to_drain(later)
     machine.inflight_starts.sent(TASK, ATTEMPT)
-    assert not delegated() and machine not in autoscaler.machines_to_return(later)
+    assert not delegated() and machine not in autoscaler.machines_to_drain(later)
     machine.inflight_starts.timed_out(TASK, ATTEMPT, machine.token_seen, machine.token_seen)
-    assert not delegated() and machine not in autoscaler.machines_to_return(later)
+    assert not delegated() and machine not in autoscaler.machines_to_drain(later)
     machine.inflight_starts.token_seen(FencingToken(machine.token_seen + 1))
-    assert delegated() and machine in autoscaler.machines_to_return(later)
+    assert delegated() and machine in autoscaler.machines_to_drain(later)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -50,17 +50,17 @@
 
 def _start_beside_a_placement(setup: Setup) -> None:
     setup.scheduler.add_placement(setup.other, setup.job, setup.second_attempt())
-    setup.scheduler.send_start(setup.placement)
+    setup.scheduler.queue_start(setup.placement)
 
 
 def _start_beside_an_unplaced_task(setup: Setup) -> None:
     setup.scheduler.add_task_without_placement(setup.other, TASK)
-    setup.scheduler.send_start(setup.placement)
+    setup.scheduler.queue_start(setup.placement)
 
 
 def _start_of_an_ended_job(setup: Setup) -> None:
     setup.job.ended = True
-    setup.scheduler.send_start(setup.placement)
+    setup.scheduler.queue_start(setup.placement)
 
 
 def _forget_while_a_start_may_arrive(setup: Setup) -> None:
--- a/tests/test_leader_election.py
+++ b/tests/test_leader_election.py
@@ -9,7 +9,7 @@
 from simulated_cluster import raw_settings
 
 from umberward.clients import state_client
-from umberward.core.settings import OperatorSettings, validate
+from umberward.core.settings import OperatorSettings, settings_from_toml
 from umberward.core.types import FencingToken, Instant, LeaseId, Revision
 from umberward.leader.leader_election import LeaderElection
 
@@ -56,7 +56,7 @@
         self.now = 100.0
         self.tokens_won: list[FencingToken] = []
         self.store = DelayedStore()
-        settings = validate(raw_settings(), OperatorSettings())
+        settings = settings_from_toml(raw_settings(), OperatorSettings())
         self.election = LeaderElection(
             settings, self.store, random.Random(1), self._elected, self._lost, lambda: self.now
         )  # type: ignore[arg-type]
@@ -89,10 +89,10 @@
 def test_the_end_of_a_lease_of_before_ends_nothing() -> None:
     async def run() -> None:
         candidate = Candidate()
-        candidate.election.lease, candidate.election.renewed_at = LeaseId(3), Instant(99.0)
+        candidate.election.lease, candidate.election.renewal_sent_at = LeaseId(3), Instant(99.0)
         await candidate.spawn_call(candidate.election._renew)
         candidate.election._abandon_lease()
-        candidate.election.lease, candidate.election.nonce, candidate.election.renewed_at = (
+        candidate.election.lease, candidate.election.nonce, candidate.election.renewal_sent_at = (
             LeaseId(4),
             "later",
             Instant(100.0),
@@ -106,7 +106,10 @@
 def test_no_term_begins_on_a_lease_that_was_let_go() -> None:
     async def run() -> None:
         candidate = Candidate()
-        candidate.election.lease, candidate.election.renewed_at = LeaseId(3), Instant(candidate.now)
+        candidate.election.lease, candidate.election.renewal_sent_at = (
+            LeaseId(3),
+            Instant(candidate.now),
+        )
         await candidate.spawn_call(candidate.election._campaign)
         candidate.election._abandon_lease()
         candidate.election.lease = LeaseId(4)
@@ -120,9 +123,14 @@
     raw = raw_settings()
     raw["cluster"]["workers"]["cancel_s"] = raw["cluster"]["workers"]["lease_s"] + 0.2
     election = LeaderElection(
-        validate(raw, OperatorSettings()), None, random.Random(1), None, None, lambda: 100.0
+        settings_from_toml(raw, OperatorSettings()),
+        None,
+        random.Random(1),
+        None,
+        None,
+        lambda: 100.0,
     )  # type: ignore[arg-type]
-    election.fencing_token, election.lease, election.renewed_at = (
+    election.fencing_token, election.lease, election.renewal_sent_at = (
         FencingToken(5),
         LeaseId(1),
         Instant(99.0),
@@ -130,8 +138,8 @@
     assert election.bounds.renewal_window_s == 0.0
     assert (
         election.is_leader()
-        and election.may_answer(Instant(99.0))
-        and not election.may_answer(None)
+        and election.may_answer_heartbeat(Instant(99.0))
+        and not election.may_answer_heartbeat(None)
     )
-    election.renewed_at = Instant(96.0)
-    assert not election.is_leader() and not election.may_answer(Instant(99.9))
+    election.renewal_sent_at = Instant(96.0)
+    assert not election.is_leader() and not election.may_answer_heartbeat(Instant(99.9))
--- a/tests/test_peer_link.py
+++ b/tests/test_peer_link.py
@@ -15,7 +15,7 @@
 from umberward.control import cancellation_announcer
 from umberward.control.controller import Controller
 from umberward.control.peer_link import PeerCallbacks, PeerLink
-from umberward.core.settings import OperatorSettings, validate
+from umberward.core.settings import OperatorSettings, settings_from_toml
 from umberward.core.types import Address, ControllerName, FencingToken, Instant, MachineId, Version
 from umberward.leader.leader_election import LeaderElection
 from umberward.protocol import wire
@@ -45,7 +45,7 @@
     raw["peers"] = [
         {"label": f"k{port}", "site": "a", "addr": f"127.0.0.1:{port}"} for port in (11, 12, 13)
     ]
-    settings = validate(raw, OperatorSettings())
+    settings = settings_from_toml(raw, OperatorSettings())
     rng = random.Random(1)
     election = LeaderElection(settings, None, rng, _nothing, _nothing)  # type: ignore[arg-type]
     return PeerLink(
@@ -103,7 +103,7 @@
 ) -> None:
     peers = _peers(answers)
     peers.election.leader = ControllerName("k11")
-    peers.election.leader_version = Version(7)
+    peers.election.leader_key_version = Version(7)
 
     async def ask() -> None:
         await peers.contacts.refresh()
@@ -111,7 +111,7 @@
     curio.run(ask)
     assert peers.contacts.leader_for(seen) == found
     # In contact with the state service, the leader read there counts, also after a token rotation.
-    peers.election.renewed_at = Instant(time.monotonic())
+    peers.election.renewal_sent_at = Instant(time.monotonic())
     assert peers.contacts.leader_for(50) == "k11"
 
 
@@ -121,7 +121,7 @@
     async def record_loss() -> None:
         lost.append(1)
 
-    settings = validate(raw_settings(), OperatorSettings())
+    settings = settings_from_toml(raw_settings(), OperatorSettings())
     store = SimulatedStore()
     store.set_role = lambda leading: None  # type: ignore[attr-defined]
     election = LeaderElection(settings, store, random.Random(1), _nothing, record_loss)  # type: ignore[arg-type]
@@ -133,7 +133,7 @@
         await election.step_down_if_superseded(FencingToken(21))
 
     curio.run(run)
-    assert lost and election.fencing_token is None and not election.may_keep_alive()
+    assert lost and election.fencing_token is None and not election.may_remain_leader()
 
 
 @pytest.mark.parametrize(
@@ -179,7 +179,7 @@
     forwarding = HeartbeatForwarding()
 
     def at(second: float, leader: ControllerName = K1) -> bool:
-        return forwarding.should_forward(HOST, leader, Instant(second))
+        return forwarding.decide_forwarding(HOST, leader, Instant(second))
 
     assert not at(0.0)  # redirected to the leader
     assert at(5.2) and at(7.7) and at(34.0)  # it was not answered there
@@ -188,11 +188,11 @@
     assert not at(60.0)  # too late to belong to the failure before
     assert at(65.0)
     assert not at(67.0, K2)  # the leader has changed
-    forwarding.should_forward(HOST, K2, Instant(72.0))
+    forwarding.decide_forwarding(HOST, K2, Instant(72.0))
     forwarding.forward_failed(HOST, K2, Instant(73.5))
     assert not at(74.0, K2)
     for number in range(5000):
-        forwarding.should_forward(MachineId(f"i-{number}"), K1, Instant(0.0))
+        forwarding.decide_forwarding(MachineId(f"i-{number}"), K1, Instant(0.0))
     assert len(forwarding.redirected) == forwarding_module.MAX_REMEMBERED_WORKERS
 
 
@@ -201,9 +201,9 @@
     heartbeats are forwarded. If this controller can't reach the leader either, it is redirected."""
     raw = raw_settings()
     raw["peers"] = [{"label": "k1", "site": "a", "addr": "127.0.0.1:29395"}]
-    node = Controller(validate(raw, OperatorSettings()))
+    node = Controller(settings_from_toml(raw, OperatorSettings()))
     node.election.leader = K1
-    node.election.renewed_at = Instant(time.monotonic())
+    node.election.renewal_sent_at = Instant(time.monotonic())
     sent_reports: list[bytes] = []
 
     def report() -> bytes:
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -38,4 +38,4 @@
         scheduler.release_all_placements(machine, what)
     assert scheduler.quota.used[TeamName("red")] == NO_RESOURCES
     assert machine.allocated == NO_RESOURCES and not machine.placements
-    assert not any(scheduler.running_by_key.values())
+    assert not any(scheduler.placement_counts_by_key.values())
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -35,7 +35,7 @@
     OperatorSettings,
     SettingsError,
     StateLimits,
-    validate,
+    settings_from_toml,
 )
 from umberward.core.types import Address, Instant, JobId, Key, MachineId
 from umberward.leader import leader_loop
@@ -263,7 +263,7 @@
         """Remove the job's waiting tasks from the leader's memory."""
         job = self._job(id)
         job.requeued_tasks.clear()
-        job.next_fresh_task = job.size
+        job.next_unstarted_task = job.size
 
     def do_trip(self, id: str) -> None:
         """Make each placement of this job raise an exception."""
@@ -412,7 +412,7 @@
             place = place[name]
         place[last] = msgspec.json.decode(value)
         try:
-            validate(raw, OperatorSettings())
+            settings_from_toml(raw, OperatorSettings())
         except SettingsError as error:
             self.last_result = str(error)
         else:
@@ -661,7 +661,7 @@
     def see_returning(self) -> int:
         """How many machines the autoscaler would return now."""
         assert self.cluster.autoscaler is not None
-        return len(self.cluster.autoscaler.machines_to_return(Instant(self.cluster.now)))
+        return len(self.cluster.autoscaler.machines_to_drain(Instant(self.cluster.now)))
 
     def see_renting(self, flavor: str) -> int:
         """How many machines of the type the autoscaler would rent now."""
@@ -671,11 +671,11 @@
 
     def see_cut_off(self) -> bool:
         assert self.cluster.scheduler is not None
-        return self.cluster.scheduler.is_isolated(Instant(self.cluster.now))
+        return self.cluster.scheduler.receives_few_heartbeats(Instant(self.cluster.now))
 
     def see_unheard(self) -> bool:
         assert self.cluster.scheduler is not None
-        return self.cluster.scheduler.no_heartbeat_this_term(Instant(self.cluster.now))
+        return self.cluster.scheduler.received_no_heartbeat_this_term(Instant(self.cluster.now))
 
     def see_deaf(self, name: str) -> bool:
         assert self.cluster.scheduler is not None
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -10,11 +10,11 @@
 from test_scenarios import ScenarioPlayer
 
 from umberward.control.controller import Controller
-from umberward.control.peer_contacts import PeerContact
-from umberward.core.settings import OperatorSettings, validate
+from umberward.control.peer_contacts import ReceivedStatus
+from umberward.core.settings import OperatorSettings, settings_from_toml
 from umberward.core.types import Instant, JobId, MachineId
 from umberward.protocol.http import Request
-from umberward.scheduling.deadline_triage import DeadlineJob, choose_late_jobs
+from umberward.scheduling.deadline_triage import DeadlineJob, choose_jobs_to_delay
 from umberward.scheduling.heartbeat_forwarding import MAX_REMEMBERED_WORKERS, DuplicateFilter
 
 
@@ -37,7 +37,7 @@
     ],
 )
 def test_as_few_as_can_be_are_late(jobs: list[DeadlineJob], late: set[str]) -> None:
-    assert choose_late_jobs(jobs, 0.0) == late
+    assert choose_jobs_to_delay(jobs, 0.0) == late
 
 
 def test_copies_are_known_and_the_memory_of_them_is_bounded() -> None:
@@ -58,7 +58,7 @@
     raw["peers"] = [
         {"label": f"k{n}", "site": "a", "addr": f"127.0.0.1:{29380 + n}"} for n in range(peers)
     ]
-    node = Controller(validate(raw, OperatorSettings()))
+    node = Controller(settings_from_toml(raw, OperatorSettings()))
     node.machine_types.update(MACHINE_TYPES)
     return node
 
@@ -88,17 +88,19 @@
 ) -> None:
     node = _controller(peers)
     now = time.monotonic()
-    node.election.renewed_at = Instant(now - silent_s)
+    node.election.renewal_sent_at = Instant(now - silent_s)
     if silent_s > 1.0:
-        node.peers.contacts.polling_since = now - silent_s
+        node.peers.contacts.cut_off_since = now - silent_s
     if peer_contact_age_s is not None:
-        node.peers.contacts.contacts_by_peer["k1"] = PeerContact(now, peer_contact_age_s, 0.1, None)
+        node.peers.contacts.contacts_by_peer["k1"] = ReceivedStatus(
+            now, peer_contact_age_s, 0.1, None
+        )
     assert _request_status(node, "GET", "/ready") == ready
 
 
 def test_without_the_state_service_users_are_refused_at_once() -> None:
     node = _controller(2)
-    node.election.renewed_at = Instant(time.monotonic() - 60.0)
+    node.election.renewal_sent_at = Instant(time.monotonic() - 60.0)
     assert _request_status(node, "GET", "/v1/jobs/req-000001") == 503
     assert _request_status(node, "POST", "/v1/jobs/req-000001/cancel") == 503
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -28,7 +28,9 @@
         if request.path == "/hello":
             assert request.connection is not None
             await self.server.set_client_name(request.connection, request.query)
-        self.max_used_sockets = max(self.max_used_sockets, SHARED_SOCKETS - self.sockets.available)
+        self.max_used_sockets = max(
+            self.max_used_sockets, SHARED_SOCKETS - self.sockets.available_to_server
+        )
         return Response(200)
 
     async def count_answered_reports(self) -> int:
--- a/umberward/clients/errors.py
+++ b/umberward/clients/errors.py
@@ -40,7 +40,7 @@
         super().__init__(f"{operation}: unexpected HTTP status {status}")
 
 
-class ValueTooLargeError(StateUnavailableError):
+class TransactionRejectedError(StateUnavailableError):
     """The state service rejected the transaction or one of its values; a retry is useless."""
 
     def __init__(self, reason: str = "commit: transaction or value rejected (HTTP 400)") -> None:
--- a/umberward/clients/rate_budget.py
+++ b/umberward/clients/rate_budget.py
@@ -7,10 +7,14 @@
 import curio
 
 from umberward.clients.errors import RateBudgetExceededError
-from umberward.protocol.transactions import Priority
+from umberward.protocol.transactions import RequestPriority
 
 # Share of one second's tokens that requests of a priority leave to those of higher ones.
-RESERVED_SHARES = {Priority.URGENT: 0.0, Priority.NORMAL: 0.15, Priority.BACKGROUND: 0.4}
+RESERVED_SHARES = {
+    RequestPriority.URGENT: 0.0,
+    RequestPriority.NORMAL: 0.15,
+    RequestPriority.BACKGROUND: 0.4,
+}
 # Added to each computed wait, at the end of which the bucket may still lack a fraction of a token.
 TIMER_MARGIN_S = 0.001
 
@@ -38,7 +42,7 @@
         self.rate = rate
         self.capacity = max(rate, min_capacity)
 
-    def wait_time(self, count: int, priority: Priority) -> float:
+    def wait_time(self, count: int, priority: RequestPriority) -> float:
         """Return the seconds until `count` tokens may be taken; 0: immediately."""
         self._refill()
         needed = min(count, self.rate) + RESERVED_SHARES[priority] * self.rate
@@ -54,7 +58,7 @@
         self._refill()
         self.tokens = min(self.tokens, 0.0)
 
-    async def take(self, count: int, priority: Priority, max_wait_s: float) -> None:
+    async def take(self, count: int, priority: RequestPriority, max_wait_s: float) -> None:
         """Take `count` tokens, waiting for them for at most `max_wait_s` seconds.
 
         Raises RateBudgetExceededError, without further waiting, if they would become available
--- a/umberward/clients/state_client.py
+++ b/umberward/clients/state_client.py
@@ -21,9 +21,9 @@
     RateLimitedError,
     RevisionCompactedError,
     StateUnavailableError,
+    TransactionRejectedError,
     UnexpectedStatusError,
     UnknownOutcomeError,
-    ValueTooLargeError,
 )
 from umberward.clients.rate_budget import RateBudget
 from umberward.core.log import logger
@@ -31,7 +31,7 @@
 from umberward.core.types import Address, Key, LeaseId, Revision, Version
 from umberward.protocol import wire
 from umberward.protocol.http import Client, NoResponseError, RequestNotSentError, Response
-from umberward.protocol.transactions import NORMAL, URGENT, Priority, VersionedValue
+from umberward.protocol.transactions import NORMAL, URGENT, RequestPriority, VersionedValue
 
 __all__ = [
     "CompareAndSwapError",
@@ -43,9 +43,9 @@
     "RevisionCompactedError",
     "StateClient",
     "StateUnavailableError",
+    "TransactionRejectedError",
     "UnexpectedStatusError",
     "UnknownOutcomeError",
-    "ValueTooLargeError",
     "WatchResult",
 ]
 
@@ -97,7 +97,7 @@
     target: str
     body: object = None  # None: an empty body
     timeout_s: float = COMMIT_TIMEOUT_S
-    priority: Priority = NORMAL
+    priority: RequestPriority = NORMAL
     budget_wait_s: float = REQUEST_BUDGET_WAIT_S
 
 
@@ -163,7 +163,7 @@
     async def get(
         self,
         key: Key,
-        priority: Priority = NORMAL,
+        priority: RequestPriority = NORMAL,
         timeout: float = READ_TIMEOUT_S,
         budget_wait_s: float = READ_BUDGET_WAIT_S,
     ) -> VersionedValue | None:
@@ -182,7 +182,7 @@
         prefix: str,
         after_key: str = "",
         max_entries: int = LIST_PAGE_SIZE,
-        priority: Priority = URGENT,
+        priority: RequestPriority = URGENT,
     ) -> wire.KeyValuePage:
         """Return up to `max_entries` entries with keys under `prefix` and above `after_key`."""
         target = f"/kv?prefix={quote(prefix)}&most={max_entries}"
@@ -236,7 +236,7 @@
         self,
         conditions: Iterable[tuple[Key, Version]],
         writes: list[dict[str, Any]],
-        priority: Priority = NORMAL,
+        priority: RequestPriority = NORMAL,
         budget_wait_s: float = REQUEST_BUDGET_WAIT_S,
         timeout: float = COMMIT_TIMEOUT_S,
     ) -> Revision:
@@ -244,7 +244,8 @@
 
         Returns the revision, which is the new version of the written keys. Raises
         CompareAndSwapError if a condition failed, LeaseExpiredError if a write names a lease that
-        has ended, and ValueTooLargeError if the service rejected the transaction or a value in it.
+        has ended, and TransactionRejectedError if the service rejected the transaction or a value
+        in it.
         """
         body: dict[str, Any] = {
             "if": [{"path": key, "stamp": version} for key, version in conditions]
@@ -281,7 +282,7 @@
             body=repr(response.body[:LOGGED_BODY_BYTES]),
         )
         if response.status == HTTPStatus.BAD_REQUEST:
-            raise ValueTooLargeError
+            raise TransactionRejectedError
         raise UnexpectedStatusError("commit", response.status)
 
     # ---- leases ------------------------------------------------------------------------
--- a/umberward/control/heartbeat_api.py
+++ b/umberward/control/heartbeat_api.py
@@ -115,7 +115,7 @@
     ) -> Response:
         """The leader's response if the worker can't reach the leader itself, else a redirect."""
         now = Instant(self.clock())
-        if self.forwarding.should_forward(machine_id, leader, now):
+        if self.forwarding.decide_forwarding(machine_id, leader, now):
             response = await self.peers.forwarder.forward(leader, body)
             if response is not None:
                 return response
@@ -128,18 +128,20 @@
         if leader_loop is None:
             return None
         scheduler = leader_loop.scheduler
-        if not self.election.may_answer(scheduler.jobs_read_at):
+        if not self.election.may_answer_heartbeat(scheduler.jobs_read_requested_at):
             return None
         commands = await self.local_leader.apply_heartbeat(header, body)
         # Leadership may have ended while the heartbeat was queued.
-        if commands is None or not self.election.may_answer(scheduler.jobs_read_at):
+        if commands is None or not self.election.may_answer_heartbeat(
+            scheduler.jobs_read_requested_at
+        ):
             return None
         if not self.election.is_leader():
             if not scheduler.may_keep_session(MachineId(header.machine_id)):
                 return None
             # Without a valid lease no task may be started; running tasks continue.
             commands = [command for command in commands if command.verb == wire.KILL]
-        elif not self.election.may_start(scheduler.jobs_read_at):
+        elif not self.election.may_start(scheduler.jobs_read_requested_at):
             commands = [command for command in commands if command.verb != wire.START]
         return _session_response(scheduler.fencing_token, commands)
 
--- a/umberward/control/job_state_cache.py
+++ b/umberward/control/job_state_cache.py
@@ -333,7 +333,7 @@
         if dependencies:
             self.dependency_graph.add(job_id, dependencies)
         else:
-            self.dependency_graph.note_started(job_id)
+            self.dependency_graph.note_not_waiting(job_id)
 
 
 def _decode_final(data: object, key: str) -> FinalJobRecord | None:
--- a/umberward/control/peer_contacts.py
+++ b/umberward/control/peer_contacts.py
@@ -24,7 +24,7 @@
 HEARTBEAT_INTERVAL_FACTOR = 1.25
 
 
-class PeerContact(NamedTuple):
+class ReceivedStatus(NamedTuple):
     """The status of a peer, received at `received_at` by this controller's monotonic clock."""
 
     received_at: float
@@ -58,9 +58,9 @@
         self.election = election
         self.client = client
         self.clock = election.clock
-        self.contacts_by_peer: dict[str, PeerContact] = {}
+        self.contacts_by_peer: dict[str, ReceivedStatus] = {}
         # When peers were first queried while this controller was cut off; infinity: it is not.
-        self.polling_since = math.inf
+        self.cut_off_since = math.inf
         self.heartbeat_at = -math.inf  # when a worker last sent a heartbeat to this controller
         heartbeat_interval_s = settings.platform.cluster.workers.report_s
         self.heartbeat_recency_s = (
@@ -71,7 +71,7 @@
 
     def lacks_state_contact(self) -> bool:
         """Whether no recently sent lease renewal of this controller was granted."""
-        return self.clock() - self.election.renewed_at >= STATE_CONTACT_TIMEOUT_S
+        return self.clock() - self.election.renewal_sent_at >= STATE_CONTACT_TIMEOUT_S
 
     def record_heartbeat(self) -> None:
         """Record that a worker has sent a heartbeat to this controller, whoever answers it."""
@@ -82,9 +82,9 @@
         now = self.clock()
         return PeerStatus(
             name=self.election.name,
-            state_contact_age_s=now - self.election.renewed_at,
+            state_contact_age_s=now - self.election.renewal_sent_at,
             leader=self.election.leader,
-            leader_version=self.election.leader_version,
+            leader_key_version=self.election.leader_key_version,
             heartbeat_age_s=now - self.heartbeat_at,
         )
 
@@ -92,12 +92,12 @@
 
     async def refresh_while_cut_off(self) -> None:
         """Query all peers, and record when this began."""
-        self.polling_since = min(self.polling_since, self.clock())
+        self.cut_off_since = min(self.cut_off_since, self.clock())
         await self.refresh()
 
     def record_state_contact(self) -> None:
         """Record contact with the state service: peers need not be queried."""
-        self.polling_since = math.inf
+        self.cut_off_since = math.inf
 
     async def refresh(self) -> None:
         """Query the status of all peers, one after another."""
@@ -109,15 +109,15 @@
                 status = peer_messages.decode(response.body, PeerStatus)
             except (RequestNotSentError, NoResponseError, InvalidPeerMessageError):
                 continue
-            contact = PeerContact(
+            contact = ReceivedStatus(
                 self.clock(), status.state_contact_age_s, status.heartbeat_age_s, status.leader
             )
             self.contacts_by_peer[peer] = contact
             if contact.has_state_contact and status.leader != self.name:
                 # Another controller may have been elected while this one was cut off.
-                await self.election.step_down_if_superseded(FencingToken(status.leader_version))
+                await self.election.step_down_if_superseded(FencingToken(status.leader_key_version))
 
-    def _valid_contacts_with_state(self) -> list[PeerContact]:
+    def _valid_contacts_with_state(self) -> list[ReceivedStatus]:
         now = self.clock()
         return [
             contact
@@ -135,7 +135,7 @@
         If the state service does not respond either, it is this controller that is cut off.
         """
         now = self.clock()
-        if not self.addresses or now - self.polling_since < STATE_CONTACT_TIMEOUT_S:
+        if not self.addresses or now - self.cut_off_since < STATE_CONTACT_TIMEOUT_S:
             return False
         return not any(contact.is_valid(now) for contact in self.contacts_by_peer.values())
 
@@ -154,7 +154,7 @@
                 leader = max(
                     contacts, key=lambda contact: contact.received_at - contact.state_contact_age_s
                 ).leader
-            elif fencing_token > self.election.leader_version:
+            elif fencing_token > self.election.leader_key_version:
                 leader = None
         return None if leader == self.name else leader
 
--- a/umberward/control/peer_delegation.py
+++ b/umberward/control/peer_delegation.py
@@ -74,12 +74,12 @@
             self.is_answering = False
             return False
         now = Instant(self.clock())
-        may_answer = self.delegate.may_answer(machine_id, fencing_token, now)
+        may_answer = self.delegate.claim_answer(machine_id, fencing_token, now)
         if may_answer and not self.is_answering:
             self.is_answering = True
             log.warning(
                 "delegated_lease_renewal",
                 machines=len(self.delegate.machine_ids),
-                known_age_s=round(now - self.delegate.jobs_read_at, 1),
+                known_age_s=round(now - self.delegate.jobs_read_requested_at, 1),
             )
         return may_answer
--- a/umberward/control/peer_messages.py
+++ b/umberward/control/peer_messages.py
@@ -37,7 +37,7 @@
     rename={
         "name": "label",
         "state_contact_age_s": "contact_age",
-        "leader_version": "stamp",
+        "leader_key_version": "stamp",
         "heartbeat_age_s": "heard_age",
     },
 ):
@@ -45,7 +45,7 @@
 
     `state_contact_age_s` is the time in seconds since it sent the latest lease renewal that the
     state service granted.
-    `leader` and `leader_version` are the current leader and the version of the leader's key.
+    `leader` and `leader_key_version` are the current leader and the version of the leader's key.
     `heartbeat_age_s` is the time in seconds since a worker last sent it a heartbeat; earlier
     versions omit it.
     """
@@ -53,7 +53,7 @@
     name: str = ""
     state_contact_age_s: float
     leader: ControllerName | None
-    leader_version: int = 0
+    leader_key_version: int = 0
     heartbeat_age_s: float = math.inf
 
 
--- a/umberward/control/readiness.py
+++ b/umberward/control/readiness.py
@@ -43,7 +43,7 @@
         """
         if not self.machine_types:
             return False
-        state_contact_age_s = self.clock() - self.election.renewed_at
+        state_contact_age_s = self.clock() - self.election.renewal_sent_at
         has_contact = state_contact_age_s < STATE_CONTACT_TIMEOUT_S
         is_isolated = not has_contact and self.peer_contacts.is_isolated()
         self._log_isolation(state_contact_age_s, is_isolated=is_isolated)
@@ -66,5 +66,5 @@
 
         Contact in `is_ready` and in `PeerContacts` means lease renewals only.
         """
-        last_contact_at = max(self.election.renewed_at, self.job_states.refresh_sent_at)
+        last_contact_at = max(self.election.renewal_sent_at, self.job_states.refresh_sent_at)
         return self.clock() - last_contact_at < STATE_CONTACT_TIMEOUT_S
--- a/umberward/core/settings.py
+++ b/umberward/core/settings.py
@@ -207,10 +207,12 @@
         raise SettingsError(path, f"not UTF-8 text: {error.reason}") from None
     except tomllib.TOMLDecodeError as error:
         raise SettingsError(path, f"not TOML: {error}") from None
-    return validate(raw, load_operator_settings(properties), str(path))
+    return settings_from_toml(raw, load_operator_settings(properties), str(path))
 
 
-def validate(raw: dict[str, Any], operator: OperatorSettings, source: str = "settings") -> Settings:
+def settings_from_toml(
+    raw: dict[str, Any], operator: OperatorSettings, source: str = "settings"
+) -> Settings:
     """Convert a decoded TOML file to settings. `source`: the file's name, for SettingsError."""
     try:
         platform = msgspec.convert(raw, PlatformSettings)
--- a/umberward/graphs/graph_job.py
+++ b/umberward/graphs/graph_job.py
@@ -117,7 +117,7 @@
         record = JobRecord(spec, graph.record.at, run.placed_below, run.done_below, run.done_bitmap)
         super().__init__(record, version, max_value_bytes)
         # Tasks are queued when they become ready, not in the order of their indices.
-        self.next_fresh_task = self.size
+        self.next_unstarted_task = self.size
         self.graph = graph
         self.kind = kind
         self.max_retries = graph.shape.kinds[kind].max_retries
@@ -146,7 +146,7 @@
         if index not in self.undecided_tasks and self.graph.is_ready(self.kind, index):
             super().requeue_task(index)
 
-    def count_lost_tasks(self) -> int:
+    def count_unaccounted_tasks(self) -> int:
         """Return 0: `Job` would count the tasks that are not ready as lost."""
         return 0
 
@@ -210,7 +210,7 @@
         else:
             self.retries[index] = None
 
-    def failure_ignored_for_machines(self, index: int) -> bool:
+    def failures_blamed_on_job(self, index: int) -> bool:
         """Whether the task's failures do not count against the machines on which it failed."""
         fails_everywhere = len(set(self._failure_machines(index))) >= FAULTY_JOB_AFTER_MACHINES
         never_succeeded = (
@@ -305,7 +305,7 @@
         return self.stored_progress != progress or self.stored_failure_count < len(self.failures)
 
     @property
-    def end_unwritten(self) -> bool:
+    def has_end_to_write(self) -> bool:
         """Whether all tasks are finished and that is not stored yet."""
         return self.complete and self.progress_unstored
 
--- a/umberward/graphs/graph_state.py
+++ b/umberward/graphs/graph_state.py
@@ -57,7 +57,7 @@
             self.scheduler.max_value_bytes,
             SchedulerCallbacks(
                 request_pass=self._request_pass,
-                progress_changed=self.scheduler.writer.note_completions,
+                progress_changed=self.scheduler.state_writer.note_completions,
                 stop_task=self._stop_task,
             ),
         )
@@ -70,7 +70,7 @@
         for job in graph.jobs:
             self.scheduler.admit_job(job)
             if job.progress_unstored:
-                self.scheduler.writer.note_completions(job)
+                self.scheduler.state_writer.note_completions(job)
         if self.scheduler.reconciliation_completed:
             # It is known what each machine runs, so no task of a former leader is left to be found.
             for job in graph.jobs:
@@ -106,7 +106,7 @@
     def _request_pass(self, job: Job) -> None:
         """Request that the next scheduling pass places this array's startable tasks."""
         self.scheduler.jobs_to_place[job.id] = job
-        self.scheduler.pass_wanted = True
+        self.scheduler.scheduling_pass_needed = True
 
     def _stop_task(self, job: Job, index: int) -> None:
         """Stop a finished task if it still has a placement."""
--- a/umberward/leader/command_sender.py
+++ b/umberward/leader/command_sender.py
@@ -13,7 +13,7 @@
 from umberward.leader.messages import CommandCompleted, ProbeCompleted
 from umberward.protocol import wire
 from umberward.protocol.http import Client, NoResponseError, RequestNotSentError
-from umberward.scheduling.cluster_state import DirectCommand, Probe
+from umberward.scheduling.cluster_state import CommandMessage, Probe
 from umberward.scheduling.command_queue import CommandQueue
 
 log = logger(__name__)
@@ -49,11 +49,11 @@
 
     def may_start(self) -> bool:
         """Whether a task start may be scheduled or sent now."""
-        return self.context.election.may_start(self.context.scheduler.jobs_read_at)
+        return self.context.election.may_start(self.context.scheduler.jobs_read_requested_at)
 
     def jobs_read_age_s(self, now: Instant) -> float | None:
         """Seconds since the latest successful read of the jobs was requested; None: no read yet."""
-        read_at = self.context.scheduler.jobs_read_at
+        read_at = self.context.scheduler.jobs_read_requested_at
         return None if read_at is None else round(now - read_at, 2)
 
     async def send_outbox(self) -> None:
@@ -64,17 +64,17 @@
             if isinstance(item, Probe):
                 await self.spawn(self._send_probe, item)
             else:
-                await self._spawn_command(self.queue.submit(item))
+                await self._spawn_command(self.queue.add_and_take_next(item))
 
     async def send_next(self, machine: MachineId) -> None:
         """Send the machine's next queued command, if any, as the one in flight has completed."""
-        await self._spawn_command(self.queue.complete_and_take_next(machine))
+        await self._spawn_command(self.queue.finish_and_take_next(machine))
 
-    async def _spawn_command(self, command: DirectCommand | None) -> None:
+    async def _spawn_command(self, command: CommandMessage | None) -> None:
         if command is not None:
             await self.spawn(self._send_command, command)
 
-    async def _send_command(self, command: DirectCommand) -> None:
+    async def _send_command(self, command: CommandMessage) -> None:
         sent_at = monotonic_now()
         log.debug(
             "command_sent",
@@ -101,7 +101,7 @@
             completed = CommandCompleted(command, None, outcome_unknown=True)
         await self.context.leader_loop.tell(completed)
 
-    async def _request(self, command: DirectCommand) -> CommandCompleted:
+    async def _request(self, command: CommandMessage) -> CommandCompleted:
         """Send the command and convert the worker's response.
 
         Raises RequestNotSentError, NoResponseError, MalformedMessageError, or ValueError for an
@@ -127,7 +127,7 @@
             command, heartbeat, outcome_unknown=response.status not in KNOWN_OUTCOME_STATUSES
         )
 
-    def _send_condition(self, command: DirectCommand) -> Callable[[], bool]:
+    def _send_condition(self, command: CommandMessage) -> Callable[[], bool]:
         """Return the check that must pass right before the command is sent.
 
         Without the lease, or long after the latest read of the jobs, nothing may be started, but
@@ -135,7 +135,7 @@
         """
         if any(order.verb == wire.START for order in command.commands):
             return self.may_start
-        return self.context.election.may_keep_alive
+        return self.context.election.may_remain_leader
 
     async def _send_probe(self, probe: Probe) -> None:
         heartbeat = None
--- a/umberward/leader/failover_snapshot.py
+++ b/umberward/leader/failover_snapshot.py
@@ -28,7 +28,7 @@
     ZoneName,
 )
 from umberward.protocol import wire
-from umberward.scheduling.autoscaler import Autoscaler, PendingMachine
+from umberward.scheduling.autoscaler import Autoscaler, RequestedMachine
 from umberward.scheduling.scheduler import Scheduler
 
 MAX_SNAPSHOT_AGE_S = 120.0  # too much has changed since an older snapshot
@@ -122,7 +122,7 @@
         },
         no_capacity=[
             OfferBackoff(str(offer.type), str(offer.zone), offer.spot, until - now, backoff_s)
-            for offer, (until, backoff_s) in autoscaler.no_capacity_until.items()
+            for offer, (until, backoff_s) in autoscaler.offer_pauses.items()
             if until > now
         ],
     )
@@ -216,7 +216,7 @@
     for backoff in snapshot.no_capacity:
         offer = _offer(backoff)
         until = Instant(now + backoff.remaining_s - age_s)
-        autoscaler.no_capacity_until.setdefault(offer, (until, backoff.backoff_s))
+        autoscaler.offer_pauses.setdefault(offer, (until, backoff.backoff_s))
 
 
 def _restore_images(snapshot: FailoverSnapshot, scheduler: Scheduler) -> None:
@@ -242,7 +242,7 @@
         machine = scheduler.machines.get(MachineId(name))
         if machine is not None:
             machine.quarantined_since = now
-            machine.availability_changed()
+            machine.mark_availability_changed()
     for name, retry_count in snapshot.faulty_job_retries.items():
         job = scheduler.jobs.get(JobId(name))
         if job is not None:
@@ -260,7 +260,7 @@
         machine_id = MachineId(name)
         if machine_id not in scheduler.machines:
             rented_at = Instant(now - booting.pending_s - age_s)
-            pending = PendingMachine(_offer(booting), rented_at)
+            pending = RequestedMachine(_offer(booting), rented_at)
             autoscaler.pending_machines.setdefault(machine_id, pending)
 
 
--- a/umberward/leader/final_record_lookup.py
+++ b/umberward/leader/final_record_lookup.py
@@ -35,7 +35,7 @@
             await curio.sleep(FINAL_LOOKUP_INTERVAL_S)
             if not self.context.scheduler.loaded:
                 continue
-            for job_id in list(self.context.scheduler.waiting_jobs.graph.unresolved_dependency_ids):
+            for job_id in list(self.context.scheduler.blocked_jobs.graph.unresolved_dependency_ids):
                 try:
                     await self._look_up(job_id)
                 except (
--- a/umberward/leader/leader_election.py
+++ b/umberward/leader/leader_election.py
@@ -90,11 +90,11 @@
         self.nonce = ""  # of the latest campaign; empty if its lease was abandoned
         self.term = 0  # the number of fencing tokens obtained in this term
         self.lease: LeaseId | None = None
-        self.renewed_at = Instant(0.0)  # when the latest successful renewal was sent
+        self.renewal_sent_at = Instant(0.0)  # when the latest successful renewal was sent
         self.fencing_token: FencingToken | None = None  # None: not the leader
         self.leader: ControllerName | None = None  # None: unknown or none
         # Of the leader key, and so also the first fencing token of the leader that wrote it.
-        self.leader_version = Version(0)
+        self.leader_key_version = Version(0)
         self.campaign_not_before = 0.0
 
     def _warn_if_renewal_window_too_short(self, workers: WorkerTimes) -> None:
@@ -117,40 +117,50 @@
             self.fencing_token is not None
             and self.lease is not None
             and self.clock()
-            < self.renewed_at + self.lease_seconds * LEASE_DRIFT_FACTOR - LEASE_VALIDITY_MARGIN_S
+            < self.renewal_sent_at
+            + self.lease_seconds * LEASE_DRIFT_FACTOR
+            - LEASE_VALIDITY_MARGIN_S
         )
 
-    def may_start(self, jobs_read_at: Instant | None) -> bool:
+    def may_start(self, jobs_read_requested_at: Instant | None) -> bool:
         """Whether a task may be started.
 
-        `jobs_read_at`: time until which all confirmed cancellations are known; None: none are.
+        `jobs_read_requested_at`: time until which all confirmed cancellations are known; None: none
+        are.
         """
-        return self.is_leader() and self.bounds.may_start(jobs_read_at, Instant(self.clock()))
+        return self.is_leader() and self.bounds.may_start(
+            jobs_read_requested_at, Instant(self.clock())
+        )
 
-    def may_keep_alive(self) -> bool:
+    def may_remain_leader(self) -> bool:
         """Whether the leadership may continue without the state service.
 
-        Commands that start nothing may then be sent, and heartbeats may be answered if `may_answer`
-        allows it.
+        Commands that start nothing may then be sent, and heartbeats may be answered if
+        `may_answer_heartbeat` allows it.
         """
         renewal_window_s = max(self.bounds.renewal_window_s, self.lease_seconds)
-        return self.fencing_token is not None and self.clock() < self.renewed_at + renewal_window_s
+        return (
+            self.fencing_token is not None
+            and self.clock() < self.renewal_sent_at + renewal_window_s
+        )
 
-    def may_answer(self, jobs_read_at: Instant | None) -> bool:
+    def may_answer_heartbeat(self, jobs_read_requested_at: Instant | None) -> bool:
         """Whether a heartbeat may be answered, which renews the worker's session.
 
-        `jobs_read_at`: as for `may_start`. The check also applies to heartbeats that another
-        controller has forwarded.
+        `jobs_read_requested_at`: as for `may_start`. The check also applies to heartbeats that
+        another controller has forwarded.
         """
-        if self.fencing_token is None or jobs_read_at is None:
+        if self.fencing_token is None or jobs_read_requested_at is None:
             return False
         if self.bounds.renewal_window_s < MIN_RENEWAL_WINDOW_S and self.is_leader():
             return True  # otherwise every session would expire; a warning was logged at start
-        return self.bounds.may_answer(jobs_read_at, self.renewed_at, Instant(self.clock()))
+        return self.bounds.may_answer_heartbeat(
+            jobs_read_requested_at, self.renewal_sent_at, Instant(self.clock())
+        )
 
     def leadership_condition(self) -> tuple[Key, Version]:
         """Return the condition that makes a transaction valid only while this controller leads."""
-        return LEADER_KEY, self.leader_version
+        return LEADER_KEY, self.leader_key_version
 
     # ---- leadership changes ------------------------------------------------------------
 
@@ -200,7 +210,7 @@
 
     async def _become_leader(self, version: Version) -> None:
         """Take the leadership. `version`: of the leader key, which this controller has written."""
-        self.leader, self.leader_version = self.name, version
+        self.leader, self.leader_key_version = self.name, version
         self.fencing_token = FencingToken(version)
         self.store.set_role(leading=True)
         log.info("leadership_acquired", epoch=version)
@@ -221,7 +231,7 @@
                 await self._renew()
             except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
                 log.debug("lease_not_renewed", error=error)
-            if self.fencing_token is not None and not self.may_keep_alive():
+            if self.fencing_token is not None and not self.may_remain_leader():
                 await self._lose_leadership()
             await curio.sleep(
                 self.lease_seconds / RENEWALS_PER_LEASE * self.rng.uniform(*RENEWAL_JITTER)
@@ -238,7 +248,7 @@
         if lease is None:
             granted = await self.store.grant_lease(self.lease_seconds)
             if self.lease is None:
-                self.lease, self.renewed_at = granted, sent_at
+                self.lease, self.renewal_sent_at = granted, sent_at
             return
         timeout_s = max(MIN_RENEWAL_TIMEOUT_S, self.lease_seconds / RENEWAL_TIMEOUTS_PER_LEASE)
         try:
@@ -251,7 +261,7 @@
                     await self._lose_leadership()
             return
         if self.lease == lease:
-            self.renewed_at = max(self.renewed_at, sent_at)
+            self.renewal_sent_at = max(self.renewal_sent_at, sent_at)
 
     def _abandon_lease(self) -> None:
         """Stop renewing the lease, and no longer accept a leader key attached to it as a win.
@@ -299,7 +309,7 @@
         entries, revision = await self.store.list_all(LEADER_KEY)
         entry = next((entry for entry in entries if entry.key == LEADER_KEY), None)
         if entry is None:
-            self.leader, self.leader_version = None, Version(0)
+            self.leader, self.leader_key_version = None, Version(0)
             if self.fencing_token is not None:
                 await self._lose_leadership()
             return revision
@@ -322,7 +332,7 @@
         else:
             # It is attached to an abandoned lease, or its campaign was committed late. Treat it as
             # free: the next campaign replaces this version.
-            self.leader, self.leader_version = None, version
+            self.leader, self.leader_key_version = None, version
 
     async def _delete_key_of_former_process(self, version: Version) -> None:
         """Handle a leader key that this controller wrote before its restart.
@@ -339,7 +349,7 @@
             [transactions.delete(LEADER_KEY)],
             priority=transactions.URGENT,
         )
-        self.leader, self.leader_version = None, Version(0)
+        self.leader, self.leader_key_version = None, Version(0)
 
     async def _follow_leader(self, leader: ControllerName, version: Version) -> None:
         """Handle a leader key written by another controller."""
@@ -347,7 +357,7 @@
             await self._lose_leadership()
         if self.leader != leader:
             log.info("leader_changed", node=leader)
-        self.leader, self.leader_version = leader, version
+        self.leader, self.leader_key_version = leader, version
 
     async def _campaign(self) -> None:
         """Try to write the leader key, attached to a sufficiently recent lease.
@@ -356,7 +366,7 @@
         errors of `StateClient`.
         """
         max_age_s = self.lease_seconds * MAX_CAMPAIGN_LEASE_AGE_RATIO
-        if self.lease is None or self.clock() > self.renewed_at + max_age_s:
+        if self.lease is None or self.clock() > self.renewal_sent_at + max_age_s:
             await self._renew()
         if self.lease is None:
             return
@@ -366,7 +376,7 @@
         leader_record = wire.LeaderRecord(self.name, nonce)
         try:
             revision = await self.store.commit(
-                [(LEADER_KEY, self.leader_version)],
+                [(LEADER_KEY, self.leader_key_version)],
                 [
                     transactions.put(LEADER_KEY, leader_record, self.lease),
                     transactions.put(self.record_key, self._controller_record()),
--- a/umberward/leader/leader_loop.py
+++ b/umberward/leader/leader_loop.py
@@ -259,7 +259,7 @@
         for entry in message.entries:
             listed_ids.add(JobId(entry.key[len(LIVE_JOBS_PREFIX) :]))
             job_records.apply_job_record(self.scheduler, entry.key, entry.data, entry.version)
-        for job in [*self.scheduler.jobs.values(), *self.scheduler.waiting_jobs.jobs.values()]:
+        for job in [*self.scheduler.jobs.values(), *self.scheduler.blocked_jobs.jobs.values()]:
             # A graph's job has no live record of its own: it has conditions, and is removed with
             # the record whose key they name.
             if job.id not in listed_ids and not job.conditions:
@@ -270,7 +270,7 @@
 
     def _finish_loading(self, recent_final_records: list[wire.KeyChange] | None) -> None:
         """Restore the snapshots of former leaders and enable scheduling."""
-        self.scheduler.cancellations_unread = recent_final_records is None
+        self.scheduler.recent_cancellations_unknown = recent_final_records is None
         job_records.apply_final_records(self.scheduler, recent_final_records or ())
         for snapshot, age_s in self.snapshots_to_restore:  # age at the start of this term
             now = monotonic_now()
@@ -290,8 +290,8 @@
     def _update_jobs_read_at(self, requested_at: Instant) -> None:
         """Record that all cancellations confirmed before `requested_at` are known."""
         if self.scheduler.loaded:  # otherwise some jobs are not known yet
-            self.scheduler.jobs_read_at = max(
-                requested_at, self.scheduler.jobs_read_at or requested_at
+            self.scheduler.jobs_read_requested_at = max(
+                requested_at, self.scheduler.jobs_read_requested_at or requested_at
             )
 
     async def _delegation_requested(
@@ -299,11 +299,13 @@
     ) -> Delegation | None:
         if not self.election.is_leader():
             return None
-        return self.scheduler.delegate(message.delegate, message.last_sequence, message.unused, now)
+        return self.scheduler.issue_delegation(
+            message.delegate, message.last_sequence, message.unused, now
+        )
 
     async def _jobs_cancelled_by_peer(self, message: JobsCancelledByPeer, _now: Instant) -> None:
-        # Stop the jobs' tasks immediately. `jobs_read_at` is unchanged, as other cancellations may
-        # not have been announced.
+        # Stop the jobs' tasks immediately. `jobs_read_requested_at` is unchanged, as other
+        # cancellations may not have been announced.
         for job_id in message.job_ids:
             if self.scheduler.is_live(job_id):
                 log.info("job_cancelled_by_peer", job=job_id)
@@ -318,7 +320,7 @@
         return unknown_ids
 
     async def _unknown_job_read(self, message: UnknownJobRead, now: Instant) -> None:
-        job_records.apply_unknown_job(self.scheduler, message.job_id, message.stored, now)
+        job_records.apply_missing_job(self.scheduler, message.job_id, message.stored, now)
 
     async def _transaction_completed(self, _message: TransactionCompleted, _now: Instant) -> None:
         """Apply nothing: the message only triggers a due pass and the resulting I/O."""
@@ -330,11 +332,11 @@
         # one gives up the leadership, the controller cancels `serve` with all tasks of the loop,
         # but for example the lease must still be revoked. Each ends by itself: it sends a few
         # requests, all with timeouts.
-        if scheduler.is_isolated(now) and self.election.is_leader():
+        if scheduler.receives_few_heartbeats(now) and self.election.is_leader():
             # The state service responds but workers do not; another controller may reach them.
             await curio.spawn(self.election.step_down, "hardly any worker is heard", daemon=True)
         elif (
-            scheduler.no_heartbeat_this_term(now)
+            scheduler.received_no_heartbeat_this_term(now)
             and self.election.is_leader()
             and not self._peer_check_running
         ):
@@ -353,7 +355,7 @@
         await curio.spawn(self.election.step_down_if_superseded, seen, daemon=True)
 
     def _run_due_pass(self, now: Instant) -> None:
-        due = self.scheduler.pass_wanted and now >= self._next_pass_at
+        due = self.scheduler.scheduling_pass_needed and now >= self._next_pass_at
         idle_due = now >= self._next_pass_at + IDLE_PASS_EXTRA_DELAY_S
         if (due or idle_due) and self.commands.may_start():
             self.scheduler.run_pass(now)
@@ -364,7 +366,7 @@
         # Checked here because most heartbeats leave nothing to do, and a needless call costs time.
         if self.scheduler.outbox:
             await self.commands.send_outbox()
-        if self.scheduler.writer.has_work(monotonic_now()):
+        if self.scheduler.state_writer.has_work(monotonic_now()):
             await self.transaction_writer.request_write()
 
     async def _step_down_if_peers_receive_heartbeats(self) -> None:
--- a/umberward/leader/machine_scaler.py
+++ b/umberward/leader/machine_scaler.py
@@ -70,8 +70,8 @@
     async def _scale_in(self) -> None:
         """Drain machines that are idle or unreachable, and delete those that are drained."""
         now = monotonic_now()
-        idle = self.autoscaler.machines_to_return(now)
-        lost = self.autoscaler.unreachable_machines_to_return(now)
+        idle = self.autoscaler.machines_to_drain(now)
+        lost = self.autoscaler.partially_reachable_machines_to_drain(now)
         self.decision_time_s += monotonic_now() - now
         for machine in idle + lost:
             self._drain(machine)
@@ -89,12 +89,12 @@
             hears=not machine.unreachable,
             reports=machine.no_heartbeats_since is None,
         )
-        machine.deletion_requested = True
-        machine.availability_changed()
+        machine.draining = True
+        machine.mark_availability_changed()
 
     def _remove_machines(self, machine_ids: list[MachineId]) -> None:
         self.scheduler.remove_machines(machine_ids, monotonic_now())
-        self.autoscaler.machines_deleted(machine_ids)
+        self.autoscaler.forget_machines(machine_ids)
 
     # ---- scaling out -------------------------------------------------------------------
 
@@ -121,7 +121,7 @@
                 machine_ids = await self.cloud.rent(request, self.election.is_leader)
             except NoCapacityError:
                 log.info("no_capacity", **request.offer._asdict())
-                self.autoscaler.request_refused(request.offer, monotonic_now())
+                self.autoscaler.record_no_capacity(request.offer, monotonic_now())
                 return
             except NoResponseError:
                 # The request may have been executed. A retry with the same id rents nothing twice,
--- a/umberward/leader/messages.py
+++ b/umberward/leader/messages.py
@@ -16,7 +16,7 @@
 from umberward.protocol import wire
 from umberward.protocol.transactions import VersionedValue
 from umberward.protocol.wire import Heartbeat, KeyChange, KeyValue, TaskCommand
-from umberward.scheduling.cluster_state import DirectCommand, Probe
+from umberward.scheduling.cluster_state import CommandMessage, Probe
 from umberward.scheduling.lease_delegation import Delegation
 
 
@@ -33,7 +33,7 @@
 class CommandCompleted(msgspec.Struct, frozen=True):
     """A worker responded to a direct command, or it timed out or could not be sent."""
 
-    command: DirectCommand
+    command: CommandMessage
     heartbeat: Heartbeat | None  # the worker's response, if there was a valid one
     outcome_unknown: bool  # whether the worker may have executed it or may yet do so
 
--- a/umberward/leader/snapshot_store.py
+++ b/umberward/leader/snapshot_store.py
@@ -85,6 +85,6 @@
         scheduler = self.context.scheduler
         return failover_snapshot.split_snapshot(
             failover_snapshot.take_snapshot(scheduler, self.autoscaler, monotonic_now()),
-            scheduler.writer.machines_per_block,
+            scheduler.state_writer.machines_per_block,
             scheduler.max_value_bytes,
         )
--- a/umberward/leader/transaction_writer.py
+++ b/umberward/leader/transaction_writer.py
@@ -47,7 +47,7 @@
             await curio.ignore_after(WRITE_CHECK_INTERVAL_S, self._requested.wait)
             self._requested.clear()
             while self.context.election.is_leader():
-                transaction = self.context.scheduler.writer.next_transaction(monotonic_now())
+                transaction = self.context.scheduler.state_writer.next_transaction(monotonic_now())
                 if transaction is None:
                     break
                 if not await self._commit(transaction):
@@ -67,7 +67,7 @@
                 priority=transaction.priority,
                 budget_wait_s=URGENT_BUDGET_WAIT_S if urgent else NON_URGENT_BUDGET_WAIT_S,
             )
-        except state_client.ValueTooLargeError:
+        except state_client.TransactionRejectedError:
             await curio.sleep(REJECTED_WRITE_RETRY_DELAY_S)
             return False
         except state_client.StateUnavailableError as error:
--- a/umberward/protocol/constants.py
+++ b/umberward/protocol/constants.py
@@ -24,7 +24,7 @@
 
 
 # Priorities of jobs ("POST /v1/jobs", `rank`); the lowest number is the most urgent.
-PRIORITIES = {"production": 0, "urgent": 1, "normal": 2, "idle": 3}
+JOB_PRIORITIES = {"production": 0, "urgent": 1, "normal": 2, "idle": 3}
 
 
 class CommandVerb(enum.StrEnum):
--- a/umberward/protocol/http/server.py
+++ b/umberward/protocol/http/server.py
@@ -101,7 +101,7 @@
         connections.
         """
         for _ in range(MAX_SOCKET_POLLS):
-            if self.socket_budget.available > 0 or await self._evict():
+            if self.socket_budget.available_to_server > 0 or await self._evict():
                 return True
             await curio.sleep(SOCKET_POLL_INTERVAL_S)
         return False
--- a/umberward/protocol/http/socket_budget.py
+++ b/umberward/protocol/http/socket_budget.py
@@ -24,11 +24,11 @@
         return budget if isinstance(budget, SocketBudget) else cls(budget, budget)
 
     @property
-    def available(self) -> int:
+    def available_to_server(self) -> int:
         """The number of sockets that the server may still open."""
         return self.limit - self.server_sockets - self.client_sockets
 
     @property
     def available_to_client(self) -> int:
         """The number of sockets that the client may still open."""
-        return min(self.available, self.client_limit - self.client_sockets)
+        return min(self.available_to_server, self.client_limit - self.client_sockets)
--- a/umberward/protocol/transactions.py
+++ b/umberward/protocol/transactions.py
@@ -14,7 +14,7 @@
 from umberward.protocol import wire
 
 
-class Priority(enum.IntEnum):
+class RequestPriority(enum.IntEnum):
     """The priority of a request to a rate-limited service.
 
     A request of a lower value may use more of the rate budget (`RateBudget`).
@@ -25,7 +25,11 @@
     BACKGROUND = 2
 
 
-URGENT, NORMAL, BACKGROUND = Priority.URGENT, Priority.NORMAL, Priority.BACKGROUND
+URGENT, NORMAL, BACKGROUND = (
+    RequestPriority.URGENT,
+    RequestPriority.NORMAL,
+    RequestPriority.BACKGROUND,
+)
 
 
 class VersionedValue(msgspec.Struct, rename={"version": "stamp"}):
--- a/umberward/protocol/wire.py
+++ b/umberward/protocol/wire.py
@@ -58,11 +58,11 @@
     ScaleOutResponse,
 )
 from umberward.protocol.constants import (
+    JOB_PRIORITIES,
     MAX_BODY_BYTES,
     MAX_DELETIONS_PER_REQUEST,
     MAX_MACHINES_PER_PAGE,
     MAX_MACHINES_PER_REQUEST,
-    PRIORITIES,
     CommandVerb,
     JobKind,
     JobPhase,
@@ -105,6 +105,7 @@
     "FORGET",
     "GANG",
     "JOBS_PREFIX",
+    "JOB_PRIORITIES",
     "KILL",
     "LIVE_JOBS_PREFIX",
     "MAX_BODY_BYTES",
@@ -112,7 +113,6 @@
     "MAX_MACHINES_PER_PAGE",
     "MAX_MACHINES_PER_REQUEST",
     "PENDING",
-    "PRIORITIES",
     "PULLING_IMAGE",
     "RUNNING",
     "SERVICE",
@@ -317,7 +317,7 @@
     """The reason why a field is invalid beyond its type and bounds; None if all are valid."""
     if spec.kind not in (ARRAY, GANG, SERVICE):
         return "shape: not one of batch, ensemble, service"
-    if spec.priority not in PRIORITIES:
+    if spec.priority not in JOB_PRIORITIES:
         return "rank: not one of production, urgent, normal, idle"
     if _has_nan_amount(spec):
         return "an amount is not a number"
--- a/umberward/scheduling/autoscaler.py
+++ b/umberward/scheduling/autoscaler.py
@@ -30,13 +30,13 @@
 from umberward.scheduling.scale_out import ScaleOutPlan
 from umberward.scheduling.scheduler import Scheduler
 from umberward.scheduling.simulated_machines import (
-    PendingMachine,
+    RequestedMachine,
     simulate_existing,
     simulate_pending,
 )
 from umberward.scheduling.spot_policy import AffordableMachines, jobs_limited_to_affordable
 
-__all__ = ["Autoscaler", "PendingMachine"]
+__all__ = ["Autoscaler", "RequestedMachine"]
 
 FIRST_DECISION_DELAY_S = 2.0  # in a new term, so that existing machines report first
 FIRST_NO_CAPACITY_PAUSE_S = 15.0  # before an offer is requested again after its first refusal
@@ -58,8 +58,8 @@
         self.request_count = 0
         self.fit_checks = 0  # checks whether a machine has room for a waiting job
         # By refused offer: the time before which it is not requested, and the pause in seconds.
-        self.no_capacity_until: dict[MachineOffer, tuple[Instant, float]] = {}
-        self.pending_machines: dict[MachineId, PendingMachine] = {}
+        self.offer_pauses: dict[MachineOffer, tuple[Instant, float]] = {}
+        self.pending_machines: dict[MachineId, RequestedMachine] = {}
         # Machines that the cloud lists as running but that have not reported, with the time at
         # which this was first seen.
         self.unreported_machines: dict[MachineId, Instant] = {}
@@ -73,18 +73,18 @@
     ) -> None:
         """Record the machines that a request created; if some are missing, count it as refused."""
         for machine_id in machine_ids:
-            self.pending_machines[machine_id] = PendingMachine(request.offer, now)
+            self.pending_machines[machine_id] = RequestedMachine(request.offer, now)
         if len(machine_ids) < request.machine_count:
-            self.request_refused(request.offer, now)
+            self.record_no_capacity(request.offer, now)
         else:
-            self.no_capacity_until.pop(request.offer, None)
+            self.offer_pauses.pop(request.offer, None)
 
-    def request_refused(self, offer: MachineOffer, now: Instant) -> None:
+    def record_no_capacity(self, offer: MachineOffer, now: Instant) -> None:
         """Pause requests for an offer that the cloud refused, longer with each refusal."""
         first_pause_s = FIRST_NO_CAPACITY_PAUSE_S / PAUSE_GROWTH_FACTOR
-        _, pause_s = self.no_capacity_until.get(offer, (now, first_pause_s))
+        _, pause_s = self.offer_pauses.get(offer, (now, first_pause_s))
         pause_s = min(pause_s * PAUSE_GROWTH_FACTOR, MAX_NO_CAPACITY_PAUSE_S)
-        self.no_capacity_until[offer] = (Instant(now + pause_s), pause_s)
+        self.offer_pauses[offer] = (Instant(now + pause_s), pause_s)
 
     def reconcile_machine_list(
         self, listed: Iterable[CloudMachine], now: Instant
@@ -117,9 +117,11 @@
             offer = MachineOffer(
                 MachineTypeName(machine.machine_type), ZoneName(machine.zone), machine.spot
             )
-            self.pending_machines[machine_id] = PendingMachine(offer, Instant(now - machine.age_s))
+            self.pending_machines[machine_id] = RequestedMachine(
+                offer, Instant(now - machine.age_s)
+            )
 
-    def machines_deleted(self, machine_ids: Iterable[MachineId]) -> None:
+    def forget_machines(self, machine_ids: Iterable[MachineId]) -> None:
         """Forget machines that the cloud has deleted."""
         for machine_id in machine_ids:
             self.pending_machines.pop(machine_id, None)
@@ -130,7 +132,7 @@
     def machines_to_delete(self, now: Instant) -> list[MachineId]:
         """Return the machines to delete now: silent ones, ones that never reported, drained ones.
 
-        Drained machines are those with `deletion_requested`.
+        Drained machines are those with `draining`.
         """
         scheduler = self.scheduler
         lost = [
@@ -139,9 +141,7 @@
             if machine_id in scheduler.machines and scheduler.machines[machine_id].silent
         ]
         scheduler.machines_to_delete.intersection_update(lost)
-        drained = [
-            machine.id for machine in scheduler.machines.values() if machine.deletion_requested
-        ]
+        drained = [machine.id for machine in scheduler.machines.values() if machine.draining]
         return lost + self._machines_never_reported(now) + drained
 
     def _machines_never_reported(self, now: Instant) -> list[MachineId]:
@@ -162,11 +162,11 @@
         ]
         return overdue
 
-    def unreachable_machines_to_return(self, now: Instant) -> list[Machine]:
+    def partially_reachable_machines_to_drain(self, now: Instant) -> list[Machine]:
         """Return the machines to drain because they are reachable in one direction only."""
-        return self.scheduler.reachability.unreachable_machines_to_delete(now)
+        return self.scheduler.reachability.partially_reachable_machines_to_drain(now)
 
-    def machines_to_return(self, now: Instant) -> list[Machine]:
+    def machines_to_drain(self, now: Instant) -> list[Machine]:
         """Return the empty machines to drain: idle for too long, or quarantined and faulty."""
         return unneeded_machines(self.scheduler, self.affordable_by_job, now)
 
@@ -192,7 +192,7 @@
         self.affordable_by_job = jobs_limited_to_affordable(
             scheduler, (job for job, _ in waiting), machine_counts
         )
-        offers = OfferSelection(scheduler, self.affordable_by_job, self.no_capacity_until, now)
+        offers = OfferSelection(scheduler, self.affordable_by_job, self.offer_pauses, now)
         plan = ScaleOutPlan(scheduler, offers, existing + booting)
         plan.request_for_headroom()
         plan.request_for_jobs(waiting)
--- a/umberward/scheduling/cluster_state.py
+++ b/umberward/scheduling/cluster_state.py
@@ -44,7 +44,7 @@
 INVARIANT_REFUSAL_PAUSE_S = 1.0  # pause of a job after an invariant refused one of its starts
 
 
-class DirectCommand(NamedTuple):
+class CommandMessage(NamedTuple):
     """Task commands sent to a worker immediately, not in the response to a heartbeat."""
 
     machine: MachineId
@@ -91,17 +91,19 @@
         self.loaded = False  # the stored jobs and machines have been read
         # For every machine, either its tasks are known or it certainly runs none.
         self.reconciliation_completed = False
-        self.pass_wanted = True  # a scheduling pass is needed: a change may allow a task to start
+        self.scheduling_pass_needed = (
+            True  # a scheduling pass is needed: a change may allow a task to start
+        )
         self._init_term(fencing_token, now)
         self._init_jobs()
         self._init_machines(now)
         self._init_counters()
-        self.outbox: list[DirectCommand | Probe] = []  # sent by the leader loop
+        self.outbox: list[CommandMessage | Probe] = []  # sent by the leader loop
 
     def _init_term(self, fencing_token: FencingToken, now: Instant) -> None:
         """Initialize the fencing tokens and the times, which are monotonic."""
         self.fencing_token = fencing_token  # current token; increases with each rotation
-        self.term_token = fencing_token  # token at the start of the term
+        self.initial_token = fencing_token  # token at the start of the term
         self.higher_token_seen = FencingToken(0)  # higher token that a worker has reported
         self.token_rotation = TokenRotation()
         self.started_at = now
@@ -110,7 +112,7 @@
         self.last_heartbeat_at = now  # last heartbeat of any worker
         # When the latest successful read of the job records was requested: all earlier
         # cancellations are known. None: the jobs have not been read in this term.
-        self.jobs_read_at: Instant | None = None
+        self.jobs_read_requested_at: Instant | None = None
 
     def _init_jobs(self) -> None:
         """Initialize the fields about jobs."""
@@ -118,14 +120,14 @@
         # Cancelled jobs with tasks that a previous leader placed and that are not located yet.
         self.cancelled_jobs: dict[JobId, Job] = {}
         # The recent cancellations could not be read: any machine may run tasks of cancelled jobs.
-        self.cancellations_unread = False
+        self.recent_cancellations_unknown = False
         # Jobs that may have tasks to place, in the order in which they were added here.
         self.jobs_to_place: dict[JobId, Job] = {}
         self.jobs_to_write: set[JobId] = set()  # jobs with a placement intent or an end to store
         self.precedences_outdated = True
         # Number of placements by preemption key. Most jobs can preempt no placement at all; these
         # counts show it without examining any machine.
-        self.running_by_key: Counter[PreemptionKey] = Counter()
+        self.placement_counts_by_key: Counter[PreemptionKey] = Counter()
 
     def _init_machines(self, now: Instant) -> None:
         """Initialize the fields about machines."""
@@ -163,9 +165,9 @@
             return
         job.priority, job.precedence = priority, precedence
         for placement in job.placements.values():
-            self.running_by_key[placement.preemption_key] -= 1
+            self.placement_counts_by_key[placement.preemption_key] -= 1
             placement.preemption_key = job.preemption_key
-            self.running_by_key[placement.preemption_key] += 1
+            self.placement_counts_by_key[placement.preemption_key] += 1
             machine = self.machines.get(placement.machine)
             if machine is not None:
                 machine.clear_cached_sums()
@@ -262,7 +264,7 @@
         """Add a placement to the machine, the job and the usage of the team's quota."""
         machine.mark_placements_changed()
         machine.placements[placement.task] = placement
-        self.running_by_key[placement.preemption_key] += 1
+        self.placement_counts_by_key[placement.preemption_key] += 1
         self.headroom.placement_added(placement)
         if not placement.intent_stored:
             job.unstored_intents += 1
@@ -282,7 +284,7 @@
             return
         machine.mark_placements_changed()
         machine.placements.pop(placement.task, None)
-        self.running_by_key[placement.preemption_key] -= 1
+        self.placement_counts_by_key[placement.preemption_key] -= 1
         self.headroom.placement_released(placement)
         machine.allocated = (
             machine.allocated.minus(placement.need) if machine.placements else NO_RESOURCES
@@ -290,7 +292,7 @@
         if not machine.placements:
             machine.idle_since = self.now
         self.quota.remove_usage(placement.team, placement.need)
-        self.pass_wanted = True
+        self.scheduling_pass_needed = True
         job = self.jobs.get(placement.task.job)
         if job is not None and not job.ended:
             self._release_task(job, placement, requeue=requeue)
@@ -355,16 +357,16 @@
     def queue_commands(self, machine: Machine, commands: list[TaskCommand]) -> None:
         """Add commands for a worker to its direct command in the outbox, one per worker."""
         for message in self.outbox:
-            if isinstance(message, DirectCommand) and message.machine == machine.id:
+            if isinstance(message, CommandMessage) and message.machine == machine.id:
                 message.commands.extend(commands)
                 return
         self.outbox.append(
-            DirectCommand(
+            CommandMessage(
                 machine.id, machine.address, self.fencing_token, machine.incarnation, list(commands)
             )
         )
 
-    def send_start(self, placement: Placement) -> None:
+    def queue_start(self, placement: Placement) -> None:
         """Queue the start of a task whose intent is stored, unless an invariant refuses it."""
         machine = self.machines[placement.machine]
         job = self.jobs.get(placement.task.job)
--- a/umberward/scheduling/command_queue.py
+++ b/umberward/scheduling/command_queue.py
@@ -10,7 +10,7 @@
 
 from umberward.core.types import MachineId
 from umberward.protocol.wire import START, TaskCommand
-from umberward.scheduling.cluster_state import ClusterState, DirectCommand
+from umberward.scheduling.cluster_state import ClusterState, CommandMessage
 from umberward.scheduling.machines import Machine
 
 
@@ -22,9 +22,9 @@
         self.cluster = cluster
         self.leader_may_start = leader_may_start
         self._inflight: set[MachineId] = set()
-        self._waiting: dict[MachineId, list[DirectCommand]] = {}
+        self._waiting: dict[MachineId, list[CommandMessage]] = {}
 
-    def submit(self, command: DirectCommand) -> DirectCommand | None:
+    def add_and_take_next(self, command: CommandMessage) -> CommandMessage | None:
         """Accept a command, and return what of it is to be sent now.
 
         Return None if the command has to wait, or if no part of it is valid any more.
@@ -34,7 +34,7 @@
             return None
         return self._prepare(command)
 
-    def complete_and_take_next(self, machine_id: MachineId) -> DirectCommand | None:
+    def finish_and_take_next(self, machine_id: MachineId) -> CommandMessage | None:
         """Record that the command in flight was answered or given up; return the next to send."""
         self._inflight.discard(machine_id)
         waiting = self._waiting.pop(machine_id, [])
@@ -50,7 +50,7 @@
                 return prepared
         return None
 
-    def _prepare(self, command: DirectCommand) -> DirectCommand | None:
+    def _prepare(self, command: CommandMessage) -> CommandMessage | None:
         """Return the valid part of a command, counted as in flight; None if there is none."""
         machine = self.cluster.machines.get(command.machine)
         if machine is None:
@@ -73,14 +73,14 @@
         )
 
     @staticmethod
-    def _drop(task_command: TaskCommand, command: DirectCommand, machine: Machine) -> None:
+    def _drop(task_command: TaskCommand, command: CommandMessage, machine: Machine) -> None:
         """Record that a start for the current session is certain not to be sent."""
         started = task_command.started_attempt
         if started is not None and machine.incarnation == command.incarnation:
             machine.inflight_starts.answered(*started)
 
     def _still_valid(
-        self, task_command: TaskCommand, command: DirectCommand, machine: Machine
+        self, task_command: TaskCommand, command: CommandMessage, machine: Machine
     ) -> bool:
         """Whether the command for one task may be sent; only starts can become invalid."""
         if task_command.verb != START:
--- a/umberward/scheduling/command_results.py
+++ b/umberward/scheduling/command_results.py
@@ -9,7 +9,7 @@
 from umberward.core.log import logger
 from umberward.core.types import Instant, parse_task_id
 from umberward.protocol.wire import Heartbeat
-from umberward.scheduling.cluster_state import ClusterState, DirectCommand, Probe
+from umberward.scheduling.cluster_state import ClusterState, CommandMessage, Probe
 from umberward.scheduling.heartbeats import HeartbeatHandler, HeartbeatSource
 from umberward.scheduling.machines import Machine
 from umberward.scheduling.reachability import Reachability
@@ -30,7 +30,7 @@
 
     def command_completed(
         self,
-        command: DirectCommand,
+        command: CommandMessage,
         heartbeat: Heartbeat | None,
         outcome_unknown: bool,  # noqa: FBT001 - the scheduler passes the result on by position
         now: Instant,
@@ -80,12 +80,12 @@
             log.info("machine_probe_unanswered", machine=machine.id, seconds=round(silent_s, 1))
         machine.silent = True
         machine.settled_task_list = None
-        machine.availability_changed()
+        machine.mark_availability_changed()
         self.cluster.silent_machines.add(machine.id)
 
     @staticmethod
     def _record_start_outcomes(
-        machine: Machine, command: DirectCommand, *, outcome_unknown: bool
+        machine: Machine, command: CommandMessage, *, outcome_unknown: bool
     ) -> None:
         """Record the outcome of the starts in a direct command of the current session."""
         for task_command in command.commands:
@@ -100,7 +100,7 @@
                 machine.inflight_starts.answered(task_id, attempt)
 
     def _address_reused(
-        self, machine: Machine, command: DirectCommand, heartbeat: Heartbeat, now: Instant
+        self, machine: Machine, command: CommandMessage, heartbeat: Heartbeat, now: Instant
     ) -> None:
         """Handle a response of another machine that uses this one's address.
 
--- a/umberward/scheduling/deadline_triage.py
+++ b/umberward/scheduling/deadline_triage.py
@@ -40,7 +40,7 @@
     priority: int
 
 
-def choose_late_jobs(jobs: Iterable[DeadlineJob], free_at: float) -> set[JobId]:
+def choose_jobs_to_delay(jobs: Iterable[DeadlineJob], free_at: float) -> set[JobId]:
     """Return the fewest jobs to delay so that all others start in time.
 
     `free_at`: wall-clock time at which the machines will have finished the work that is served
@@ -102,7 +102,7 @@
             # The last task starts before the job's work is done: others still run at that time.
             start_by = self.cluster.serve_by(job, wall_now) + REMAINING_RUN_FRACTION * task_s
             deadline_jobs.append(DeadlineJob(start_by, work / rate, job.id))
-        return choose_late_jobs(deadline_jobs, free_at)
+        return choose_jobs_to_delay(deadline_jobs, free_at)
 
     def _usable_amount(self, kind: _WorkKind) -> float:
         """Return the cores, or accelerators, that such work uses or that are free for it."""
--- a/umberward/scheduling/dependencies.py
+++ b/umberward/scheduling/dependencies.py
@@ -4,7 +4,7 @@
 
 `DependencyGraph` tells from the records read so far which jobs may start, which can never run
 because a dependency was cancelled, and for which this is not known yet. The leader and every
-controller's cache of job states use it, so that all come to the same result. `WaitingJobs` holds
+controller's cache of job states use it, so that all come to the same result. `BlockedJobs` holds
 the leader's waiting jobs and propagates the demand of dependents to their dependencies.
 """
 
@@ -20,7 +20,7 @@
 
 CLASS_DEMAND_WEIGHT = 0.1  # weight of one job in the moving average of its class
 # Demand is expected for a class if more than this fraction of its jobs had dependents.
-EXPECTED_DEMAND_SHARE = 0.5
+EXPECTED_DEMAND_FRACTION = 0.5
 
 
 class DependencyGraph:
@@ -55,7 +55,7 @@
         """Note that the job is live: it has not ended yet and need not be looked up."""
         self.unresolved_dependency_ids.pop(job_id, None)
 
-    def note_started(self, job_id: JobId) -> None:
+    def note_not_waiting(self, job_id: JobId) -> None:
         """Note that, according to its record, the job no longer waits for dependencies."""
         self._remove(job_id)
 
@@ -128,7 +128,7 @@
                 to_visit.extend(self.dependents.get(job_id, ()))
 
 
-class WaitingJobs:
+class BlockedJobs:
     """The leader's jobs that wait for dependencies.
 
     They are not in `ClusterState.jobs`, so that placement and autoscaling ignore them.
@@ -191,7 +191,7 @@
         """
         share, priority = self.class_demand.get(job.spec.job_class, (0.0, job.priority))
         guaranteed, own_priority = job.precedence
-        if share > EXPECTED_DEMAND_SHARE:
+        if share > EXPECTED_DEMAND_FRACTION:
             return (guaranteed, min(own_priority, priority))
         return (guaranteed, own_priority)
 
@@ -214,7 +214,7 @@
         if job.spec.deadline_s is not None:
             finish_by = min(finish_by, job.submitted_at + job.spec.deadline_s)
         return DependentDemand(
-            min(priority, wire.PRIORITIES[job.spec.priority]),
+            min(priority, wire.JOB_PRIORITIES[job.spec.priority]),
             finish_by - self.cluster.expected_duration_s(job),
         )
 
@@ -259,8 +259,8 @@
         else:
             self.demands[job_id] = demand
         job = self.cluster.jobs.get(job_id) or self.jobs.get(job_id)
-        if job is not None and demand.priority < wire.PRIORITIES[job.spec.priority]:
+        if job is not None and demand.priority < wire.JOB_PRIORITIES[job.spec.priority]:
             share, _ = self.class_demand.get(job.spec.job_class, (1.0, 0))
             self.class_demand[job.spec.job_class] = (share, demand.priority)
         if job_id in self.cluster.jobs:
-            self.cluster.precedences_outdated = self.cluster.pass_wanted = True
+            self.cluster.precedences_outdated = self.cluster.scheduling_pass_needed = True
--- a/umberward/scheduling/failure_attribution.py
+++ b/umberward/scheduling/failure_attribution.py
@@ -152,7 +152,7 @@
         job.failed_machines.add(machine.id)
         job.task_failed(task_id.number, machine.id, now)
         self.undecided[job.id] = job
-        if job.failure_ignored_for_machines(task_id.number):
+        if job.failures_blamed_on_job(task_id.number):
             self._update_quarantines(job, now)
         self._update_quarantine(machine, now)
 
@@ -189,7 +189,7 @@
             job.faulty = False
             job.retry_not_before = 0.0
         self._update_quarantines(job, now)
-        self.cluster.pass_wanted = True
+        self.cluster.scheduling_pass_needed = True
 
     # ---- machines ----------------------------------------------------------------------------
 
@@ -205,12 +205,12 @@
         failures = self._count_failures(machine)
         if failures >= QUARANTINE_AFTER_FAILURES and machine.quarantined_since is None:
             machine.quarantined_since = now
-            machine.availability_changed()
+            machine.mark_availability_changed()
             log.info("machine_quarantined", machine=machine.id, failures=failures)
         elif failures < QUARANTINE_AFTER_FAILURES and machine.quarantined_since is not None:
             machine.quarantined_since = None
-            machine.availability_changed()
-            self.cluster.pass_wanted = True
+            machine.mark_availability_changed()
+            self.cluster.scheduling_pass_needed = True
             log.info("machine_released_from_quarantine", machine=machine.id)
 
     def _count_failures(self, machine: Machine) -> int:
@@ -221,7 +221,7 @@
                 job, number = self.cluster.jobs.get(failed.job), failed.number
             else:
                 job, number = self.cluster.jobs.get(failed), 0
-            if job is None or not job.failure_ignored_for_machines(number):
+            if job is None or not job.failures_blamed_on_job(number):
                 # Repeated failures of one task say no more about a machine than one failure.
                 count += min(times, 1) if isinstance(failed, TaskId) else times
         return count
--- a/umberward/scheduling/failure_detector.py
+++ b/umberward/scheduling/failure_detector.py
@@ -99,7 +99,7 @@
         interval_fraction = min(1.0, MIN_EVENLY_SPREAD_WORKERS / self.confirmed_machine_count)
         return now - self.cluster.last_heartbeat_at > self._heartbeat_overdue_s(interval_fraction)
 
-    def is_isolated(self, now: Instant) -> bool:
+    def receives_few_heartbeats(self, now: Instant) -> bool:
         """Whether all but a few workers seem to be unreachable for this leader."""
         if (
             now - self.cluster.started_at
@@ -116,13 +116,13 @@
             and self.reporting_machine_count < MIN_REPORTING_FRACTION * self.confirmed_machine_count
         )
 
-    def no_heartbeat_this_term(self, now: Instant) -> bool:
+    def received_no_heartbeat_this_term(self, now: Instant) -> bool:
         """Whether no machine has sent a message since the term began, although each should have.
 
         By now each reachable machine should have sent a heartbeat or answered a probe.
-        `all_workers_silent` and `is_isolated` rely on machines confirmed in this term, and a new
-        leader that is cut off has none. All machines may also be down, so this alone is no reason
-        to step down.
+        `all_workers_silent` and `receives_few_heartbeats` rely on machines confirmed in this term,
+        and a new leader that is cut off has none. All machines may also be down, so this alone is
+        no reason to step down.
         """
         if now - self.cluster.started_at < self._heartbeat_overdue_s():
             return False
@@ -157,7 +157,7 @@
         ]
         self._mark_unless_cut_off(silent, reclaimed, now)
 
-    def delegate(
+    def issue_delegation(
         self,
         delegate: ControllerName,
         last_sequence: int,
@@ -170,7 +170,7 @@
         it has renewed no session since it requested that one. Return None while this leader has
         read no jobs and so knows of no cancellations.
         """
-        if self.cluster.jobs_read_at is None:
+        if self.cluster.jobs_read_requested_at is None:
             return None
         zone = self.delegator.delegates.get(delegate)
         delegation_sequence = self.delegator.issue(delegate, last_sequence, now, unused=unused)
@@ -179,7 +179,7 @@
             if machine.zone == zone and self._may_delegate(machine, now):
                 machine.delegated_at = now
                 machine_ids.append(str(machine.id))
-        jobs_read_age_s = max(0.0, now - self.cluster.jobs_read_at)
+        jobs_read_age_s = max(0.0, now - self.cluster.jobs_read_requested_at)
         return Delegation(
             self.cluster.fencing_token, delegation_sequence, jobs_read_age_s, machine_ids
         )
@@ -195,7 +195,7 @@
         for job in self.cluster.jobs.values():
             job.requeue_unlocated()
             self.cluster.jobs_to_place[job.id] = job
-        self.cluster.pass_wanted = True
+        self.cluster.scheduling_pass_needed = True
         log.info("reconciliation_completed", after_s=round(now - self.cluster.started_at, 1))
 
     # ---- silence of all machines -------------------------------------------------------------
@@ -240,9 +240,7 @@
         elif self.isolation_suspected_since is None:
             self.isolation_suspected_since = now
             candidates = [
-                m
-                for m in self.cluster.machines.values()
-                if m.confirmed_in_term and not m.deletion_requested
+                m for m in self.cluster.machines.values() if m.confirmed_in_term and not m.draining
             ]
             sample_size = min(MAX_PROBED_WORKERS, len(candidates))
             for machine in self.cluster.rng.sample(candidates, sample_size):
@@ -260,7 +258,7 @@
         silent = []
         for machine_id in self.cluster.silent_machines:
             machine = self.cluster.machines.get(machine_id)
-            if machine is None or not machine.silent or machine.deletion_requested:
+            if machine is None or not machine.silent or machine.draining:
                 continue
             if (
                 machine.suspected_unreachable_since is None
@@ -339,10 +337,6 @@
             machine.reconciled
             and machine.token_seen == self.cluster.fencing_token
             and now - machine.last_message_at < self.cluster.heartbeat_timeout_s()
-            and not (
-                machine.tasks_without_placement
-                or machine.deletion_requested
-                or machine.lease_expired
-            )
+            and not (machine.tasks_without_placement or machine.draining or machine.lease_expired)
             and not (machine.has_stopping_tasks or self.cluster.has_unwanted_start(machine))
         )
--- a/umberward/scheduling/headroom.py
+++ b/umberward/scheduling/headroom.py
@@ -23,7 +23,7 @@
     Resources,
     ZoneName,
 )
-from umberward.protocol.wire import PRIORITIES, JobSpec, MachineType
+from umberward.protocol.wire import JOB_PRIORITIES, JobSpec, MachineType
 from umberward.scheduling.jobs import Job, Placement
 from umberward.scheduling.machines import Machine
 
@@ -31,7 +31,7 @@
 # A task is brief if it takes at most this fraction of the time within which accelerated work should
 # start.
 BRIEF_TASK_FRACTION = 0.3
-HIGHEST_PRIORITY = min(PRIORITIES.values())
+HIGHEST_PRIORITY = min(JOB_PRIORITIES.values())
 
 # Penalties per core of other work on a machine, by how long that work is likely to stay.
 REPLICA_WEIGHT = 20.0
@@ -95,7 +95,7 @@
     def restore(self, spec: JobSpec, need: Resources, peak: float) -> None:
         """Restore the demand that the previous leader recorded, unless this one has more."""
         self.peak = max(self.peak, peak)
-        self.lowest_priority = max(self.lowest_priority, PRIORITIES[spec.priority])
+        self.lowest_priority = max(self.lowest_priority, JOB_PRIORITIES[spec.priority])
         if self.latest_accelerated_spec is None:
             self.latest_accelerated_spec = spec
         self._update_largest_accelerator_need(need)
--- a/umberward/scheduling/heartbeat_forwarding.py
+++ b/umberward/scheduling/heartbeat_forwarding.py
@@ -70,7 +70,9 @@
         """Start without workers."""
         self.redirected: OrderedDict[MachineId, WorkerRoute] = OrderedDict()
 
-    def should_forward(self, machine_id: MachineId, leader: ControllerName, now: Instant) -> bool:
+    def decide_forwarding(
+        self, machine_id: MachineId, leader: ControllerName, now: Instant
+    ) -> bool:
         """Decide whether to forward this heartbeat to the leader, and record the decision.
 
         If it is not forwarded, the worker is to be redirected.
--- a/umberward/scheduling/heartbeats.py
+++ b/umberward/scheduling/heartbeats.py
@@ -23,7 +23,7 @@
 )
 from umberward.protocol import wire
 from umberward.protocol.wire import Heartbeat, TaskCommand
-from umberward.scheduling.cluster_state import ClusterState, DirectCommand, Probe
+from umberward.scheduling.cluster_state import ClusterState, CommandMessage, Probe
 from umberward.scheduling.failure_attribution import FailureAttribution
 from umberward.scheduling.machines import Machine
 from umberward.scheduling.reachability import Reachability
@@ -147,7 +147,7 @@
             or header.sequence <= machine.sequence
             or header.fencing_token != self.cluster.fencing_token
             or header.preemption_notice_s is not None
-            or machine.deletion_requested
+            or machine.draining
             or machine.silent
             or machine.lease_expired
             or not machine.confirmed_in_term
@@ -156,7 +156,7 @@
             or machine.settled_task_list != bytes(header.tasks)
         ):
             return False
-        machine.last_message_at = machine.heartbeat_at = machine.answered_at = (
+        machine.last_message_at = machine.heartbeat_at = machine.lease_started_at = (
             self.cluster.last_heartbeat_at
         ) = now
         machine.sequence = machine.answered_sequence = SequenceNumber(header.sequence)
@@ -173,11 +173,7 @@
             and machine.reconciled
             and machine.block_number is not None
             and machine.reclaim_at is None
-            and not (
-                machine.exited_tasks
-                or machine.tasks_without_placement
-                or machine.deletion_requested
-            )
+            and not (machine.exited_tasks or machine.tasks_without_placement or machine.draining)
             and all(
                 placement.seen_on_worker and placement.stop_grace_s is None
                 for placement in machine.placements.values()
@@ -227,7 +223,7 @@
         cancelled before the cloud deletes the machine must end with its lease, which must therefore
         not be renewed.
         """
-        return heartbeat.incarnation >= machine.min_incarnation and not machine.deletion_requested
+        return heartbeat.incarnation >= machine.min_incarnation and not machine.draining
 
     # ---- session ---------------------------------------------------------------------------
 
@@ -241,7 +237,7 @@
         """
         if heartbeat.sequence > machine.answered_sequence:
             machine.answered_sequence = SequenceNumber(heartbeat.sequence)
-            machine.answered_at = now
+            machine.lease_started_at = now
             self.reachability.periodic_heartbeat_received(machine, now)
         else:
             self._count_duplicate(machine, heartbeat, now)
@@ -266,7 +262,7 @@
         """Apply what a newer heartbeat reports about the machine, except its tasks."""
         periodic = source is HeartbeatSource.PERIODIC
         machine.settled_task_list = None
-        machine.availability_changed()
+        machine.mark_availability_changed()
         # The first periodic heartbeat that a new leader receives may be an old duplicate. The
         # machine is confirmed once it has responded or sent a newer heartbeat.
         machine.confirmed_in_term = (
@@ -275,7 +271,7 @@
         machine.last_message_at = self.cluster.last_heartbeat_at = now
         if periodic and machine.silent:
             # After an unanswered probe, a heartbeat does not prove that the machine receives.
-            self.reachability.heard_after_silence(machine, now)
+            self.reachability.suspect_after_silence(machine, now)
         machine.silent = machine.lease_expired = False
         machine.address = heartbeat.address
         if heartbeat.incarnation > machine.incarnation:
@@ -312,7 +308,7 @@
         # Until it is answered, the worker's lease runs from the start of its session, which was
         # before this heartbeat, whatever its source. When the previous session was last answered
         # is irrelevant to this one.
-        machine.answered_at = now
+        machine.lease_started_at = now
 
     def _apply_preemption_notice(self, machine: Machine, notice_s: float, now: Instant) -> None:
         """Record that the cloud deletes the spot machine in `notice_s` seconds."""
@@ -341,11 +337,11 @@
         If so, mark the machine as reconciled; if not, add the command or probe that must come
         first to the outbox.
         """
-        if heartbeat.fencing_token < self.cluster.term_token:
+        if heartbeat.fencing_token < self.cluster.initial_token:
             # The worker could still execute a delayed command of a previous leader. An empty
             # command first raises the worker's token.
             self.cluster.outbox.append(
-                DirectCommand(
+                CommandMessage(
                     machine.id,
                     machine.address,
                     self.cluster.fencing_token,
@@ -362,6 +358,6 @@
             return False
         machine.reconciled = True
         # A previous leader may have answered the worker until it saw this leader's token.
-        machine.answered_at = now
-        self.cluster.pass_wanted = True
+        machine.lease_started_at = now
+        self.cluster.scheduling_pass_needed = True
         return True
--- a/umberward/scheduling/job_records.py
+++ b/umberward/scheduling/job_records.py
@@ -51,7 +51,7 @@
         log.error("record_malformed", key=key, error=error)  # noqa: TRY400 - no traceback
 
 
-def apply_unknown_job(
+def apply_missing_job(
     scheduler: Scheduler, job_id: JobId, found: VersionedValue, now: Instant
 ) -> None:
     """Apply the live record of a job that is missing from the leader's state.
--- a/umberward/scheduling/jobs.py
+++ b/umberward/scheduling/jobs.py
@@ -56,7 +56,7 @@
     finish_by: float
 
 
-NO_DEMAND = DependentDemand(max(wire.PRIORITIES.values()), math.inf)
+NO_DEMAND = DependentDemand(max(wire.JOB_PRIORITIES.values()), math.inf)
 
 
 class Job:
@@ -77,7 +77,7 @@
         self.id = JobId(spec.job_id)
         self.team = TeamName(spec.team)
         self.need = Resources(spec.cores, spec.accelerators, spec.mem_gb)
-        self.priority = wire.PRIORITIES[spec.priority]
+        self.priority = wire.JOB_PRIORITIES[spec.priority]
         self.gang = spec.kind == wire.GANG
         self.service = spec.kind == wire.SERVICE
         self.size = spec.task_count
@@ -108,7 +108,7 @@
             self.done_below, self.done_bitmap = self.size, 0
         self.placements: dict[int, Placement] = {}
         self.unstored_intents = 0  # placements whose intent is not committed yet
-        self.next_fresh_task = self.placed_below  # tasks from here on were never started
+        self.next_unstarted_task = self.placed_below  # tasks from here on were never started
         self.requeued_tasks: list[int] = []  # tasks to start again, ascending
         # Tasks that a previous leader may have placed and that are not located yet: they may be on
         # a machine that has sent no heartbeat to this leader.
@@ -246,7 +246,7 @@
         return self.done_count >= self.size
 
     @property
-    def end_unwritten(self) -> bool:
+    def has_end_to_write(self) -> bool:
         """Whether the job's end is still to be written to the state service.
 
         A completed job is removed once its end is written.
@@ -263,14 +263,14 @@
     def startable_count(self) -> int:
         """Return the number of tasks that could be placed now."""
         end = min(self.size, self.done_below + self.window)
-        return len(self.requeued_tasks) + max(0, end - self.next_fresh_task)
+        return len(self.requeued_tasks) + max(0, end - self.next_unstarted_task)
 
     def dequeue_task(self) -> int:
         """Take the next task to place; the caller must requeue it if it is not placed."""
         if self.requeued_tasks:
             return self.requeued_tasks.pop(0)
-        self.next_fresh_task += 1
-        return self.next_fresh_task - 1
+        self.next_unstarted_task += 1
+        return self.next_unstarted_task - 1
 
     def requeue_task(self, index: int) -> None:
         """Requeue a task unless it is queued or done."""
@@ -304,7 +304,7 @@
             self.requeue_task(index)
         self.unlocated_tasks.clear()
 
-    def count_lost_tasks(self) -> int:
+    def count_unaccounted_tasks(self) -> int:
         """Return the number of unaccounted tasks.
 
         These are neither done nor placed, queued, unlocated or never started; there should be none.
@@ -316,12 +316,12 @@
             + len(self.unlocated_tasks)
             + len(self.requeued_tasks)
         )
-        return max(0, self.size - known - max(0, self.size - self.next_fresh_task))
+        return max(0, self.size - known - max(0, self.size - self.next_unstarted_task))
 
     def is_unaccounted(self, index: int) -> bool:
         """Return whether a task that was started is neither done nor placed nor queued.
 
-        Unlike `count_lost_tasks`, this does not test whether it is unlocated.
+        Unlike `count_unaccounted_tasks`, this does not test whether it is unlocated.
         """
         position = bisect.bisect_left(self.requeued_tasks, index)
         queued = self._requeued_at(position, index)
@@ -340,7 +340,7 @@
         """
         raise NotImplementedError
 
-    def failure_ignored_for_machines(self, index: int) -> bool:  # noqa: ARG002 - subclasses use it
+    def failures_blamed_on_job(self, index: int) -> bool:  # noqa: ARG002 - subclasses use it
         """Return whether failures of this task must not count against machines."""
         return self.faulty
 
--- a/umberward/scheduling/lease_bounds.py
+++ b/umberward/scheduling/lease_bounds.py
@@ -20,14 +20,14 @@
 class LeaseBounds:
     """Durations in seconds after which a worker's session is certain to be over.
 
-    They follow from the workers' settings. Let `jobs_read_at` be the time at which the latest
-    answered read of the jobs was *requested*: a cancellation unknown to the controller was
-    confirmed after it. A response sent at t < jobs_read_at + renewal_window_s answers a heartbeat
-    that was sent before t, so the session that it renews is over by
+    They follow from the workers' settings. Let `jobs_read_requested_at` be the time at which the
+    latest answered read of the jobs was *requested*: a cancellation unknown to the controller was
+    confirmed after it. A response sent at t < jobs_read_requested_at + renewal_window_s answers a
+    heartbeat that was sent before t, so the session that it renews is over by
 
         t + lease_s * CLOCK_DRIFT_FACTOR
-            < jobs_read_at + (renewal_window_s + lease_s) * CLOCK_DRIFT_FACTOR
-            = jobs_read_at + cancel_s - LEASE_MARGIN_S
+            < jobs_read_requested_at + (renewal_window_s + lease_s) * CLOCK_DRIFT_FACTOR
+            = jobs_read_requested_at + cancel_s - LEASE_MARGIN_S
 
     by any of the clocks, and so within `cancel_s` of the cancellation. `lease_renewed_at`, the
     time at which the latest granted renewal of the leader's own lease was *sent*, is a bound in
@@ -35,8 +35,8 @@
     this controller renewed being over `takeover_s` after its election.
 
     Attributes:
-        renewal_window_s: how long after `jobs_read_at` responses may renew sessions; 0 if the
-            settings leave no time for renewals without the state service.
+        renewal_window_s: how long after `jobs_read_requested_at` responses may renew sessions; 0 if
+            the settings leave no time for renewals without the state service.
         lease_s: time from when a response is ready until the session that it renews is certain to
             be over; not the setting `lease_s`, from which it differs by clock drift and a margin.
         delegated_lease_s: time from the delegation of a machine until its session is certain to be
@@ -54,24 +54,27 @@
         self.delegated_lease_s = workers.cancel_s * CLOCK_DRIFT_FACTOR + LEASE_MARGIN_S
         self.takeover_s = workers.cancel_s * CLOCK_DRIFT_FACTOR + 2 * LEASE_MARGIN_S
 
-    def may_answer(
-        self, jobs_read_at: Instant | None, lease_renewed_at: Instant, now: Instant
+    def may_answer_heartbeat(
+        self, jobs_read_requested_at: Instant | None, lease_renewed_at: Instant, now: Instant
     ) -> bool:
         """Whether a heartbeat may be answered, which renews its worker's session.
 
         To be called when the response is sent, by the controller that answers, with times of its
-        own monotonic clock. `jobs_read_at` is None if the leader has read no jobs in this term: it
-        knows of no cancellations and must not answer.
+        own monotonic clock. `jobs_read_requested_at` is None if the leader has read no jobs in this
+        term: it knows of no cancellations and must not answer.
         """
-        return jobs_read_at is not None and now < (
-            min(jobs_read_at, lease_renewed_at) + self.renewal_window_s
+        return jobs_read_requested_at is not None and now < (
+            min(jobs_read_requested_at, lease_renewed_at) + self.renewal_window_s
         )
 
-    def may_start(self, jobs_read_at: Instant | None, now: Instant) -> bool:
+    def may_start(self, jobs_read_requested_at: Instant | None, now: Instant) -> bool:
         """Whether a leader may start a task; to be called when the start is sent.
 
-        A cancellation unknown to the leader was confirmed after `jobs_read_at`. So a start of a
-        cancelled task is sent less than MAX_JOBS_READ_AGE_TO_START_S after the cancellation,
-        however late the leader learns of it.
+        A cancellation unknown to the leader was confirmed after `jobs_read_requested_at`. So a
+        start of a cancelled task is sent less than MAX_JOBS_READ_AGE_TO_START_S after the
+        cancellation, however late the leader learns of it.
         """
-        return jobs_read_at is not None and now < jobs_read_at + MAX_JOBS_READ_AGE_TO_START_S
+        return (
+            jobs_read_requested_at is not None
+            and now < jobs_read_requested_at + MAX_JOBS_READ_AGE_TO_START_S
+        )
--- a/umberward/scheduling/lease_delegation.py
+++ b/umberward/scheduling/lease_delegation.py
@@ -69,14 +69,14 @@
         self,
         workers: WorkerTimes,
         delegates: dict[ControllerName, ZoneName],
-        term_token: int,
+        initial_token: int,
     ) -> None:
-        """`delegates` maps the other controllers to their zones; `term_token` begins the term."""
+        """`delegates`: the other controllers with their zones; `initial_token` begins the term."""
         self.bounds = LeaseBounds(workers)
         self.delegates = delegates
         self.zones = set(delegates.values())
         # Derived from the term's token, so that no two leaders issue the same number.
-        self._last_sequence = term_token << DELEGATION_SEQUENCE_BITS
+        self._last_sequence = initial_token << DELEGATION_SEQUENCE_BITS
         self._issued: dict[ControllerName, _IssuedDelegation] = {}
         self._acknowledged_sequences: dict[ControllerName, int] = {}
         self._unused: dict[ControllerName, _UnusedPeriod] = {}
@@ -146,7 +146,8 @@
         self.serial = 0  # sequence number of the current delegation
         self.fencing_token = FencingToken(0)  # that of the leader that issued it
         self.machine_ids: frozenset[str] = frozenset()  # whose heartbeats may be answered
-        self.jobs_read_at = Instant(0.0)  # the leader knew of all cancellations up to then
+        # The leader knew of all cancellations up to then.
+        self.jobs_read_requested_at = Instant(0.0)
         self.requested_at = Instant(0.0)  # when the current delegation was requested
         self.leader_responded_at = Instant(0.0)  # when the leader last responded
         self.last_used_at = Instant(-1.0)  # when a delegation was last used
@@ -165,11 +166,11 @@
         self.serial = delegation.serial
         self.fencing_token = FencingToken(delegation.fencing_token)
         self.machine_ids = frozenset(delegation.machine_ids)
-        self.jobs_read_at = Instant(requested_at - delegation.jobs_read_age_s)
+        self.jobs_read_requested_at = Instant(requested_at - delegation.jobs_read_age_s)
         self.requested_at = requested_at
         self.leader_responded_at = now
 
-    def may_answer(self, machine_id: MachineId, fencing_token: int, now: Instant) -> bool:
+    def claim_answer(self, machine_id: MachineId, fencing_token: int, now: Instant) -> bool:
         """Whether a worker's heartbeat may be answered; if so, the delegation counts as used.
 
         `fencing_token` is the highest that the worker has seen; a delegation is valid only for the
@@ -177,7 +178,9 @@
         """
         if (
             fencing_token != self.fencing_token
-            or not self.bounds.may_answer(self.jobs_read_at, self.requested_at, now)
+            or not self.bounds.may_answer_heartbeat(
+                self.jobs_read_requested_at, self.requested_at, now
+            )
             or now - self.leader_responded_at <= LEADER_REACHABLE_S
             or machine_id not in self.machine_ids
         ):
--- a/umberward/scheduling/machine_blocks.py
+++ b/umberward/scheduling/machine_blocks.py
@@ -61,7 +61,7 @@
         for machine in machines:
             if machine.block_number in (None, number):
                 machine.block_number = number
-                machine.availability_changed()
+                machine.mark_availability_changed()
                 machine_ids.add(machine.id)
             else:
                 # The machine had moved to another block, but the previous leader's term ended
@@ -159,7 +159,7 @@
             machine = self._cluster.machines.get(machine_id)
             if machine is not None:
                 machine.block_number = number
-                machine.availability_changed()
+                machine.mark_availability_changed()
 
     def _accepts_machine(self, number: int) -> bool:
         block = self._blocks.setdefault(number, MachineBlock())
--- a/umberward/scheduling/machine_checks.py
+++ b/umberward/scheduling/machine_checks.py
@@ -65,7 +65,7 @@
     def _check_silence(self, machine: Machine, now: Instant) -> Instant:
         """Probe a machine that has been silent for longer than the heartbeat timeout."""
         timeout_s = self.cluster.heartbeat_timeout_s()
-        if machine.deletion_requested:
+        if machine.draining:
             return Instant(now + timeout_s)
         if not machine.probe_inflight and now - machine.last_message_at > timeout_s:
             self.reachability.send_probe(machine)
@@ -77,7 +77,7 @@
         """Report a machine that answers but has sent no periodic heartbeat for too long."""
         if machine.no_heartbeats_since is not None:
             return NO_CHECK_DUE
-        if machine.silent or machine.deletion_requested:
+        if machine.silent or machine.draining:
             return NO_CHECK_DUE
         if now - machine.heartbeat_at > self.reachability.heartbeats_missing_after_s:
             self.reachability.heartbeats_missing(machine, now)
@@ -99,20 +99,20 @@
 
     def _check_lease(self, machine: Machine, now: Instant) -> Instant:
         """Expire the lease of a reconciled machine; its worker has then killed all tasks."""
-        if machine.answered_at is None:
+        if machine.lease_started_at is None:
             return NO_CHECK_DUE
         if self.delegator.lease_expired(
-            machine.zone, machine.answered_at, machine.delegated_at, now
+            machine.zone, machine.lease_started_at, machine.delegated_at, now
         ):
             self._expire_lease(machine)
             return NO_CHECK_DUE
-        return Instant(machine.answered_at + self.delegator.bounds.lease_s)
+        return Instant(machine.lease_started_at + self.delegator.bounds.lease_s)
 
     def _expire_lease(self, machine: Machine) -> None:
         self.cluster.release_all_placements(machine, "lease over")
         machine.min_incarnation = Incarnation(machine.incarnation + 1)
-        machine.answered_at = None
+        machine.lease_started_at = None
         machine.lease_expired = True
-        machine.availability_changed()
+        machine.mark_availability_changed()
         # A late heartbeat of the expired session must not be accepted without decoding it.
         machine.settled_task_list = None
--- a/umberward/scheduling/machines.py
+++ b/umberward/scheduling/machines.py
@@ -61,7 +61,7 @@
     answered_sequence: SequenceNumber = field(init=False, default=SequenceNumber(-1))
     # Latest possible start of its lease: when a heartbeat was last answered, a session was first
     # observed or the machine was reconciled. None: no lease.
-    answered_at: Instant | None = field(init=False, default=None)
+    lease_started_at: Instant | None = field(init=False, default=None)
     # When another controller was last allowed to answer its heartbeats (`lease_delegation`).
     delegated_at: Instant | None = field(init=False, default=None)
     token_seen: FencingToken = field(init=False, default=FencingToken(0))
@@ -122,7 +122,7 @@
     # ---- deletion (`autoscaler`) ----
     reclaim_at: Instant | None = field(init=False, default=None)  # when the cloud will reclaim it
     # It gets no new tasks and is to be deleted, or was deleted, by the cloud.
-    deletion_requested: bool = field(init=False, default=False)
+    draining: bool = field(init=False, default=False)
 
     # Cached sums over the placements, needed in each pass; None: to be recomputed.
     _free: tuple[MachineType, Resources] | None = field(init=False, default=None)
@@ -141,13 +141,13 @@
 
     # ---- changes -----------------------------------------------------------------------------
 
-    def availability_changed(self) -> None:
+    def mark_availability_changed(self) -> None:
         """Record that the machine or its resources may have become schedulable or unschedulable."""
         self.changed_machines[self.id] = None
 
     def mark_placements_changed(self) -> None:
         """Record that a task was added, released or is being stopped."""
-        self.availability_changed()
+        self.mark_availability_changed()
         self.settled_task_list = None
         self._free = None
         self.clear_cached_sums()
@@ -180,7 +180,7 @@
             and self.reclaim_at is None
             and not (
                 self.quarantined
-                or self.deletion_requested
+                or self.draining
                 or self.silent
                 or self.lease_expired
                 or self.tasks_without_placement
--- a/umberward/scheduling/offer_selection.py
+++ b/umberward/scheduling/offer_selection.py
@@ -46,17 +46,17 @@
         self,
         scheduler: Scheduler,
         affordable_by_job: Mapping[JobId, AffordableMachines],
-        no_capacity_until: Mapping[MachineOffer, tuple[Instant, float]],
+        offer_pauses: Mapping[MachineOffer, tuple[Instant, float]],
         now: Instant,
     ) -> None:
         """`affordable_by_job`: the jobs that wait for affordable machines, with these.
 
-        `no_capacity_until`: by refused offer, the time of the leader's monotonic clock before which
+        `offer_pauses`: by refused offer, the time of the leader's monotonic clock before which
         it is not requested again, and the pause in seconds.
         """
         self.scheduler = scheduler
         self.affordable_by_job = affordable_by_job
-        self.no_capacity_until = no_capacity_until
+        self.offer_pauses = offer_pauses
         self.now = now
         self.requested: dict[MachineOffer, int] = {}  # machine counts, in order of first request
 
@@ -70,7 +70,7 @@
 
     def is_available(self, offer: MachineOffer) -> bool:
         """Tell whether the offer is not paused after a refusal by the cloud."""
-        until, _ = self.no_capacity_until.get(offer, NO_PAUSE)
+        until, _ = self.offer_pauses.get(offer, NO_PAUSE)
         return until <= self.now
 
     def cheapest(
--- a/umberward/scheduling/placement_pass.py
+++ b/umberward/scheduling/placement_pass.py
@@ -118,7 +118,7 @@
     def run(self, now: Instant) -> None:
         """Place every job that has room; `now` is a time of the leader's monotonic clock."""
         cluster = self.cluster
-        cluster.pass_wanted = False
+        cluster.scheduling_pass_needed = False
         if not cluster.loaded:
             return
         waiting, state = self._prepare(now)
@@ -319,7 +319,7 @@
         if not chosen:
             return
         self.attempt_count += 1
-        attempt = Attempt((self.cluster.term_token << ATTEMPT_COUNTER_BITS) + self.attempt_count)
+        attempt = Attempt((self.cluster.initial_token << ATTEMPT_COUNTER_BITS) + self.attempt_count)
         for index, machine_id in self._assign_tasks(job, chosen):
             machine = self.cluster.machines[machine_id]
             task = TaskId(job.id, index)
@@ -330,7 +330,7 @@
             self.cluster.add_placement(machine, job, placement)
             free[machine_id] = free[machine_id].minus(job.need)
             if placement.intent_stored:
-                self.cluster.send_start(placement)
+                self.cluster.queue_start(placement)
 
     def _assign_tasks(self, job: Job, chosen: list[MachineId]) -> list[tuple[int, MachineId]]:
         """Return pairs of task index and machine; requeue the tasks that get no machine.
--- a/umberward/scheduling/preemptable_work.py
+++ b/umberward/scheduling/preemptable_work.py
@@ -52,7 +52,7 @@
     def _find_rooms(self, key: PreemptionKey) -> dict[MachineId, tuple[Machine, Resources]]:
         preemptable_keys = {
             other
-            for other, count in self.cluster.running_by_key.items()
+            for other, count in self.cluster.placement_counts_by_key.items()
             if count > 0 and may_preempt(key, other)
         }
         rooms: dict[MachineId, tuple[Machine, Resources]] = {}
--- a/umberward/scheduling/reachability.py
+++ b/umberward/scheduling/reachability.py
@@ -71,10 +71,10 @@
             self.suspected[machine.id] = machine
         if mark_unreachable and not machine.unreachable:
             machine.unanswered_probes = UNREACHABLE_AFTER_PROBES
-            machine.availability_changed()
+            machine.mark_availability_changed()
         self._probe_if_due(machine, now)
 
-    def heard_after_silence(self, machine: Machine, now: Instant) -> None:
+    def suspect_after_silence(self, machine: Machine, now: Instant) -> None:
         """Suspect a machine that left a probe unanswered and now sends heartbeats again.
 
         The time for which it was silent does not show for how long it has received nothing, so
@@ -91,7 +91,10 @@
         seems not to have reached the worker.
         """
         min_answered_session_s = self.cluster.worker_times.lease_s - WORKER_RESPONSE_TIMEOUT_S
-        if machine.answered_at is not None and now - machine.answered_at < min_answered_session_s:
+        if (
+            machine.lease_started_at is not None
+            and now - machine.lease_started_at < min_answered_session_s
+        ):
             self.suspect_unreachable(machine, now, mark_unreachable=True)
         machine.incarnation_since = now
 
@@ -119,8 +122,8 @@
                 machine=machine.id,
                 after_s=round(now - machine.suspected_unreachable_since, 1),
             )
-            machine.availability_changed()
-            self.cluster.pass_wanted = True
+            machine.mark_availability_changed()
+            self.cluster.scheduling_pass_needed = True
         machine.suspected_unreachable_since = None
         machine.unanswered_probes = 0
         self.suspected.pop(machine.id, None)
@@ -131,7 +134,7 @@
             return
         machine.unanswered_probes += 1
         if machine.unanswered_probes == UNREACHABLE_AFTER_PROBES:
-            machine.availability_changed()
+            machine.mark_availability_changed()
             log.info("machine_unreachable", machine=machine.id, tasks=len(machine.placements))
             self._stop_waiting_gangs(machine)
 
@@ -148,15 +151,15 @@
             )
             machine.no_heartbeats_since = None
             del self.without_heartbeats[machine.id]
-            machine.availability_changed()
-            self.cluster.pass_wanted = True
+            machine.mark_availability_changed()
+            self.cluster.scheduling_pass_needed = True
 
     def heartbeats_missing(self, machine: Machine, now: Instant) -> None:
         """Record that heartbeats have been missing for too long; probe responses renew no lease."""
         log.info("machine_heartbeats_missing", machine=machine.id, tasks=len(machine.placements))
         machine.no_heartbeats_since = now
         self.without_heartbeats[machine.id] = machine
-        machine.availability_changed()
+        machine.mark_availability_changed()
 
     # ---- probes and deletion -----------------------------------------------------------------
 
@@ -181,25 +184,27 @@
         machines = {**self.suspected, **self.without_heartbeats}
         return [m for m in machines.values() if m.partially_reachable and not m.silent]
 
-    def many_unreachable(self) -> bool:
+    def many_partially_reachable(self) -> bool:
         """Whether more machines are partially reachable than independent failures explain.
 
         They are expected to recover, so no replacements are requested.
         """
         return len(self.partially_reachable_machines()) > self._max_independent_unreachable()
 
-    def unreachable_machines_to_delete(self, now: Instant) -> list[Machine]:
+    def partially_reachable_machines_to_drain(self, now: Instant) -> list[Machine]:
         """The partially reachable machines to drain now.
 
         A machine is kept while that costs no more than booting a replacement: for its boot time,
         but at least for a lease. If many are partially reachable at the same time they are kept
         longer, and drained a few at a time.
         """
-        retention_factor = MANY_UNREACHABLE_RETENTION_FACTOR if self.many_unreachable() else 1.0
+        retention_factor = (
+            MANY_UNREACHABLE_RETENTION_FACTOR if self.many_partially_reachable() else 1.0
+        )
         max_deletions = self._max_independent_unreachable()
         machines: list[Machine] = []
         for machine in self.partially_reachable_machines():
-            if machine.deletion_requested:
+            if machine.draining:
                 continue
             since = (
                 machine.suspected_unreachable_since
@@ -227,7 +232,7 @@
 
     def _probe_if_due(self, machine: Machine, now: Instant) -> None:
         """Probe the machine unless a probe is in flight or the probe interval has not passed."""
-        if machine.probe_inflight or machine.deletion_requested or now < machine.probe_not_before:
+        if machine.probe_inflight or machine.draining or now < machine.probe_not_before:
             return
         interval_s = UNREACHABLE_PROBE_INTERVAL_S if machine.unreachable else PROBE_INTERVAL_S
         machine.probed_at = now
--- a/umberward/scheduling/scale_in.py
+++ b/umberward/scheduling/scale_in.py
@@ -52,7 +52,7 @@
     No start of a task that is to be stopped may still be executed on it.
     """
     return (
-        not (machine.placements or machine.tasks_without_placement or machine.deletion_requested)
+        not (machine.placements or machine.tasks_without_placement or machine.draining)
         and machine.reconciled
         and not scheduler.has_unwanted_start(machine)
     )
--- a/umberward/scheduling/scheduler.py
+++ b/umberward/scheduling/scheduler.py
@@ -31,11 +31,11 @@
 from umberward.protocol.transactions import VersionedValue
 from umberward.protocol.wire import Heartbeat, JobRecord, MachineType
 from umberward.scheduling import summaries
-from umberward.scheduling.cluster_state import ClusterState, DirectCommand, Probe
+from umberward.scheduling.cluster_state import ClusterState, CommandMessage, Probe
 from umberward.scheduling.command_results import CommandResults
 from umberward.scheduling.consolidation import Consolidation
 from umberward.scheduling.deadline_triage import DeadlineTriage
-from umberward.scheduling.dependencies import WaitingJobs
+from umberward.scheduling.dependencies import BlockedJobs
 from umberward.scheduling.failure_attribution import FailureAttribution
 from umberward.scheduling.failure_detector import FailureDetector
 from umberward.scheduling.heartbeats import HeartbeatHandler
@@ -81,17 +81,19 @@
         self.deadline_triage = DeadlineTriage(self, now)
         self.consolidation = Consolidation(self, self.preemption, now)
         self.failure_attribution = FailureAttribution(self, now)
-        self.waiting_jobs = WaitingJobs(self)
-        self.service_order = ServiceOrder(self, self.waiting_jobs, self.deadline_triage)
+        self.blocked_jobs = BlockedJobs(self)
+        self.service_order = ServiceOrder(self, self.blocked_jobs, self.deadline_triage)
         self.unlocated_tasks = UnlocatedTasks(self, self.delegator)
         self.placement_pass = PlacementPass(
             self, self.service_order, self.unlocated_tasks, self.preemption, self.consolidation
         )
-        self.writer = StateWriter(self, self.waiting_jobs, platform.cluster.state.strictest(), now)
+        self.state_writer = StateWriter(
+            self, self.blocked_jobs, platform.cluster.state.strictest(), now
+        )
         self.reachability = Reachability(self)
         self.failure_detector = FailureDetector(self, self.delegator, self.reachability)
         self.heartbeats = HeartbeatHandler(
-            self, self.reachability, self.failure_attribution, self.writer
+            self, self.reachability, self.failure_attribution, self.state_writer
         )
         self.command_results = CommandResults(self, self.reachability, self.heartbeats)
         # Jobs with a live record that are not known here, with the time when that was first seen.
@@ -113,7 +115,7 @@
 
     def command_completed(
         self,
-        command: DirectCommand,
+        command: CommandMessage,
         heartbeat: Heartbeat | None,
         outcome_unknown: bool,  # noqa: FBT001 - a field of the event, passed on in order
         now: Instant,
@@ -148,15 +150,15 @@
         self.failure_attribution.tick(now)
         self.failure_detector.mark_silent_machines_for_deletion(now)
 
-    def is_isolated(self, now: Instant) -> bool:
+    def receives_few_heartbeats(self, now: Instant) -> bool:
         """Tell whether nearly all workers seem unreachable from this controller."""
-        return self.failure_detector.is_isolated(now)
+        return self.failure_detector.receives_few_heartbeats(now)
 
-    def no_heartbeat_this_term(self, now: Instant) -> bool:
+    def received_no_heartbeat_this_term(self, now: Instant) -> bool:
         """Tell whether no machine has sent a message in this term, although each should have."""
-        return self.failure_detector.no_heartbeat_this_term(now)
+        return self.failure_detector.received_no_heartbeat_this_term(now)
 
-    def delegate(
+    def issue_delegation(
         self,
         delegate: ControllerName,
         seen: int,
@@ -169,20 +171,20 @@
         whether it has used none since it requested that one. None: the jobs have not been read in
         this term.
         """
-        return self.failure_detector.delegate(delegate, seen, idle, now)
+        return self.failure_detector.issue_delegation(delegate, seen, idle, now)
 
     def transaction_committed(
         self, transaction: Transaction, version: Version, now: Instant
     ) -> None:
         """Apply the effects of a committed transaction of this leader."""
-        for job, final in self.writer.transaction_committed(transaction, version, now):
+        for job, final in self.state_writer.transaction_committed(transaction, version, now):
             log.info("job_ended", job=job.id, phase=final.phase)
             self.apply_job_end(job.id, final, final.ended_at or self.wall_clock())
             self.remove_job(job.id)
 
     def reconcile_key(self, key: Key, found: VersionedValue | None) -> None:
         """Apply the stored value of a key after a conflict or an unknown outcome."""
-        for job_id in self.writer.reconcile_key(key, found):
+        for job_id in self.state_writer.reconcile_key(key, found):
             self.remove_job(job_id)
 
     def token_rotated(self, fencing_token: FencingToken) -> None:
@@ -204,7 +206,7 @@
             machines.append(machine)
             if not machine.confirmed_in_term and not machine.probe_inflight:
                 self._probe(machine)
-        self.writer.load_block(number, version, machines)
+        self.state_writer.load_block(number, version, machines)
 
     def finish_loading(self) -> None:
         """Start placing tasks, as all blocks and all jobs have been loaded."""
@@ -214,10 +216,10 @@
                 # Its heartbeat came before the jobs were read, so its tasks were unknown. Until
                 # the next heartbeat they may run there and must not start elsewhere.
                 machine.reconciled = False
-                machine.availability_changed()
+                machine.mark_availability_changed()
                 machine.settled_task_list = None
                 self._probe(machine)
-        self.pass_wanted = True
+        self.scheduling_pass_needed = True
         log.info(
             "failover_completed",
             epoch=self.fencing_token,
@@ -233,7 +235,7 @@
 
     def is_live(self, job_id: JobId) -> bool:
         """Tell whether this leader knows the job as live."""
-        return job_id in self.jobs or job_id in self.waiting_jobs.jobs
+        return job_id in self.jobs or job_id in self.blocked_jobs.jobs
 
     def add_job(self, record: JobRecord, version: Version) -> None:
         """Add a live job whose record was read or reported by a watch; ignore known jobs."""
@@ -243,16 +245,16 @@
         job = Job(record, version, self.max_value_bytes)
         if record.dependencies and not record.placed_below:
             # A job with unfinished dependencies cannot start and is not counted as queued work.
-            self.waiting_jobs.add(job, wire.unpack_dependencies(record.dependencies))
+            self.blocked_jobs.add(job, wire.unpack_dependencies(record.dependencies))
         else:
             self.admit_job(job)
-        self.waiting_jobs.graph.note_live(job_id)
+        self.blocked_jobs.graph.note_live(job_id)
 
     def admit_job(self, job: Job) -> None:
         """Make the job's tasks available for placement."""
         self.jobs[job.id] = self.jobs_to_place[job.id] = job
         if job.complete:
-            self.writer.note_completions(job)  # all tasks are done, its end is not written
+            self.state_writer.note_completions(job)  # all tasks are done, its end is not written
         job.needs_prompt_start = self.is_prompt_accelerated(job)
         if not job.placed_below:
             log.info(
@@ -263,14 +265,14 @@
                 size=round(job.size * max(job.need.cores, job.need.accelerators), 1),
             )
         self.precedences_outdated = True
-        self.pass_wanted = True
+        self.scheduling_pass_needed = True
 
     def apply_job_end(self, job_id: JobId, final: wire.FinalJobRecord, ended_at: float) -> None:
         """Apply a job's end: admit its dependents. Call only after the end was read or committed.
 
         `ended_at` is a wall-clock time in seconds.
         """
-        for job in self.waiting_jobs.job_ended(job_id, final.phase, ended_at):
+        for job in self.blocked_jobs.job_ended(job_id, final.phase, ended_at):
             log.info("job_dependencies_done", job=job.id)
             self.admit_job(job)
 
@@ -279,7 +281,7 @@
 
         The job is done, or a controller cancelled it.
         """
-        self.waiting_jobs.job_removed(job_id)
+        self.blocked_jobs.job_removed(job_id)
         self.recently_ended[job_id] = self.now
         job = self.jobs.pop(job_id, None)
         self.jobs_to_place.pop(job_id, None)
@@ -293,7 +295,7 @@
         self.precedences_outdated = True
         for placement in list(job.placements.values()):
             self.stop(placement, 0.0)
-        self.pass_wanted = True
+        self.scheduling_pass_needed = True
 
     def add_cancelled_job(self, job_id: JobId, remaining: wire.RemainingTasks) -> None:
         """Count against the team's limit what a cancelled job may still use.
@@ -366,15 +368,15 @@
             machine = self.machines.get(machine_id)
             if machine is None:
                 continue
-            machine.deletion_requested = True
+            machine.draining = True
             self.release_all_placements(machine, "machine gone")
             del self.machines[machine_id]
-            machine.availability_changed()
+            machine.mark_availability_changed()
             self.deleted_machines[machine_id] = None
             while len(self.deleted_machines) > MAX_DELETED_MACHINES_KEPT:
                 del self.deleted_machines[next(iter(self.deleted_machines))]
-            self.writer.remove_machine(machine)
-        self.pass_wanted = True
+            self.state_writer.remove_machine(machine)
+        self.scheduling_pass_needed = True
 
     # ---- the scheduling pass -------------------------------------------------------------
 
--- a/umberward/scheduling/service_order.py
+++ b/umberward/scheduling/service_order.py
@@ -21,7 +21,7 @@
 from umberward.protocol import wire
 from umberward.scheduling.cluster_state import ClusterState
 from umberward.scheduling.deadline_triage import DeadlineTriage
-from umberward.scheduling.dependencies import WaitingJobs
+from umberward.scheduling.dependencies import BlockedJobs
 from umberward.scheduling.headroom import HIGHEST_PRIORITY
 from umberward.scheduling.jobs import Job
 
@@ -57,11 +57,11 @@
     """Orders the jobs that wait for machines, and sets the precedence of every live job."""
 
     def __init__(
-        self, cluster: ClusterState, waiting_jobs: WaitingJobs, deadline_triage: DeadlineTriage
+        self, cluster: ClusterState, blocked_jobs: BlockedJobs, deadline_triage: DeadlineTriage
     ) -> None:
-        """Read jobs from `cluster`, and the demands of dependent jobs from `waiting_jobs`."""
+        """Read jobs from `cluster`, and the demands of dependent jobs from `blocked_jobs`."""
         self.cluster = cluster
-        self.waiting_jobs = waiting_jobs
+        self.blocked_jobs = blocked_jobs
         self.deadline_triage = deadline_triage
 
     def jobs_in_service_order(self, now: Instant) -> list[Job]:
@@ -84,7 +84,7 @@
             (
                 _ServiceSortKey(
                     job.faulty,
-                    self.waiting_jobs.expected_precedence(job),
+                    self.blocked_jobs.expected_precedence(job),
                     job.id in delayed_jobs,
                     cluster.serve_by(job, wall_now),
                     position,
@@ -128,7 +128,7 @@
         claims = []
         for job in cluster.jobs.values():
             priority = min(
-                wire.PRIORITIES[job.spec.priority], self.waiting_jobs.demand_on(job.id).priority
+                wire.JOB_PRIORITIES[job.spec.priority], self.blocked_jobs.demand_on(job.id).priority
             )
             has_guarantee = cluster.quota.has_guarantee(job.team)
             if priority == HIGHEST_PRIORITY:
--- a/umberward/scheduling/simulated_machines.py
+++ b/umberward/scheduling/simulated_machines.py
@@ -18,7 +18,7 @@
 LATE_BOOT_MARGIN_S = 5.0
 
 
-class PendingMachine:
+class RequestedMachine:
     """A requested machine that has not sent a heartbeat yet."""
 
     def __init__(self, offer: MachineOffer, requested_at: Instant) -> None:
@@ -68,7 +68,7 @@
             preemptable = headroom.preemptable_room(machine)
         if least is not None and least.fits(free.plus(preemptable)):
             simulated.append(SimulatedMachine(machine.offer, free, preemptable))
-    if scheduler.reachability.many_unreachable():
+    if scheduler.reachability.many_partially_reachable():
         for machine in scheduler.reachability.partially_reachable_machines():
             machine_type = scheduler.machine_types.get(machine.machine_type)
             if machine_type is not None:
@@ -77,7 +77,7 @@
 
 
 def simulate_pending(
-    scheduler: Scheduler, pending: Iterable[PendingMachine], now: Instant
+    scheduler: Scheduler, pending: Iterable[RequestedMachine], now: Instant
 ) -> list[SimulatedMachine]:
     """Return the booting machines as empty ones, without those that are long overdue."""
     simulated = []
--- a/umberward/scheduling/state_transaction.py
+++ b/umberward/scheduling/state_transaction.py
@@ -49,7 +49,7 @@
 
     conditions: list[tuple[Key, Version]]
     writes: list[dict[str, Any]]
-    priority: transactions.Priority
+    priority: transactions.RequestPriority
     job_records: list[JobRecordWrite]
     final_records: list[FinalRecordWrite]
     blocks: list[BlockWrite]
--- a/umberward/scheduling/state_writer.py
+++ b/umberward/scheduling/state_writer.py
@@ -16,7 +16,7 @@
 from umberward.protocol import transactions, wire
 from umberward.protocol.wire import BLOCKS_PREFIX, LIVE_JOBS_PREFIX
 from umberward.scheduling.cluster_state import ClusterState
-from umberward.scheduling.dependencies import WaitingJobs
+from umberward.scheduling.dependencies import BlockedJobs
 from umberward.scheduling.jobs import Job
 from umberward.scheduling.machine_blocks import MachineBlocks
 from umberward.scheduling.machines import Machine
@@ -49,11 +49,11 @@
     """Chooses the leader's next transaction and applies its outcome to jobs and machines."""
 
     def __init__(
-        self, cluster: ClusterState, waiting_jobs: WaitingJobs, limits: StateLimits, now: Instant
+        self, cluster: ClusterState, blocked_jobs: BlockedJobs, limits: StateLimits, now: Instant
     ) -> None:
         """Take the strictest `limits` of the state service; `now` is monotonic time."""
         self.cluster = cluster
-        self.waiting_jobs = waiting_jobs
+        self.blocked_jobs = blocked_jobs
         self.max_changes = limits.txn_ops  # in one transaction
         self.max_value_bytes = cluster.max_value_bytes  # largest stored value, in bytes
         self.progress_write_rate = PROGRESS_WRITE_FRACTION * limits.write_rps  # writes per second
@@ -69,7 +69,7 @@
 
     def note_completions(self, job: Job) -> None:
         """Queue the job's record for writing after a task of it has completed."""
-        (self.jobs_to_write if job.end_unwritten else self.jobs_with_progress).add(job.id)
+        (self.jobs_to_write if job.has_end_to_write else self.jobs_with_progress).add(job.id)
 
     def load_block(self, number: int, version: Version, machines: list[Machine]) -> None:
         """Load a block that a new leader has read from the state service."""
@@ -90,7 +90,7 @@
         return bool(
             self.jobs_to_write
             or self.machine_blocks.changed
-            or self.waiting_jobs.graph.cancelled_by
+            or self.blocked_jobs.graph.cancelled_by
             or (self.jobs_with_progress and now >= self.progress_not_before)
         )
 
@@ -118,7 +118,7 @@
             job = self.cluster.jobs.get(job_id)
             if job is None or job.record_unreadable:
                 self.jobs_to_write.discard(job_id)
-            elif job.end_unwritten:
+            elif job.has_end_to_write:
                 pending.ended.append(job)
             elif job.unstored_intents:
                 pending.with_intents.append(job)
@@ -147,7 +147,7 @@
         others = [job for job in pending.with_intents if not job.service]
         # Every controller reports a job as cancelled as soon as a dependency is cancelled, so these
         # records can wait; but each transaction writes at least one of them.
-        cancelled = self.waiting_jobs.jobs_to_cancel(self.max_changes)
+        cancelled = self.blocked_jobs.jobs_to_cancel(self.max_changes)
         return services + pending.ended + cancelled[:1] + others + cancelled[1:]
 
     def _jobs_with_progress_due(self, now: Instant) -> list[Job]:
@@ -201,7 +201,7 @@
 
     def _final_record(self, job: Job) -> wire.FinalJobRecord | None:
         """Return the record of how the job has ended; None: it has not ended."""
-        graph = self.waiting_jobs.graph
+        graph = self.blocked_jobs.graph
         if job.id in graph.cancelled_by:
             return wire.FinalJobRecord(wire.CANCELLED, cancelled_by=graph.cancelled_by[job.id])
         if not job.complete or job.conditions:
@@ -245,7 +245,7 @@
             if not job.ended:
                 job.record_stored(record, version, now)
                 self.send_stored_starts(job)
-        self.cluster.pass_wanted = True
+        self.cluster.scheduling_pass_needed = True
         return [final for final in transaction.final_records if not final.job.ended]
 
     def send_stored_starts(self, job: Job) -> None:
@@ -255,7 +255,7 @@
                 placement.intent_stored = True
                 job.unstored_intents -= 1
                 if placement.stop_grace_s is None and placement.machine in self.cluster.machines:
-                    self.cluster.send_start(placement)
+                    self.cluster.queue_start(placement)
 
     # ---- after a conflict or an unknown outcome ----------------------------------------
 
@@ -270,7 +270,7 @@
         if not key.startswith(LIVE_JOBS_PREFIX):
             return self._reconcile_graph_key(key, found)
         job_id = JobId(key[len(LIVE_JOBS_PREFIX) :])
-        job = self.cluster.jobs.get(job_id) or self.waiting_jobs.jobs.get(job_id)
+        job = self.cluster.jobs.get(job_id) or self.blocked_jobs.jobs.get(job_id)
         if job is None:
             return []
         if found is None:
--- a/umberward/scheduling/unlocated_tasks.py
+++ b/umberward/scheduling/unlocated_tasks.py
@@ -49,7 +49,7 @@
                 if job is not None:
                     job.requeue_unlocated()
                     cluster.jobs_to_place[job_id] = job
-                    cluster.pass_wanted = True
+                    cluster.scheduling_pass_needed = True
 
     def drop_cancelled_jobs(self) -> None:
         """Drop cancelled jobs whose tasks are on no machine, once reconciliation is complete."""
@@ -58,16 +58,16 @@
             del cancelled[job_id]
 
     def recover_lost_tasks(self, now: Instant) -> None:
-        """Treat unaccounted tasks (`Job.count_lost_tasks`) as unlocated, so that they run."""
+        """Treat unaccounted tasks (`Job.count_unaccounted_tasks`) as unlocated, to run them."""
         for job in self.cluster.jobs.values():
             if job.id in self.locate_deadlines:
                 continue
-            lost = job.count_lost_tasks()
+            lost = job.count_unaccounted_tasks()
             if lost:
                 log.warning("lost_tasks_found", job=job.id, tasks=lost)
                 job.unlocated_tasks.update(
                     index
-                    for index in range(job.done_below, job.next_fresh_task)
+                    for index in range(job.done_below, job.next_unstarted_task)
                     if job.is_unaccounted(index)
                 )
             if job.unlocated_tasks:
@@ -84,12 +84,12 @@
             if job.unlocated_tasks and cluster.quota.has_limit(job.team):
                 team_usage = usage.get(job.team, NO_RESOURCES)
                 usage[job.team] = team_usage.plus(job.need, len(job.unlocated_tasks))
-        if cluster.reconciliation_completed or not (usage or cluster.cancellations_unread):
+        if cluster.reconciliation_completed or not (usage or cluster.recent_cancellations_unknown):
             return usage
         # They can only run on machines that are not reconciled in this term and may still run tasks
         # of a previous leader, within their capacity.
         capacity = self._unreconciled_capacity()
-        if cluster.cancellations_unread:
+        if cluster.recent_cancellations_unknown:
             return {team: capacity for team in cluster.quota.teams if cluster.quota.has_limit(team)}
         return {team: used.elementwise_min(capacity) for team, used in usage.items()}
 
