--- a/umberward/clients/state_client.py
+++ b/umberward/clients/state_client.py
@@ -21,9 +21,9 @@
     RateLimitedError,
     RevisionCompactedError,
     StateUnavailableError,
+    TransactionRejectedError,
     UnexpectedStatusError,
     UnknownOutcomeError,
-    ValueTooLargeError,
 )
 from umberward.clients.rate_budget import RateBudget
 from umberward.core.log import logger
@@ -31,7 +31,7 @@
 from umberward.core.types import Address, Key, LeaseId, Revision, Version
 from umberward.protocol import wire
 from umberward.protocol.http import Client, NoResponseError, RequestNotSentError, Response
-from umberward.protocol.transactions import NORMAL, URGENT, Priority, VersionedValue
+from umberward.protocol.transactions import NORMAL, URGENT, RequestPriority, VersionedValue
 
 __all__ = [
     "CompareAndSwapError",
@@ -43,9 +43,9 @@
     "RevisionCompactedError",
     "StateClient",
     "StateUnavailableError",
+    "TransactionRejectedError",
     "UnexpectedStatusError",
     "UnknownOutcomeError",
-    "ValueTooLargeError",
     "WatchResult",
 ]
 
@@ -97,7 +97,7 @@
     target: str
     body: object = None  # None: an empty body
     timeout_s: float = COMMIT_TIMEOUT_S
-    priority: Priority = NORMAL
+    priority: RequestPriority = NORMAL
     budget_wait_s: float = REQUEST_BUDGET_WAIT_S
 
 
@@ -112,7 +112,10 @@
     def __init__(
         self, address: Address, limits: StateLimits, controller_count: int, client: Client
     ) -> None:
-        """Create a follower's client. `limits` apply to all `controller_count` controllers."""
+        """Create a client of a follower, a controller that does not lead.
+
+        `limits` apply to all `controller_count` controllers.
+        """
         self.address = address
         self.limits = limits
         self.strictest_limits = limits.strictest()  # these may take effect without notice
@@ -121,6 +124,7 @@
         self.leading = False
         self.client = client
         self.follower_count = max(1, controller_count - 1)
+        # `set_role` replaces these rates.
         self.request_budget = RateBudget(limits.rps * LEADER_REQUEST_SHARE)
         self.write_budget = RateBudget(limits.write_rps * LEADER_WRITE_SHARE)
         self.set_role(leading=False)
@@ -148,7 +152,7 @@
 
     @property
     def max_changes_per_s(self) -> float:
-        """An upper bound of the revision's growth per second.
+        """An upper bound of the number of revisions per second.
 
         It covers writes, bursts of writes, and deletions of keys whose leases end.
         """
@@ -159,7 +163,7 @@
     async def get(
         self,
         key: Key,
-        priority: Priority = NORMAL,
+        priority: RequestPriority = NORMAL,
         timeout: float = READ_TIMEOUT_S,
         budget_wait_s: float = READ_BUDGET_WAIT_S,
     ) -> VersionedValue | None:
@@ -178,7 +182,7 @@
         prefix: str,
         after_key: str = "",
         max_entries: int = LIST_PAGE_SIZE,
-        priority: Priority = URGENT,
+        priority: RequestPriority = URGENT,
     ) -> wire.KeyValuePage:
         """Return up to `max_entries` entries with keys under `prefix` and above `after_key`."""
         target = f"/kv?prefix={quote(prefix)}&most={max_entries}"
@@ -206,23 +210,25 @@
         self,
         prefix: str,
         after: Revision,
-        hold_s: float,
+        max_delay_s: float,
         response_margin_s: float = WATCH_RESPONSE_MARGIN_S,
     ) -> WatchResult:
         """Return the changes under `prefix` after the revision `after`.
 
-        This is a long poll: without changes, the service delays its response by up to `hold_s`
+        This is a long poll: without changes, the service delays its response by up to `max_delay_s`
         seconds. Raises RevisionCompactedError if the service no longer keeps these changes.
         """
-        target = f"/watch?prefix={quote(prefix)}&from={after}&hold_ms={round(hold_s * MS_PER_S)}"
+        target = (
+            f"/watch?prefix={quote(prefix)}&from={after}&hold_ms={round(max_delay_s * MS_PER_S)}"
+        )
         response = await self._send(
-            _Request("GET", target, timeout_s=hold_s + response_margin_s, priority=URGENT)
+            _Request("GET", target, timeout_s=max_delay_s + response_margin_s, priority=URGENT)
         )
         if response.status == HTTPStatus.GONE:
             raise RevisionCompactedError
         _require_ok(response, "watch")
-        answer = self._decode_watch(response.body)
-        return WatchResult(answer.changes, Revision(answer.revision))
+        watch_response = self._decode_watch(response.body)
+        return WatchResult(watch_response.changes, Revision(watch_response.revision))
 
     # ---- transactions ------------------------------------------------------------------
 
@@ -230,7 +236,7 @@
         self,
         conditions: Iterable[tuple[Key, Version]],
         writes: list[dict[str, Any]],
-        priority: Priority = NORMAL,
+        priority: RequestPriority = NORMAL,
         budget_wait_s: float = REQUEST_BUDGET_WAIT_S,
         timeout: float = COMMIT_TIMEOUT_S,
     ) -> Revision:
@@ -238,7 +244,8 @@
 
         Returns the revision, which is the new version of the written keys. Raises
         CompareAndSwapError if a condition failed, LeaseExpiredError if a write names a lease that
-        has ended, and ValueTooLargeError if the service accepts no transaction of that size.
+        has ended, and TransactionRejectedError if the service rejected the transaction or a value
+        in it.
         """
         body: dict[str, Any] = {
             "if": [{"path": key, "stamp": version} for key, version in conditions]
@@ -275,7 +282,7 @@
             body=repr(response.body[:LOGGED_BODY_BYTES]),
         )
         if response.status == HTTPStatus.BAD_REQUEST:
-            raise ValueTooLargeError
+            raise TransactionRejectedError
         raise UnexpectedStatusError("commit", response.status)
 
     # ---- leases ------------------------------------------------------------------------
@@ -304,7 +311,10 @@
     # ---- requests ----------------------------------------------------------------------
 
     async def _send(self, request: _Request) -> Response:
-        """Send a request and return its response. Raises if the service did not execute it."""
+        """Send a request and return its response.
+
+        Raises StateUnavailableError if the service certainly did not execute it, and
+        UnknownOutcomeError if it may have done so."""
         await self.request_budget.take(1, request.priority, request.budget_wait_s)
         body = b"" if request.body is None else wire.encode(request.body)
         try:
@@ -324,7 +334,10 @@
         return response
 
     def _use_strictest_limits(self) -> None:
-        """Assume that the service has lowered its limits; otherwise the lower ones are harmless."""
+        """Use the lower of the current and the announced limits from now on.
+
+        The service has probably lowered its limits. If it has not, this only costs speed.
+        """
         if self.limits is self.strictest_limits:
             return
         log.info("state_limits_lowered", reason="the state service refused a request for its rate")
--- a/umberward/control/peer_contacts.py
+++ b/umberward/control/peer_contacts.py
@@ -12,21 +12,25 @@
 from umberward.leader.leader_election import LeaderElection
 from umberward.protocol.http import Client, NoResponseError, RequestNotSentError
 
-# A controller without a response from the state service for this long counts as cut off from it.
+# A controller whose latest granted lease renewal was sent longer ago than this counts as cut off
+# from the state service.
 STATE_CONTACT_TIMEOUT_S = 2.5
 CONTACT_VALID_S = 3.0  # maximum age of a peer's status
 PEER_TIMEOUT_S = 0.5  # short, so that a silent peer does not delay requests to the others
-# A worker whose heartbeat has had no response for 4 s tries the next controller 1 s later. Workers
-# that do so have sent a heartbeat within this base plus the heartbeat interval with a margin.
+# A worker whose heartbeat has had no response for 4 s tries the next controller 1 s later. A peer
+# counts as receiving heartbeats if one has arrived within this base plus the heartbeat interval,
+# multiplied by the factor as a margin.
 HEARTBEAT_RECENCY_BASE_S = 2.0
 HEARTBEAT_INTERVAL_FACTOR = 1.25
 
 
-class PeerContact(NamedTuple):
+class ReceivedStatus(NamedTuple):
     """The status of a peer, received at `received_at` by this controller's monotonic clock."""
 
     received_at: float
-    state_contact_age_s: float  # seconds since the state service renewed its lease, at that time
+    state_contact_age_s: (
+        float  # seconds since it sent its latest granted lease renewal, at that time
+    )
     heartbeat_age_s: float  # seconds since it received a worker's heartbeat, at that time
     leader: ControllerName | None  # the leader known to the peer
 
@@ -54,8 +58,9 @@
         self.election = election
         self.client = client
         self.clock = election.clock
-        self.contacts_by_peer: dict[str, PeerContact] = {}
-        self.polling_since = math.inf  # when peers were first queried in this state service outage
+        self.contacts_by_peer: dict[str, ReceivedStatus] = {}
+        # When peers were first queried while this controller was cut off; infinity: it is not.
+        self.cut_off_since = math.inf
         self.heartbeat_at = -math.inf  # when a worker last sent a heartbeat to this controller
         heartbeat_interval_s = settings.platform.cluster.workers.report_s
         self.heartbeat_recency_s = (
@@ -65,10 +70,10 @@
     # ---- this controller ---------------------------------------------------------------
 
     def lacks_state_contact(self) -> bool:
-        """Whether the state service has not responded to this controller within the timeout."""
-        return self.clock() - self.election.renewed_at >= STATE_CONTACT_TIMEOUT_S
+        """Whether no recently sent lease renewal of this controller was granted."""
+        return self.clock() - self.election.renewal_sent_at >= STATE_CONTACT_TIMEOUT_S
 
-    def note_heartbeat(self) -> None:
+    def record_heartbeat(self) -> None:
         """Record that a worker has sent a heartbeat to this controller, whoever answers it."""
         self.heartbeat_at = self.clock()
 
@@ -77,22 +82,22 @@
         now = self.clock()
         return PeerStatus(
             name=self.election.name,
-            state_contact_age_s=now - self.election.renewed_at,
+            state_contact_age_s=now - self.election.renewal_sent_at,
             leader=self.election.leader,
-            leader_version=self.election.leader_version,
+            leader_key_version=self.election.leader_key_version,
             heartbeat_age_s=now - self.heartbeat_at,
         )
 
     # ---- the peers ---------------------------------------------------------------------
 
-    async def refresh_without_state(self) -> None:
+    async def refresh_while_cut_off(self) -> None:
         """Query all peers, and record when this began."""
-        self.polling_since = min(self.polling_since, self.clock())
+        self.cut_off_since = min(self.cut_off_since, self.clock())
         await self.refresh()
 
-    def note_state_contact(self) -> None:
-        """Record that the state service is in contact, so peers need not be queried."""
-        self.polling_since = math.inf
+    def record_state_contact(self) -> None:
+        """Record contact with the state service: peers need not be queried."""
+        self.cut_off_since = math.inf
 
     async def refresh(self) -> None:
         """Query the status of all peers, one after another."""
@@ -104,15 +109,15 @@
                 status = peer_messages.decode(response.body, PeerStatus)
             except (RequestNotSentError, NoResponseError, InvalidPeerMessageError):
                 continue
-            contact = PeerContact(
+            contact = ReceivedStatus(
                 self.clock(), status.state_contact_age_s, status.heartbeat_age_s, status.leader
             )
             self.contacts_by_peer[peer] = contact
             if contact.has_state_contact and status.leader != self.name:
                 # Another controller may have been elected while this one was cut off.
-                await self.election.step_down_if_superseded(FencingToken(status.leader_version))
+                await self.election.step_down_if_superseded(FencingToken(status.leader_key_version))
 
-    def _valid_contacts_with_state(self) -> list[PeerContact]:
+    def _valid_contacts_with_state(self) -> list[ReceivedStatus]:
         now = self.clock()
         return [
             contact
@@ -130,12 +135,12 @@
         If the state service does not respond either, it is this controller that is cut off.
         """
         now = self.clock()
-        if not self.addresses or now - self.polling_since < STATE_CONTACT_TIMEOUT_S:
+        if not self.addresses or now - self.cut_off_since < STATE_CONTACT_TIMEOUT_S:
             return False
         return not any(contact.is_valid(now) for contact in self.contacts_by_peer.values())
 
     def leader_for(self, fencing_token: int) -> ControllerName | None:
-        """The leader to redirect a worker with this token to; None if it must search itself.
+        """The leader to redirect a worker with this token to; None if it must find one by itself.
 
         A controller without contact with the state service may only know an earlier leader. If that
         one redirects the worker back here, the worker alternates between two controllers that do
@@ -149,7 +154,7 @@
                 leader = max(
                     contacts, key=lambda contact: contact.received_at - contact.state_contact_age_s
                 ).leader
-            elif fencing_token > self.election.leader_version:
+            elif fencing_token > self.election.leader_key_version:
                 leader = None
         return None if leader == self.name else leader
 
--- a/umberward/leader/final_record_lookup.py
+++ b/umberward/leader/final_record_lookup.py
@@ -35,7 +35,7 @@
             await curio.sleep(FINAL_LOOKUP_INTERVAL_S)
             if not self.context.scheduler.loaded:
                 continue
-            for job_id in list(self.context.scheduler.waiting_jobs.graph.unresolved_dependency_ids):
+            for job_id in list(self.context.scheduler.blocked_jobs.graph.unresolved_dependency_ids):
                 try:
                     await self._look_up(job_id)
                 except (
@@ -49,9 +49,9 @@
         """Send the job's final record to the leader loop, if there is one."""
         final = self.cached_final_record(job_id)
         if final is not None:
-            await self.context.mailbox.tell(JobEnded(job_id, wire.to_builtins(final)))
+            await self.context.leader_loop.tell(JobEnded(job_id, wire.to_builtins(final)))
             return
         stored = await self.context.store.get(Key(FINAL_JOBS_PREFIX + job_id))
         if stored is not None:
-            await self.context.mailbox.tell(JobEnded(job_id, stored.data))
-        # Otherwise the record is being moved, and the watch will report it.
+            await self.context.leader_loop.tell(JobEnded(job_id, stored.data))
+        # Otherwise the job is still live in the state service, and the watch will report its end.
--- a/umberward/leader/leader_election.py
+++ b/umberward/leader/leader_election.py
@@ -35,24 +35,24 @@
 
 LEADER_KEY = Key("leader")
 CONTROLLER_KEY_PREFIX = "controllers/"
-ALL_JOB_HASHES = (0, 65536)  # one leader is responsible for all jobs
-
-# Assumed lower bound of a lease's length on this controller's clock, relative to its length on the
-# state service's clock.
-RENEWAL_DRIFT_FACTOR = 0.999
-RENEWAL_MARGIN_S = 0.15
-# If the renewal window, for which workers may be kept alive without the state service, is shorter
-# than this, the intervals between lease renewals and reads in normal operation use it up.
+ALL_JOB_HASHES = (0, 65536)  # one leader leads all jobs; the stored record has a range of hashes
+
+# A lease of 1 s by the state service's clock lasts at least this many seconds by this controller's.
+LEASE_DRIFT_FACTOR = 0.999
+LEASE_VALIDITY_MARGIN_S = 0.15  # the lease counts as expired this long before its assumed end
+# If `renewal_window_s` is below this, the intervals between lease renewals and between reads of the
+# jobs in normal operation use up all of it, so it allows no outage of the state service.
 MIN_RENEWAL_WINDOW_S = 3.0
 
 RENEWALS_PER_LEASE = 5
 RENEWAL_JITTER = (0.9, 1.1)
 RENEWAL_TIMEOUTS_PER_LEASE = 3  # a renewal times out after a third of the lease
 MIN_RENEWAL_TIMEOUT_S = 0.5  # lower bound of that timeout
-MAX_LEASE_AGE_TO_CAMPAIGN = 0.8  # share of the lease's length; an older lease is renewed first
+MAX_CAMPAIGN_LEASE_AGE_RATIO = 0.8  # of the lease's length; an older one is renewed first
 
-LEADER_WATCH_HOLD_S = 10.0
-FREE_KEY_WATCH_HOLD_S = 1.0  # while there is no leader and this controller may not campaign yet
+LEADER_WATCH_MAX_DELAY_S = 10.0
+# While there is no leader and this controller may not campaign yet.
+FREE_KEY_WATCH_MAX_DELAY_S = 1.0
 MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.2, 0.4
 STEP_DOWN_CAMPAIGN_DELAY_LEASES = 2  # lease lengths without campaigning after stepping down
 RESTARTED_LEADER_CAMPAIGN_DELAY_S = 1.0  # after a leader's restart only the others campaign
@@ -88,12 +88,13 @@
         self.on_lost = on_lost
         self.used_nonces: set[str] = set()  # nonces of all campaigns of this process
         self.nonce = ""  # of the latest campaign; empty if its lease was abandoned
-        self.term = 0
+        self.term = 0  # the number of fencing tokens obtained in this term
         self.lease: LeaseId | None = None
-        self.renewed_at = Instant(0.0)  # when the latest successful renewal was sent
+        self.renewal_sent_at = Instant(0.0)  # when the latest successful renewal was sent
         self.fencing_token: FencingToken | None = None  # None: not the leader
         self.leader: ControllerName | None = None  # None: unknown or none
-        self.leader_version = Version(0)  # of the leader key
+        # Of the leader key, and so also the first fencing token of the leader that wrote it.
+        self.leader_key_version = Version(0)
         self.campaign_not_before = 0.0
 
     def _warn_if_renewal_window_too_short(self, workers: WorkerTimes) -> None:
@@ -116,40 +117,50 @@
             self.fencing_token is not None
             and self.lease is not None
             and self.clock()
-            < self.renewed_at + self.lease_seconds * RENEWAL_DRIFT_FACTOR - RENEWAL_MARGIN_S
+            < self.renewal_sent_at
+            + self.lease_seconds * LEASE_DRIFT_FACTOR
+            - LEASE_VALIDITY_MARGIN_S
         )
 
-    def may_start(self, jobs_read_at: Instant | None) -> bool:
+    def may_start(self, jobs_read_requested_at: Instant | None) -> bool:
         """Whether a task may be started.
 
-        `jobs_read_at`: time until which all confirmed cancellations are known; None: none are.
+        `jobs_read_requested_at`: time until which all confirmed cancellations are known; None: none
+        are.
         """
-        return self.is_leader() and self.bounds.may_start(jobs_read_at, Instant(self.clock()))
+        return self.is_leader() and self.bounds.may_start(
+            jobs_read_requested_at, Instant(self.clock())
+        )
 
-    def may_keep_alive(self) -> bool:
+    def may_remain_leader(self) -> bool:
         """Whether the leadership may continue without the state service.
 
-        Commands that start nothing may then be sent, and heartbeats may be answered if `may_answer`
-        allows it.
+        Commands that start nothing may then be sent, and heartbeats may be answered if
+        `may_answer_heartbeat` allows it.
         """
         renewal_window_s = max(self.bounds.renewal_window_s, self.lease_seconds)
-        return self.fencing_token is not None and self.clock() < self.renewed_at + renewal_window_s
+        return (
+            self.fencing_token is not None
+            and self.clock() < self.renewal_sent_at + renewal_window_s
+        )
 
-    def may_answer(self, jobs_read_at: Instant | None) -> bool:
-        """Whether a heartbeat may be answered, which extends the worker's incarnation.
+    def may_answer_heartbeat(self, jobs_read_requested_at: Instant | None) -> bool:
+        """Whether a heartbeat may be answered, which renews the worker's session.
 
-        `jobs_read_at`: as for `may_start`. The check also applies to heartbeats that another
-        controller has forwarded.
+        `jobs_read_requested_at`: as for `may_start`. The check also applies to heartbeats that
+        another controller has forwarded.
         """
-        if self.fencing_token is None or jobs_read_at is None:
+        if self.fencing_token is None or jobs_read_requested_at is None:
             return False
         if self.bounds.renewal_window_s < MIN_RENEWAL_WINDOW_S and self.is_leader():
-            return True  # otherwise every incarnation would expire; a warning was logged at start
-        return self.bounds.may_answer(jobs_read_at, self.renewed_at, Instant(self.clock()))
+            return True  # otherwise every session would expire; a warning was logged at start
+        return self.bounds.may_answer_heartbeat(
+            jobs_read_requested_at, self.renewal_sent_at, Instant(self.clock())
+        )
 
     def leadership_condition(self) -> tuple[Key, Version]:
         """Return the condition that makes a transaction valid only while this controller leads."""
-        return LEADER_KEY, self.leader_version
+        return LEADER_KEY, self.leader_key_version
 
     # ---- leadership changes ------------------------------------------------------------
 
@@ -190,7 +201,8 @@
         """Give up the leadership if a worker has seen a higher fencing token.
 
         It shows that another controller was elected, even if this one has not yet read that from
-        the state service. Tasks kept alive here would only be withheld from the new leader.
+        the state service. Answering workers any longer would only withhold their tasks from the new
+        leader.
         """
         if self.fencing_token is not None and seen_token > self.fencing_token:
             log.warning("leadership_superseded", epoch=self.fencing_token, seen=seen_token)
@@ -198,7 +210,7 @@
 
     async def _become_leader(self, version: Version) -> None:
         """Take the leadership. `version`: of the leader key, which this controller has written."""
-        self.leader, self.leader_version = self.name, version
+        self.leader, self.leader_key_version = self.name, version
         self.fencing_token = FencingToken(version)
         self.store.set_role(leading=True)
         log.info("leadership_acquired", epoch=version)
@@ -219,7 +231,7 @@
                 await self._renew()
             except (state_client.StateUnavailableError, state_client.UnknownOutcomeError) as error:
                 log.debug("lease_not_renewed", error=error)
-            if self.fencing_token is not None and not self.may_keep_alive():
+            if self.fencing_token is not None and not self.may_remain_leader():
                 await self._lose_leadership()
             await curio.sleep(
                 self.lease_seconds / RENEWALS_PER_LEASE * self.rng.uniform(*RENEWAL_JITTER)
@@ -236,7 +248,7 @@
         if lease is None:
             granted = await self.store.grant_lease(self.lease_seconds)
             if self.lease is None:
-                self.lease, self.renewed_at = granted, sent_at
+                self.lease, self.renewal_sent_at = granted, sent_at
             return
         timeout_s = max(MIN_RENEWAL_TIMEOUT_S, self.lease_seconds / RENEWAL_TIMEOUTS_PER_LEASE)
         try:
@@ -249,13 +261,13 @@
                     await self._lose_leadership()
             return
         if self.lease == lease:
-            self.renewed_at = max(self.renewed_at, sent_at)
+            self.renewal_sent_at = max(self.renewal_sent_at, sent_at)
 
     def _abandon_lease(self) -> None:
         """Stop renewing the lease, and no longer accept a leader key attached to it as a win.
 
-        Otherwise the leader key could persist although its owner does not lead, or a late read
-        could take it as this controller's after it has been deleted with its lease.
+        Renewing it further could preserve a leader key whose owner does not lead. Accepting the key
+        could rely on a read made before the key was deleted with its lease.
         """
         self.lease = None
         self.nonce = ""
@@ -285,8 +297,10 @@
             if self.leader is None and self.clock() >= self.campaign_not_before:
                 await self._campaign()
                 return
-            hold_s = FREE_KEY_WATCH_HOLD_S if self.leader is None else LEADER_WATCH_HOLD_S
-            changes, revision = await self.store.watch(LEADER_KEY, revision, hold_s)
+            max_delay_s = (
+                FREE_KEY_WATCH_MAX_DELAY_S if self.leader is None else LEADER_WATCH_MAX_DELAY_S
+            )
+            changes, revision = await self.store.watch(LEADER_KEY, revision, max_delay_s)
             if any(LEADER_KEY in (change.put_key, change.deleted_key) for change in changes):
                 return
 
@@ -295,7 +309,7 @@
         entries, revision = await self.store.list_all(LEADER_KEY)
         entry = next((entry for entry in entries if entry.key == LEADER_KEY), None)
         if entry is None:
-            self.leader, self.leader_version = None, Version(0)
+            self.leader, self.leader_key_version = None, Version(0)
             if self.fencing_token is not None:
                 await self._lose_leadership()
             return revision
@@ -304,28 +318,29 @@
         if record.controller != self.name:
             await self._follow_leader(ControllerName(record.controller), version)
         elif record.nonce in self.used_nonces:
-            await self._claim_own_key(record.nonce, version)
+            await self._handle_own_key(record.nonce, version)
         else:
             await self._delete_key_of_former_process(version)
         return revision
 
-    async def _claim_own_key(self, nonce: str, version: Version) -> None:
+    async def _handle_own_key(self, nonce: str, version: Version) -> None:
         """Handle a leader key written by a campaign of this process."""
         if self.fencing_token is not None:
             return
         if self.lease is not None and nonce == self.nonce:
             await self._become_leader(version)
         else:
-            # It is attached to an abandoned lease, or its campaign was committed late.
-            self.leader, self.leader_version = None, version
+            # It is attached to an abandoned lease, or its campaign was committed late. Treat it as
+            # free: the next campaign replaces this version.
+            self.leader, self.leader_key_version = None, version
 
     async def _delete_key_of_former_process(self, version: Version) -> None:
         """Handle a leader key that this controller wrote before its restart.
 
         From now on the former process's commands have an outdated fencing token, and the condition
         of its transactions fails. The other controllers may campaign first: unlike this process,
-        they have the former one's snapshot. Otherwise, a controller that repeatedly crashes and
-        restarts within its former lease would also prevent the others from leading.
+        they have the former one's snapshot. Without this delay, a controller that repeatedly
+        crashes and restarts within its former lease would also prevent the others from leading.
         """
         self.campaign_not_before = self.clock() + RESTARTED_LEADER_CAMPAIGN_DELAY_S
         log.info("restarted_leader_yields", rest_s=RESTARTED_LEADER_CAMPAIGN_DELAY_S)
@@ -334,7 +349,7 @@
             [transactions.delete(LEADER_KEY)],
             priority=transactions.URGENT,
         )
-        self.leader, self.leader_version = None, Version(0)
+        self.leader, self.leader_key_version = None, Version(0)
 
     async def _follow_leader(self, leader: ControllerName, version: Version) -> None:
         """Handle a leader key written by another controller."""
@@ -342,7 +357,7 @@
             await self._lose_leadership()
         if self.leader != leader:
             log.info("leader_changed", node=leader)
-        self.leader, self.leader_version = leader, version
+        self.leader, self.leader_key_version = leader, version
 
     async def _campaign(self) -> None:
         """Try to write the leader key, attached to a sufficiently recent lease.
@@ -350,8 +365,8 @@
         Raises CompareAndSwapError if another controller has written the key first, and the other
         errors of `StateClient`.
         """
-        max_age_s = self.lease_seconds * MAX_LEASE_AGE_TO_CAMPAIGN
-        if self.lease is None or self.clock() > self.renewed_at + max_age_s:
+        max_age_s = self.lease_seconds * MAX_CAMPAIGN_LEASE_AGE_RATIO
+        if self.lease is None or self.clock() > self.renewal_sent_at + max_age_s:
             await self._renew()
         if self.lease is None:
             return
@@ -361,7 +376,7 @@
         leader_record = wire.LeaderRecord(self.name, nonce)
         try:
             revision = await self.store.commit(
-                [(LEADER_KEY, self.leader_version)],
+                [(LEADER_KEY, self.leader_key_version)],
                 [
                     transactions.put(LEADER_KEY, leader_record, self.lease),
                     transactions.put(self.record_key, self._controller_record()),
--- a/umberward/protocol/transactions.py
+++ b/umberward/protocol/transactions.py
@@ -14,15 +14,22 @@
 from umberward.protocol import wire
 
 
-class Priority(enum.IntEnum):
-    """The priority of a request to a rate-limited service; the lowest value goes first."""
+class RequestPriority(enum.IntEnum):
+    """The priority of a request to a rate-limited service.
+
+    A request of a lower value may use more of the rate budget (`RateBudget`).
+    """
 
     URGENT = 0
     NORMAL = 1
     BACKGROUND = 2
 
 
-URGENT, NORMAL, BACKGROUND = Priority.URGENT, Priority.NORMAL, Priority.BACKGROUND
+URGENT, NORMAL, BACKGROUND = (
+    RequestPriority.URGENT,
+    RequestPriority.NORMAL,
+    RequestPriority.BACKGROUND,
+)
 
 
 class VersionedValue(msgspec.Struct, rename={"version": "stamp"}):
--- a/umberward/protocol/wire.py
+++ b/umberward/protocol/wire.py
@@ -1,7 +1,8 @@
 """Typed structures of the messages on the wire, and their codecs.
 
-The interfaces to users, workers, the cloud and the state service use different names (PROTOCOL).
-These are mapped to the fields of the structures in this package, and nowhere else:
+The interfaces to users, workers, the cloud and the state service use names that differ from those
+in the code (PROTOCOL). Most of them are mapped to the fields of the structures in this package;
+bodies that are built or read as plain dictionaries use them directly:
 
 | wire name | field |
 | --- | --- |
@@ -57,11 +58,11 @@
     ScaleOutResponse,
 )
 from umberward.protocol.constants import (
+    JOB_PRIORITIES,
     MAX_BODY_BYTES,
     MAX_DELETIONS_PER_REQUEST,
     MAX_MACHINES_PER_PAGE,
     MAX_MACHINES_PER_REQUEST,
-    PRIORITIES,
     CommandVerb,
     JobKind,
     JobPhase,
@@ -104,6 +105,7 @@
     "FORGET",
     "GANG",
     "JOBS_PREFIX",
+    "JOB_PRIORITIES",
     "KILL",
     "LIVE_JOBS_PREFIX",
     "MAX_BODY_BYTES",
@@ -111,7 +113,6 @@
     "MAX_MACHINES_PER_PAGE",
     "MAX_MACHINES_PER_REQUEST",
     "PENDING",
-    "PRIORITIES",
     "PULLING_IMAGE",
     "RUNNING",
     "SERVICE",
@@ -232,7 +233,7 @@
         "preemption_notice_s": "reclaim_in_s",
     },
 ):
-    """A report of a worker (PROTOCOL, "POST /hello").
+    """A heartbeat of a worker (PROTOCOL, "POST /hello").
 
     `incarnation` increases whenever the worker's lease expires, and `sequence` with each heartbeat:
     the larger pair is the newer one. `fencing_token` is the highest one that the worker has seen.
@@ -316,7 +317,7 @@
     """The reason why a field is invalid beyond its type and bounds; None if all are valid."""
     if spec.kind not in (ARRAY, GANG, SERVICE):
         return "shape: not one of batch, ensemble, service"
-    if spec.priority not in PRIORITIES:
+    if spec.priority not in JOB_PRIORITIES:
         return "rank: not one of production, urgent, normal, idle"
     if _has_nan_amount(spec):
         return "an amount is not a number"
@@ -362,7 +363,7 @@
 def _decode_body(decode: Callable[[bytes], T], body: bytes) -> T:
     try:
         return decode(body)
-    # Too deep nesting and text that is not UTF-8 raise built-in exceptions.
+    # Nesting that is too deep and text that is not UTF-8 raise built-in exceptions.
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError, ValueError) as error:
         raise MalformedMessageError(str(error)) from None
 
--- a/umberward/scheduling/scheduler.py
+++ b/umberward/scheduling/scheduler.py
@@ -1,6 +1,6 @@
 """The scheduling state of a cluster and all decisions about it. No I/O.
 
-The leader's event loop passes in heartbeats, command results and records, and takes out commands,
+The leader loop passes in heartbeats, command results and records, and takes out commands,
 probes and transactions. A `Placement` means that a task may be on a machine. It exists from before
 the start is sent until one of these is known (docs/design.md, "Safety"): a newer heartbeat under
 this leader's fencing token does not list it and no start is in flight; the worker's incarnation has
@@ -31,11 +31,11 @@
 from umberward.protocol.transactions import VersionedValue
 from umberward.protocol.wire import Heartbeat, JobRecord, MachineType
 from umberward.scheduling import summaries
-from umberward.scheduling.cluster_state import ClusterState, DirectCommand, Probe
+from umberward.scheduling.cluster_state import ClusterState, CommandMessage, Probe
 from umberward.scheduling.command_results import CommandResults
 from umberward.scheduling.consolidation import Consolidation
 from umberward.scheduling.deadline_triage import DeadlineTriage
-from umberward.scheduling.dependencies import WaitingJobs
+from umberward.scheduling.dependencies import BlockedJobs
 from umberward.scheduling.failure_attribution import FailureAttribution
 from umberward.scheduling.failure_detector import FailureDetector
 from umberward.scheduling.heartbeats import HeartbeatHandler
@@ -51,13 +51,14 @@
 
 log = logger(__name__)
 
-UNKNOWN_JOB_GRACE_S = 15.0  # a live job that stays unknown here for longer is adopted
-# The oldest beyond this number are dropped: none of their heartbeats is in flight any more.
+UNKNOWN_JOB_GRACE_S = 15.0  # a live job that is missing here for longer is added
+# Number of deleted machines to remember; heartbeats of older ones are assumed to be no longer in
+# flight.
 MAX_DELETED_MACHINES_KEPT = 5000
 
 
 class Scheduler(ClusterState):
-    """The cluster state and all parts that decide about it; the leader's loop calls its methods.
+    """The cluster state and all parts that decide about it; the leader loop calls its methods.
 
     Each part reads and changes the `ClusterState` without depending on other parts' internals.
     """
@@ -80,25 +81,28 @@
         self.deadline_triage = DeadlineTriage(self, now)
         self.consolidation = Consolidation(self, self.preemption, now)
         self.failure_attribution = FailureAttribution(self, now)
-        self.waiting_jobs = WaitingJobs(self)
-        self.job_order = ServiceOrder(self, self.waiting_jobs, self.deadline_triage)
+        self.blocked_jobs = BlockedJobs(self)
+        self.service_order = ServiceOrder(self, self.blocked_jobs, self.deadline_triage)
         self.unlocated_tasks = UnlocatedTasks(self, self.delegator)
         self.placement_pass = PlacementPass(
-            self, self.job_order, self.unlocated_tasks, self.preemption, self.consolidation
+            self, self.service_order, self.unlocated_tasks, self.preemption, self.consolidation
+        )
+        self.state_writer = StateWriter(
+            self, self.blocked_jobs, platform.cluster.state.strictest(), now
         )
-        self.writer = StateWriter(self, self.waiting_jobs, platform.cluster.state.strictest(), now)
         self.reachability = Reachability(self)
         self.failure_detector = FailureDetector(self, self.delegator, self.reachability)
         self.heartbeats = HeartbeatHandler(
-            self, self.reachability, self.failure_attribution, self.writer
+            self, self.reachability, self.failure_attribution, self.state_writer
         )
         self.command_results = CommandResults(self, self.reachability, self.heartbeats)
         # Jobs with a live record that are not known here, with the time when that was first seen.
         self.unknown_since: dict[JobId, Instant] = {}
-        # Recently ended jobs, with the time: a listing that was read earlier may still show them.
+        # Jobs that ended within UNKNOWN_JOB_GRACE_S, with the time: a listing that was read earlier
+        # may still show them.
         self.recently_ended: dict[JobId, Instant] = {}
 
-    # ---- events of the leader's loop, passed on to the responsible part --------------------
+    # ---- events of the leader loop, passed on to the responsible part ----------------------
 
     def receive_heartbeat(
         self, header: wire.HeartbeatHeader, body: bytes, now: Instant
@@ -111,7 +115,7 @@
 
     def command_completed(
         self,
-        command: DirectCommand,
+        command: CommandMessage,
         heartbeat: Heartbeat | None,
         outcome_unknown: bool,  # noqa: FBT001 - a field of the event, passed on in order
         now: Instant,
@@ -132,7 +136,10 @@
         return machine is None or not self.has_unwanted_start(machine)
 
     def discount_process_pause(self, now: Instant) -> None:
-        """Detect a pause of this process. Call before any other event is handled."""
+        """Detect a pause of this process and do not count it as silence of the machines.
+
+        Call before any other event is handled.
+        """
         self.failure_detector.discount_process_pause(now)
 
     def tick(self, now: Instant) -> None:
@@ -143,15 +150,15 @@
         self.failure_attribution.tick(now)
         self.failure_detector.mark_silent_machines_for_deletion(now)
 
-    def is_isolated(self, now: Instant) -> bool:
+    def receives_few_heartbeats(self, now: Instant) -> bool:
         """Tell whether nearly all workers seem unreachable from this controller."""
-        return self.failure_detector.is_isolated(now)
+        return self.failure_detector.receives_few_heartbeats(now)
 
-    def no_heartbeat_this_term(self, now: Instant) -> bool:
-        """Tell whether no loaded machine has sent anything, although each should have by now."""
-        return self.failure_detector.no_heartbeat_this_term(now)
+    def received_no_heartbeat_this_term(self, now: Instant) -> bool:
+        """Tell whether no machine has sent a message in this term, although each should have."""
+        return self.failure_detector.received_no_heartbeat_this_term(now)
 
-    def delegate(
+    def issue_delegation(
         self,
         delegate: ControllerName,
         seen: int,
@@ -164,20 +171,20 @@
         whether it has used none since it requested that one. None: the jobs have not been read in
         this term.
         """
-        return self.failure_detector.delegate(delegate, seen, idle, now)
+        return self.failure_detector.issue_delegation(delegate, seen, idle, now)
 
     def transaction_committed(
         self, transaction: Transaction, version: Version, now: Instant
     ) -> None:
         """Apply the effects of a committed transaction of this leader."""
-        for job, final in self.writer.transaction_committed(transaction, version, now):
+        for job, final in self.state_writer.transaction_committed(transaction, version, now):
             log.info("job_ended", job=job.id, phase=final.phase)
             self.apply_job_end(job.id, final, final.ended_at or self.wall_clock())
             self.remove_job(job.id)
 
     def reconcile_key(self, key: Key, found: VersionedValue | None) -> None:
         """Apply the stored value of a key after a conflict or an unknown outcome."""
-        for job_id in self.writer.reconcile_key(key, found):
+        for job_id in self.state_writer.reconcile_key(key, found):
             self.remove_job(job_id)
 
     def token_rotated(self, fencing_token: FencingToken) -> None:
@@ -197,9 +204,9 @@
                 MachineId(name), address, MachineTypeName(machine_type), ZoneName(zone), spot, now
             )
             machines.append(machine)
-            if not machine.heartbeat_seen and not machine.probe_inflight:
+            if not machine.confirmed_in_term and not machine.probe_inflight:
                 self._probe(machine)
-        self.writer.load_block(number, version, machines)
+        self.state_writer.load_block(number, version, machines)
 
     def finish_loading(self) -> None:
         """Start placing tasks, as all blocks and all jobs have been loaded."""
@@ -209,10 +216,10 @@
                 # Its heartbeat came before the jobs were read, so its tasks were unknown. Until
                 # the next heartbeat they may run there and must not start elsewhere.
                 machine.reconciled = False
-                machine.availability_changed()
-                machine.unchanged_heartbeat = None
+                machine.mark_availability_changed()
+                machine.settled_task_list = None
                 self._probe(machine)
-        self.pass_wanted = True
+        self.scheduling_pass_needed = True
         log.info(
             "failover_completed",
             epoch=self.fencing_token,
@@ -228,7 +235,7 @@
 
     def is_live(self, job_id: JobId) -> bool:
         """Tell whether this leader knows the job as live."""
-        return job_id in self.jobs or job_id in self.waiting_jobs.jobs
+        return job_id in self.jobs or job_id in self.blocked_jobs.jobs
 
     def add_job(self, record: JobRecord, version: Version) -> None:
         """Add a live job whose record was read or reported by a watch; ignore known jobs."""
@@ -238,17 +245,17 @@
         job = Job(record, version, self.max_value_bytes)
         if record.dependencies and not record.placed_below:
             # A job with unfinished dependencies cannot start and is not counted as queued work.
-            self.waiting_jobs.add(job, wire.unpack_dependencies(record.dependencies))
+            self.blocked_jobs.add(job, wire.unpack_dependencies(record.dependencies))
         else:
             self.admit_job(job)
-        self.waiting_jobs.graph.note_live(job_id)
+        self.blocked_jobs.graph.note_live(job_id)
 
     def admit_job(self, job: Job) -> None:
         """Make the job's tasks available for placement."""
         self.jobs[job.id] = self.jobs_to_place[job.id] = job
         if job.complete:
-            self.writer.note_completions(job)  # all tasks are done, its end is not written
-        job.needs_prompt_start = self.requires_prompt_start(job)
+            self.state_writer.note_completions(job)  # all tasks are done, its end is not written
+        job.needs_prompt_start = self.is_prompt_accelerated(job)
         if not job.placed_below:
             log.info(
                 "job_ready",
@@ -258,20 +265,23 @@
                 size=round(job.size * max(job.need.cores, job.need.accelerators), 1),
             )
         self.precedences_outdated = True
-        self.pass_wanted = True
+        self.scheduling_pass_needed = True
 
     def apply_job_end(self, job_id: JobId, final: wire.FinalJobRecord, ended_at: float) -> None:
-        """Admit the dependents of a job; call only after its end was read or committed.
+        """Apply a job's end: admit its dependents. Call only after the end was read or committed.
 
         `ended_at` is a wall-clock time in seconds.
         """
-        for job in self.waiting_jobs.job_ended(job_id, final.phase, ended_at):
+        for job in self.blocked_jobs.job_ended(job_id, final.phase, ended_at):
             log.info("job_dependencies_done", job=job.id)
             self.admit_job(job)
 
     def remove_job(self, job_id: JobId) -> None:
-        """Stop a job whose live record was deleted: it is done, or a controller cancelled it."""
-        self.waiting_jobs.job_removed(job_id)
+        """Remove a job whose live record was deleted, and stop its tasks.
+
+        The job is done, or a controller cancelled it.
+        """
+        self.blocked_jobs.job_removed(job_id)
         self.recently_ended[job_id] = self.now
         job = self.jobs.pop(job_id, None)
         self.jobs_to_place.pop(job_id, None)
@@ -285,7 +295,7 @@
         self.precedences_outdated = True
         for placement in list(job.placements.values()):
             self.stop(placement, 0.0)
-        self.pass_wanted = True
+        self.scheduling_pass_needed = True
 
     def add_cancelled_job(self, job_id: JobId, remaining: wire.RemainingTasks) -> None:
         """Count against the team's limit what a cancelled job may still use.
@@ -313,8 +323,8 @@
                 found.append(job_id)
         return found
 
-    def adopt_unknown_job(self, record: JobRecord, version: Version, now: Instant) -> None:
-        """Add a live job that this leader had lost, together with its existing placements."""
+    def adopt_missing_job(self, record: JobRecord, version: Version, now: Instant) -> None:
+        """Add a live job that is missing from the leader's state, with its existing placements."""
         job_id = JobId(record.spec.job_id)
         if self.unknown_since.pop(job_id, None) is None or job_id in self.recently_ended:
             return
@@ -325,18 +335,18 @@
             return
         for machine in self.machines.values():
             for task, placement in machine.placements.items():
-                if task.job == job_id:  # started before the job was lost
+                if task.job == job_id:  # started before the job went missing
                     job.placements[task.number] = placement
                     job.locate_task(task.number)
         if job.unlocated_tasks:
             self.unlocated_tasks.schedule_requeue(job, now)
 
     def run_maintenance(self, now: Instant) -> None:
-        """Requeue lost tasks and drop records of ended jobs. Call every few seconds."""
+        """Requeue unaccounted tasks and drop records of ended jobs. Call every few seconds."""
         self.unlocated_tasks.requeue_overdue(now)
         self._forget_recently_ended(now)
         if self.reconciliation_completed:
-            self.unlocated_tasks.forget_cancelled_jobs()
+            self.unlocated_tasks.drop_cancelled_jobs()
             self.unlocated_tasks.recover_lost_tasks(now)
 
     def _forget_recently_ended(self, now: Instant) -> None:
@@ -358,15 +368,15 @@
             machine = self.machines.get(machine_id)
             if machine is None:
                 continue
-            machine.deletion_requested = True
+            machine.draining = True
             self.release_all_placements(machine, "machine gone")
             del self.machines[machine_id]
-            machine.availability_changed()
+            machine.mark_availability_changed()
             self.deleted_machines[machine_id] = None
             while len(self.deleted_machines) > MAX_DELETED_MACHINES_KEPT:
                 del self.deleted_machines[next(iter(self.deleted_machines))]
-            self.writer.remove_machine(machine)
-        self.pass_wanted = True
+            self.state_writer.remove_machine(machine)
+        self.scheduling_pass_needed = True
 
     # ---- the scheduling pass -------------------------------------------------------------
 
@@ -376,11 +386,11 @@
 
     def jobs_in_service_order(self, now: Instant) -> list[Job]:
         """Return the jobs with tasks to place, in service order."""
-        return self.job_order.jobs_in_order(now)
+        return self.service_order.jobs_in_service_order(now)
 
     def jobs_without_room(self, now: Instant) -> list[tuple[Job, int]]:
         """Return the jobs that wait for machines, with their task counts, in service order."""
-        return self.job_order.jobs_without_room(now)
+        return self.service_order.jobs_without_room(now)
 
     # ---- summaries for the log -----------------------------------------------------------
 
@@ -390,4 +400,4 @@
 
     def inflight_summary(self) -> dict[str, int]:
         """Return the number of starts that may still reach a worker, as log fields."""
-        return summaries.inflight_summary(self, self.heartbeats.deferred_forgets)
+        return summaries.inflight_summary(self, self.heartbeats.deferred_forget_count)
